--- a/src/leverjunction/lots/told_loads.py
+++ b/src/leverjunction/lots/gateway_loads.py
@@ -44,7 +44,7 @@
         self.held: dict[str, int] = {}
 
 
-class ToldLoads:
+class GatewayLoads:
     """Sums over the gateways that are heard, kept up with each word."""
 
     __slots__ = ("_held", "_runners", "_tellers")
--- a/src/leverjunction/lots/load_listener.py
+++ b/src/leverjunction/lots/load_listener.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from leverjunction.errors import Failure
-from leverjunction.lots.told_loads import ToldLoads
+from leverjunction.lots.gateway_loads import GatewayLoads
 from leverjunction.proxy.load_row import BackEndOrder
 from leverjunction.proxy.online_loads import LoadsWanted, OnlineLoads
 from leverjunction.registry.records import JOBS_GROUP
@@ -42,7 +42,7 @@
         self._totals = totals
         self._order = order
         self._sharing: asyncio.Task[None] | None = None
-        self.loads = ToldLoads()
+        self.loads = GatewayLoads()
         self._key = cluster_key
         self._wants = wants
         self._heard = heard
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -7,10 +7,10 @@
 
 from loguru import logger
 
+from leverjunction.lots.gateway_loads import GatewayLoads
 from leverjunction.lots.lost_runs import LostRuns, Report
 from leverjunction.lots.room import SeatRoom, ServiceRoom
 from leverjunction.lots.standing import ServiceSight
-from leverjunction.lots.told_loads import ToldLoads
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.runner_seat import RunnerSeat
@@ -79,7 +79,7 @@
                 if key not in self._reading:
                     self._reading[key] = self._loop.create_task(self._read(seat, pause_s))
 
-    def tell(self, loads: ToldLoads) -> None:
+    def tell(self, loads: GatewayLoads) -> None:
         """Take what gateways tell of their online requests."""
         now_s = self._loop.time()
         loads.expire(now_s)
--- a/tests/unit/test_lots_told_loads.py
+++ b/tests/unit/test_lots_gateway_loads.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from leverjunction.lots.told_loads import (
+from leverjunction.lots.gateway_loads import (
     SHARE_INTERVAL_S,
     SHARED_BYTES_PER_S,
     SHARES_PER_S,
     SILENT_S,
     WORDS_PER_S,
-    ToldLoads,
+    GatewayLoads,
 )
 from leverjunction.proxy.online_loads import OnlineLoads
 
@@ -22,49 +22,49 @@
 
 
 @pytest.fixture
-def loads() -> ToldLoads:
-    made = ToldLoads()
+def loads() -> GatewayLoads:
+    made = GatewayLoads()
     made.take(word("a", whole=True, held=1, i1=2, i2=1), 1, GATEWAY, 10.0)
     made.take(word("b", i1=3), 1, GATEWAY, 10.0)
     return made
 
 
-def test_counts_of_all_gateways_add_up(loads: ToldLoads) -> None:
+def test_counts_of_all_gateways_add_up(loads: GatewayLoads) -> None:
     assert (loads.at_runner("i1"), loads.at_runner("i2"), loads.at_runner("i3")) == (5, 1, 0)
     assert (loads.held("s"), loads.tellers) == (1, 2)
 
 
-def test_a_change_leaves_other_back_ends_as_they_were(loads: ToldLoads) -> None:
+def test_a_change_leaves_other_back_ends_as_they_were(loads: GatewayLoads) -> None:
     loads.take(word("a", i1=0), 1, GATEWAY, 10.1)
     assert (loads.at_runner("i1"), loads.at_runner("i2"), loads.held("s")) == (3, 1, 0)
 
 
-def test_a_whole_word_makes_a_lost_change_good(loads: ToldLoads) -> None:
+def test_a_whole_word_makes_a_lost_change_good(loads: GatewayLoads) -> None:
     loads.take(word("a", whole=True, i2=4), 1, GATEWAY, 10.5)
     assert (loads.at_runner("i1"), loads.at_runner("i2")) == (3, 4)
 
 
-def test_a_silent_gateway_is_not_counted(loads: ToldLoads) -> None:
+def test_a_silent_gateway_is_not_counted(loads: GatewayLoads) -> None:
     loads.take(word("b", i1=3), 1, GATEWAY, 11.0)
     loads.expire(10.0 + SILENT_S + 0.1)
     assert (loads.at_runner("i1"), loads.at_runner("i2"), loads.tellers) == (3, 0, 1)
 
 
-def test_a_word_from_before_a_restart_changes_nothing(loads: ToldLoads) -> None:
+def test_a_word_from_before_a_restart_changes_nothing(loads: GatewayLoads) -> None:
     loads.take(word("a", i1=1), 2, GATEWAY, 10.2)
     assert (loads.at_runner("i1"), loads.at_runner("i2")) == (4, 0)
     loads.take(word("a", i1=9), 1, GATEWAY, 10.3)
     assert loads.at_runner("i1") == 4
 
 
-def test_many_gateways_tell_less_often(loads: ToldLoads) -> None:
+def test_many_gateways_tell_less_often(loads: GatewayLoads) -> None:
     assert loads.interval_s() == 2 / WORDS_PER_S
     for number in range(338):
         loads.take(word(f"g{number}"), 1, GATEWAY, 10.0)
     assert loads.interval_s() == pytest.approx(0.34)
 
 
-def test_each_gateway_that_is_heard_is_told(loads: ToldLoads) -> None:
+def test_each_gateway_that_is_heard_is_told(loads: GatewayLoads) -> None:
     loads.take(word("b", i1=3), 1, ("10.0.0.2", 7), 10.1)
     assert loads.addresses() == [GATEWAY, ("10.0.0.2", 7)]
 
@@ -80,7 +80,7 @@
     ids=["few", "hundreds", "the sender's limit", "the receivers' limit"],
 )
 def test_what_is_told_is_bounded(gateways: int, word_bytes: int, pause_s: float) -> None:
-    loads = ToldLoads()
+    loads = GatewayLoads()
     for number in range(gateways):
         loads.take(word(f"g{number}"), 1, GATEWAY, 10.0)
     assert loads.share_interval_s(word_bytes) == pytest.approx(pause_s)
