--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -10,7 +10,7 @@
 
 from leverjunction.clock import LOADED_S
 from leverjunction.lots import client
-from leverjunction.lots.commands import EndLot, LotTaken, SubmitLot
+from leverjunction.lots.commands import EndLot, LotAccepted, SubmitLot
 from leverjunction.lots.room import TakenSlot
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.roles import main
@@ -51,7 +51,7 @@
 
     async def at_once(self: client.LotsClient, command: object, reply_type: type) -> object:
         if isinstance(command, SubmitLot):
-            return LotTaken(command.lot_id)
+            return LotAccepted(command.lot_id)
         assert isinstance(command, EndLot)
         return await propose(self, command, reply_type)
 
--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -10,10 +10,10 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.lots.commands import (
     ItemBody,
-    KnownProgress,
     OpenItem,
     ReadBody,
     ReadProgress,
+    RecordedProgress,
 )
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.item_stream import ItemStream
@@ -185,7 +185,7 @@
         if run.follows:
             return True
         raw = self._group.query_local(encode(ReadProgress(*run.key)))
-        progress = decode_reply(raw, KnownProgress)
+        progress = decode_reply(raw, RecordedProgress)
         if isinstance(progress, Failure):
             return False
         run.stream = ItemStream(progress.count, progress.last_id)
--- a/src/leverjunction/lots/commands.py
+++ b/src/leverjunction/lots/commands.py
@@ -180,7 +180,7 @@
     return msgspec.msgpack.encode(command)
 
 
-class LotTaken(msgspec.Struct, frozen=True):
+class LotAccepted(msgspec.Struct, frozen=True):
     """Reply to ``SubmitLot`` and ``EndLot``."""
 
     lot_id: str
@@ -198,7 +198,7 @@
     rejected: tuple[tuple[str, str], ...] = ()
 
 
-class KnownProgress(msgspec.Struct, frozen=True):
+class RecordedProgress(msgspec.Struct, frozen=True):
     """Reply to ``ReadProgress``: number of events, and the id of the last one."""
 
     count: int = 0
--- a/src/leverjunction/lots/node_watch.py
+++ b/src/leverjunction/lots/node_watch.py
@@ -54,7 +54,7 @@
             logger.warning("{}; {}", word, whereabouts())
 
 
-def stack_of(thread: threading.Thread) -> str:
+def format_thread_stack(thread: threading.Thread) -> str:
     """Return where a thread is, for a person."""
     frame = sys._current_frames().get(thread.ident or 0)
     if frame is None or not thread.is_alive():
--- a/src/leverjunction/lots/progress_rows.py
+++ b/src/leverjunction/lots/progress_rows.py
@@ -10,7 +10,7 @@
 
 import sqlite3
 
-from leverjunction.lots.commands import ItemProgress, ItemResult, KnownProgress
+from leverjunction.lots.commands import ItemProgress, ItemResult, RecordedProgress
 
 TABLE = """
 CREATE TABLE IF NOT EXISTS sm_lot_part (
@@ -20,14 +20,14 @@
 """
 
 
-def known(connection: sqlite3.Connection, lot_id: str, item_id: str) -> KnownProgress:
+def known(connection: sqlite3.Connection, lot_id: str, item_id: str) -> RecordedProgress:
     """Return how many events of an item are here."""
     row = connection.execute(
         "SELECT start + count, last_id FROM sm_lot_part WHERE lot = ? AND item = ?"
         " ORDER BY start DESC LIMIT 1",
         (lot_id, item_id),
     ).fetchone()
-    return KnownProgress(*row) if row is not None else KnownProgress()
+    return RecordedProgress(*row) if row is not None else RecordedProgress()
 
 
 def append(connection: sqlite3.Connection, progress: ItemProgress, repeats: bool) -> bool:
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -31,7 +31,7 @@
 from leverjunction.lots.item_run import ItemKey, ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
-from leverjunction.lots.node_watch import stack_of
+from leverjunction.lots.node_watch import format_thread_stack
 from leverjunction.lots.outbox import Outbox
 from leverjunction.lots.pulse import Pulse
 from leverjunction.lots.room import TakenSlot
@@ -159,7 +159,7 @@
 
     def whereabouts(self) -> str:
         """Return where the loop's thread is, for a person."""
-        return stack_of(self._thread)
+        return format_thread_stack(self._thread)
 
     def fault(self) -> Failure | None:
         """Return why no items are run any more, None while they are; to be asked regularly."""
--- a/src/leverjunction/lots/state_machine.py
+++ b/src/leverjunction/lots/state_machine.py
@@ -118,10 +118,10 @@
 
 def _submit(
     connection: sqlite3.Connection, context: ApplyContext, lot: commands.SubmitLot
-) -> commands.LotTaken:
+) -> commands.LotAccepted:
     known = connection.execute("SELECT 1 FROM sm_lot WHERE lot = ?", (lot.lot_id,)).fetchone()
     if known is not None:
-        return commands.LotTaken(lot.lot_id)
+        return commands.LotAccepted(lot.lot_id)
     connection.execute(
         "INSERT INTO sm_lot VALUES (?, ?, ?, ?, ?, ?, 0, ?, 0)",
         (
@@ -142,7 +142,7 @@
         connection.execute(
             "INSERT INTO sm_lot_body VALUES (?, ?, ?)", (lot.lot_id, item.item_id, item.body)
         )
-    return commands.LotTaken(lot.lot_id)
+    return commands.LotAccepted(lot.lot_id)
 
 
 def _record(connection: sqlite3.Connection, runs: commands.RecordRuns) -> commands.Recorded:
@@ -226,7 +226,7 @@
     return True
 
 
-def _end(connection: sqlite3.Connection, end: commands.EndLot) -> commands.LotTaken | Failure:
+def _end(connection: sqlite3.Connection, end: commands.EndLot) -> commands.LotAccepted | Failure:
     cursor = connection.execute("UPDATE sm_lot SET ended = 1 WHERE lot = ?", (end.lot_id,))
     if cursor.rowcount == 0:
         return _no_lot(end.lot_id, Step.APPLYING)
@@ -234,7 +234,7 @@
     connection.execute("DELETE FROM sm_lot_body WHERE lot = ?", (end.lot_id,))
     connection.execute("DELETE FROM sm_lot_item WHERE lot = ?", (end.lot_id,))
     progress_rows.forget_lot(connection, end.lot_id)
-    return commands.LotTaken(end.lot_id)
+    return commands.LotAccepted(end.lot_id)
 
 
 def _forget(connection: sqlite3.Connection, old: commands.ForgetLots) -> commands.Recorded:
--- a/src/leverjunction/platform/front_calls.py
+++ b/src/leverjunction/platform/front_calls.py
@@ -13,8 +13,8 @@
 from leverjunction.lots.commands import (
     EndLot,
     ItemBody,
+    LotAccepted,
     LotItem,
-    LotTaken,
     ReadBody,
     ReadResults,
     ResultsPage,
@@ -145,7 +145,7 @@
             for item in form.items
         ),
     )
-    taken = await client.propose(command, LotTaken)
+    taken = await client.propose(command, LotAccepted)
     if not isinstance(taken, Failure):
         return Reply(202)
     # 503 promises that nothing runs; a store that did not answer may have taken it.
@@ -173,7 +173,7 @@
 
 @_call(b"DELETE", "/api/lots/")
 async def _end(client: LotsClient, _request: CallerRequest, lot_id: str) -> Reply:
-    ended = await client.propose(EndLot(lot_id), LotTaken)
+    ended = await client.propose(EndLot(lot_id), LotAccepted)
     return _unsure(ended) if isinstance(ended, Failure) else Reply(200)
 
 
--- a/tests/unit/test_consensus_listener.py
+++ b/tests/unit/test_consensus_listener.py
@@ -21,7 +21,7 @@
 
 from leverjunction.consensus.api import ApplyContext, StateMachine
 from leverjunction.errors import Failure
-from leverjunction.lots.commands import LotItem, LotTaken, SubmitLot, encode_command
+from leverjunction.lots.commands import LotAccepted, LotItem, SubmitLot, encode_command
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.registry.commands import Done, JoinMember
 from leverjunction.registry.records import MemberRecord, MemberRole
@@ -46,7 +46,7 @@
     JoinMember(MemberRecord(name="s1", role=MemberRole.STORE, address="s1:1", zone="z"))
 )
 CASES = [
-    pytest.param(LotsStateMachine, LOT, LotTaken, id="lots"),
+    pytest.param(LotsStateMachine, LOT, LotAccepted, id="lots"),
     pytest.param(RegistryStateMachine, MEMBER, Done, id="registry"),
 ]
 
--- a/tests/unit/test_lots_client.py
+++ b/tests/unit/test_lots_client.py
@@ -11,7 +11,7 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.lots import client as client_module
 from leverjunction.lots.client import LotsClient
-from leverjunction.lots.commands import EndLot, LotTaken, ReadResults, ResultsPage
+from leverjunction.lots.commands import EndLot, LotAccepted, ReadResults, ResultsPage
 from leverjunction.registry.follower import Snapshot
 from leverjunction.registry.records import (
     JOBS_GROUP,
@@ -55,7 +55,7 @@
 
 
 def taken(_timeout_s: float) -> bytes:
-    return encode_reply(LotTaken("lot"))
+    return encode_reply(LotAccepted("lot"))
 
 
 def refusing(kind: FailureKind, execution: Execution, detail: str = "") -> Answer:
@@ -78,8 +78,8 @@
 NOT_LEADER = refusing(FailureKind.NOT_LEADER, Execution.NOT_RUN)
 
 
-def call(client: LotsClient) -> LotTaken | Failure:
-    return asyncio.run(client.propose(EndLot("lot"), LotTaken))
+def call(client: LotsClient) -> LotAccepted | Failure:
+    return asyncio.run(client.propose(EndLot("lot"), LotAccepted))
 
 
 def make(stores: Stores) -> LotsClient:
@@ -89,8 +89,8 @@
 def test_the_leader_is_found_and_asked_first_from_then_on() -> None:
     stores = Stores(a=NOT_LEADER, b=NOT_LEADER, c=taken)
     client = make(stores)
-    assert call(client) == LotTaken("lot")
-    assert call(client) == LotTaken("lot")
+    assert call(client) == LotAccepted("lot")
+    assert call(client) == LotAccepted("lot")
     assert stores.asked == ["a", "b", "c", "c"]
 
 
@@ -98,20 +98,20 @@
     stores = Stores(
         a=refusing(FailureKind.NOT_LEADER, Execution.NOT_RUN, "c:1"), b=NOT_LEADER, c=taken
     )
-    assert call(make(stores)) == LotTaken("lot")
+    assert call(make(stores)) == LotAccepted("lot")
     assert stores.asked == ["a", "c"]
 
 
 def test_calls_are_not_passed_on_from_store_to_store() -> None:
     """A store that was cut off held each call that it should pass on, for over a second."""
     stores = Stores(a=NOT_LEADER, b=taken, c=taken)
-    assert call(make(stores)) == LotTaken("lot")
+    assert call(make(stores)) == LotAccepted("lot")
     assert stores.kinds == [MessageKind.FORWARDED_PROPOSE] * 2
 
 
 def test_a_silent_store_is_passed_over_while_the_caller_still_waits() -> None:
     stores = Stores(a=silent, b=taken, c=taken)
-    assert call(make(stores)) == LotTaken("lot")
+    assert call(make(stores)) == LotAccepted("lot")
     # What the silent store was given, not the time on the clock: that counts other processes too.
     assert stores.asked == ["a", "b"]
     assert stores.given_s[0] < 0.4
@@ -124,7 +124,7 @@
         b=NOT_LEADER,
         c=lambda timeout_s: next(refusals, taken)(timeout_s),
     )
-    assert call(make(stores)) == LotTaken("lot")
+    assert call(make(stores)) == LotAccepted("lot")
     assert len(stores.asked) == 15
 
 
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -12,12 +12,12 @@
 from leverjunction.lots import progress_rows
 from leverjunction.lots.commands import (
     ItemResult,
-    KnownProgress,
     LotItem,
     OpenItems,
     ReadOpenItems,
     ReadProgress,
     ReadResults,
+    RecordedProgress,
     ResultsPage,
     SubmitLot,
     encode_command,
@@ -93,9 +93,11 @@
             run.follows = True
         return runs
 
-    def progress(self) -> KnownProgress | Failure:
+    def progress(self) -> RecordedProgress | Failure:
         """Events of the first item that the group has."""
-        return decode_reply(self.query_local(encode(ReadProgress("lot", "item-0"))), KnownProgress)
+        return decode_reply(
+            self.query_local(encode(ReadProgress("lot", "item-0"))), RecordedProgress
+        )
 
 
 def status_as(role: str) -> GroupStatus:
@@ -172,12 +174,12 @@
         for run in runs:
             feed(run, 1, 2)
         await record(outbox, runs)
-        assert group.progress() == KnownProgress(2, "2")
+        assert group.progress() == RecordedProgress(2, "2")
         group.late = True
         for run in runs:
             feed(run, 3, 4)
         await record(outbox, runs)
-        assert group.progress() == KnownProgress(4, "4")
+        assert group.progress() == RecordedProgress(4, "4")
         for run in runs:
             feed(run, 5, EVENTS)
             outbox.done(run)
--- a/tests/unit/test_lots_outbox_refused.py
+++ b/tests/unit/test_lots_outbox_refused.py
@@ -16,9 +16,9 @@
 
 from leverjunction.lots.commands import (
     ItemProgress,
-    KnownProgress,
     OpenKeys,
     ReadOpenKeys,
+    RecordedProgress,
     RecordRuns,
     encode_command,
 )
@@ -38,7 +38,7 @@
             lot_id="lot", item_id="item-0", start=2, count=1, last_id="3", text="another 3"
         )
         group.propose(encode_command(RecordRuns(progress=(before,), repeats=True)), 1.0)
-        assert group.progress() == KnownProgress(3, "3")
+        assert group.progress() == RecordedProgress(3, "3")
         group.late = True
         feed(run, 3, EVENTS)
         outbox.done(run)
--- a/tests/unit/test_lots_progress_spec.py
+++ b/tests/unit/test_lots_progress_spec.py
@@ -28,11 +28,11 @@
     ItemProgress,
     ItemResult,
     ItemState,
-    KnownProgress,
     LotItem,
     ReadProgress,
     ReadResults,
     Recorded,
+    RecordedProgress,
     RecordRuns,
     ResultsPage,
     SubmitLot,
@@ -119,7 +119,7 @@
 
     def compare(self, state: State) -> None:
         """Fail unless the real state is the model's."""
-        known = self._ask(ReadProgress(*KEY), KnownProgress)
+        known = self._ask(ReadProgress(*KEY), RecordedProgress)
         assert known.count == len(state.parts)
         page = self._ask(ReadResults(KEY[0], 0, 10**6), ResultsPage)
         listed = [result.text for result in page.results]
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -21,7 +21,6 @@
 from leverjunction.lots.commands import (
     EndLot,
     ItemProgress,
-    KnownProgress,
     LotItem,
     LotQuery,
     OpenItems,
@@ -29,6 +28,7 @@
     ReadOpenKeys,
     ReadProgress,
     ReadResults,
+    RecordedProgress,
     RecordRuns,
     ResultsPage,
     SubmitLot,
@@ -121,9 +121,11 @@
         assert len(listed) == len(page.results)
         return listed
 
-    def progress(self) -> KnownProgress | Failure:
+    def progress(self) -> RecordedProgress | Failure:
         """Events of the first item that the group has."""
-        return decode_reply(self.query_local(encode(ReadProgress("lot", "item-0"))), KnownProgress)
+        return decode_reply(
+            self.query_local(encode(ReadProgress("lot", "item-0"))), RecordedProgress
+        )
 
 
 @pytest.fixture
@@ -454,7 +456,7 @@
     """Each change of leader began all runs anew, seconds of work of every one of them."""
     back_end.then("stream that stops")
     submit(store, 1)
-    wait_until(lambda: store.progress() == KnownProgress(1, "1"))
+    wait_until(lambda: store.progress() == RecordedProgress(1, "1"))
     store.role = "follower"
     wait_until(lambda: back_end.seen[0].gone_after_s is not None, 2.0)
     store.role = "leader"
--- a/tests/unit/test_lots_state_machine.py
+++ b/tests/unit/test_lots_state_machine.py
@@ -17,10 +17,9 @@
     ItemProgress,
     ItemResult,
     ItemState,
-    KnownProgress,
+    LotAccepted,
     LotCommand,
     LotItem,
-    LotTaken,
     OpenItems,
     OpenKeys,
     ReadBody,
@@ -29,6 +28,7 @@
     ReadProgress,
     ReadResults,
     Recorded,
+    RecordedProgress,
     RecordRuns,
     ResultsPage,
     SubmitLot,
@@ -89,12 +89,12 @@
 @pytest.fixture
 def lots() -> Lots:
     lots = Lots()
-    assert lots.apply(submit("a", "b", "c"), LotTaken) == LotTaken("lot")
+    assert lots.apply(submit("a", "b", "c"), LotAccepted) == LotAccepted("lot")
     return lots
 
 
 def test_a_lot_that_is_sent_again_is_taken_once(lots: Lots) -> None:
-    assert lots.apply(submit("a", "b", "c"), LotTaken) == LotTaken("lot")
+    assert lots.apply(submit("a", "b", "c"), LotAccepted) == LotAccepted("lot")
     assert lots.open_items() == ["a", "b", "c"]
     assert lots.page().total == 3
 
@@ -134,14 +134,14 @@
 
 def test_after_its_end_nothing_runs_and_what_is_listed_stays(lots: Lots) -> None:
     lots.done("a")
-    assert lots.apply(EndLot("lot"), LotTaken) == LotTaken("lot")
-    assert lots.apply(EndLot("lot"), LotTaken) == LotTaken("lot")
+    assert lots.apply(EndLot("lot"), LotAccepted) == LotAccepted("lot")
+    assert lots.apply(EndLot("lot"), LotAccepted) == LotAccepted("lot")
     assert lots.open_items() == []
     assert lots.done("b") == Recorded(0)
     assert [item.item_id for item in lots.page().results] == ["a"]
     assert lots.page().total == 3
     # A late resend of the lot does not begin it anew.
-    lots.apply(submit("a", "b", "c"), LotTaken)
+    lots.apply(submit("a", "b", "c"), LotAccepted)
     assert lots.open_items() == []
 
 
@@ -172,8 +172,8 @@
 
 
 def test_only_lots_that_are_over_are_forgotten(lots: Lots) -> None:
-    lots.apply(submit("a", lot="old"), LotTaken)
-    lots.apply(EndLot("old"), LotTaken)
+    lots.apply(submit("a", lot="old"), LotAccepted)
+    lots.apply(EndLot("old"), LotAccepted)
     assert lots.apply(ForgetLots(before_ms=10**9)) == Recorded(1)
     assert isinstance(lots.ask(ReadResults("old", 0, 10), ResultsPage), Failure)
     assert lots.page().total == 3
@@ -191,7 +191,7 @@
 
 
 def known(lots: Lots, item: str = "a") -> object:
-    return lots.ask(ReadProgress("lot", item), KnownProgress)
+    return lots.ask(ReadProgress("lot", item), RecordedProgress)
 
 
 def finish(lots: Lots, start: int, *events: str, repeats: bool = False) -> object:
@@ -210,10 +210,10 @@
 def test_a_result_is_put_together_from_what_was_recorded(lots: Lots, rest: tuple[str, ...]) -> None:
     assert lots.apply(RecordRuns(progress=(progress(0, "one"),))) == Recorded(1)
     assert lots.apply(RecordRuns(progress=(progress(1, "", "two"),))) == Recorded(1)
-    assert known(lots) == KnownProgress(3, "3")
+    assert known(lots) == RecordedProgress(3, "3")
     assert finish(lots, 3, *rest) == Recorded(1)
     assert lots.page().results[0].text == "\n".join(("one", "", "two", *rest))
-    assert known(lots) == KnownProgress()
+    assert known(lots) == RecordedProgress()
 
 
 @pytest.mark.parametrize("start", [0, 1, 3])
@@ -221,7 +221,7 @@
     lots.apply(RecordRuns(progress=(progress(0, "one", "two"),)))
     rejected = Recorded(0, (("lot", "a"),))
     assert lots.apply(RecordRuns(progress=(progress(start, "other"),))) == rejected
-    assert known(lots) == KnownProgress(2, "2")
+    assert known(lots) == RecordedProgress(2, "2")
     if start:
         assert finish(lots, start, "other") == rejected
         assert "a" in lots.open_items()
@@ -252,7 +252,7 @@
     assert recorded.apply(RecordRuns(progress=(part,))) == Recorded(0, (("lot", "a"),))
     for _ in range(2):
         assert recorded.apply(RecordRuns(progress=(part,), repeats=True)) == Recorded(1)
-        assert known(recorded) == KnownProgress(start + len(events), str(start + len(events)))
+        assert known(recorded) == RecordedProgress(start + len(events), str(start + len(events)))
     assert finish(recorded, start, *events, "end", repeats=True) == Recorded(1)
     whole = ("a", "b", "", "two")[:start] + events + ("end",)
     assert recorded.page().results[0].text == "\n".join(whole)
@@ -278,7 +278,7 @@
     part = progress(start, *events)
     assert recorded.apply(RecordRuns(progress=(part,), repeats=True)) == refused
     assert finish(recorded, start, *events, repeats=True) == refused
-    assert known(recorded) == KnownProgress(4, "4")
+    assert known(recorded) == RecordedProgress(4, "4")
 
 
 def test_a_whole_result_stands_whatever_was_recorded(lots: Lots) -> None:
@@ -291,8 +291,8 @@
     lots.done("a")
     assert lots.apply(RecordRuns(progress=(progress(0, "one"),))) == Recorded(0)
     lots.apply(RecordRuns(progress=(progress(0, "one", item="b"),)))
-    lots.apply(EndLot("lot"), LotTaken)
-    assert known(lots, "b") == KnownProgress()
+    lots.apply(EndLot("lot"), LotAccepted)
+    assert known(lots, "b") == RecordedProgress()
     assert lots.apply(RecordRuns(progress=(progress(1, "two", item="b"),))) == Recorded(0)
 
 
@@ -300,7 +300,7 @@
     """Reading all open items anew several times a second would cost the leader its time."""
     lots = Lots()
     assert not lots.machine.open_changed
-    lots.apply(submit("a"), LotTaken)
+    lots.apply(submit("a"), LotAccepted)
     assert lots.machine.open_changed
     lots.machine.open_changed = False
     lots.apply(RecordRuns(progress=(progress(0, "one"),)))
@@ -310,7 +310,7 @@
 
 
 def test_open_items_are_read_by_their_keys_or_by_lot(lots: Lots) -> None:
-    lots.apply(submit("x", lot="other"), LotTaken)
+    lots.apply(submit("x", lot="other"), LotAccepted)
     lots.done("b")
     keys = lots.ask(ReadOpenKeys(), OpenKeys)
     assert isinstance(keys, OpenKeys)
@@ -318,5 +318,5 @@
     of_one = lots.ask(ReadOpenItems("other"), OpenItems)
     assert isinstance(of_one, OpenItems)
     assert [item.item_id for item in of_one.items] == ["x"]
-    lots.apply(EndLot("lot"), LotTaken)
+    lots.apply(EndLot("lot"), LotAccepted)
     assert lots.ask(ReadOpenKeys(), OpenKeys) == OpenKeys((("other", "x"),))
--- a/tests/unit/test_registry_fleet.py
+++ b/tests/unit/test_registry_fleet.py
@@ -12,7 +12,7 @@
 
 from leverjunction.errors import Failure
 from leverjunction.lots.commands import (
-    LotTaken,
+    LotAccepted,
     OpenItems,
     ReadOpenItems,
     SubmitLot,
@@ -106,7 +106,7 @@
     def accepted() -> bool:
         command: SubmitLot = submit("a", "b")
         raw = node.host.call(MessageKind.PROPOSE, JOBS_GROUP, encode_command(command), 1.0)
-        return isinstance(raw, bytes) and decode_reply(raw, LotTaken) == LotTaken("lot")
+        return isinstance(raw, bytes) and decode_reply(raw, LotAccepted) == LotAccepted("lot")
 
     wait_until(accepted)
     for store in fleet.stores.values():
