--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -109,7 +109,7 @@
         finally:
             # Also when it is parked: a later run continues after the last whole event.
             if broken is not None:
-                run.stream.broken()
+                run.stream.discard_partial()
         if broken is not None:
             self._note_end(run, seat, request, broken)
             return False
@@ -165,19 +165,19 @@
         """Note what a whole answer means for the item; return whether it has ended."""
         run.trace.judged(status, run.stream.is_between_events)
         if status == OK and run.stream.is_between_events:
-            self._outbox.done(run)
+            self._outbox.complete(run)
             return True
-        run.stream.broken()
+        run.stream.discard_partial()
         if status == UNPROCESSABLE:
-            self._outbox.dead(run, "it can never be done")
+            self._outbox.give_up(run, "it can never be done")
             return True
         if status != SERVER_ERROR:
             return False
         run.failures += 1
-        self._outbox.failed(run)
+        self._outbox.add_failure(run)
         if run.failures < max(1, run.item.max_attempts):
             return False
-        self._outbox.dead(run, f"{run.failures} runs failed")
+        self._outbox.give_up(run, f"{run.failures} runs failed")
         return True
 
     def _follow(self, run: ItemRun) -> bool:
--- a/src/leverjunction/lots/item_stream.py
+++ b/src/leverjunction/lots/item_stream.py
@@ -38,7 +38,7 @@
             self._take(block)
         return len(blocks)
 
-    def broken(self) -> None:
+    def discard_partial(self) -> None:
         """The run broke off: drop the event that is not whole."""
         self._pending = b""
 
@@ -56,7 +56,7 @@
         """Return the data of these events in order, separated by line feeds."""
         return "\n".join(self._events)
 
-    def note_recorded(self, count: int) -> None:
+    def mark_recorded(self, count: int) -> None:
         """Note that the group has the first ones of these events now."""
         del self._events[:count]
         self.recorded += count
--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -61,7 +61,7 @@
         return not self._ended and not self._failures
 
     @property
-    def waiting(self) -> int:
+    def pending_results(self) -> int:
         """Number of results that the group does not have yet."""
         return len(self._ended)
 
@@ -76,24 +76,24 @@
         self._lead += 1
         self._trace.clear()
 
-    def keep(self, keys: frozenset[ItemKey]) -> None:
+    def retain(self, keys: frozenset[ItemKey]) -> None:
         """Forget what is not open any more: the group has it, though perhaps no answer said so."""
         for key in self._ended.keys() - keys:
             del self._ended[key]
         for key in self._failures.keys() - keys:
             del self._failures[key]
 
-    def done(self, run: ItemRun) -> None:
+    def complete(self, run: ItemRun) -> None:
         """Take an item whose output is whole."""
         self._ended[run.key] = (run, ItemState.DONE)
 
-    def dead(self, run: ItemRun, reason: str) -> None:
+    def give_up(self, run: ItemRun, reason: str) -> None:
         """Take an item that is given up."""
         lot_id, item_id = run.key
         logger.info("item {} of lot {} is given up: {}", item_id, lot_id, reason)
         self._ended[run.key] = (run, ItemState.DEAD)
 
-    def failed(self, run: ItemRun) -> None:
+    def add_failure(self, run: ItemRun) -> None:
         """Take a run that failed at a back end."""
         lot_id, item_id = run.key
         self._failures[run.key] = ItemFailure(lot_id=lot_id, item_id=item_id, failures=run.failures)
@@ -178,7 +178,7 @@
             if run.key in rejected:
                 run.restart()
             else:
-                run.stream.note_recorded(count)
+                run.stream.mark_recorded(count)
         self._restart_ended(results, rejected)
         for result in results:
             self._ended.pop((result.lot_id, result.item_id), None)
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -233,7 +233,7 @@
             runs=self._board.runs,
             service=self._loads.sight,
             has_result=self._outbox.has_result,
-            waiting=self._outbox.waiting,
+            waiting=self._outbox.pending_results,
             open_keys=self._open_keys,
         )
 
@@ -336,7 +336,7 @@
         keys = frozenset(opened.keys)
         for run in self._board.keep(keys):
             run.stop()
-        self._outbox.keep(keys)
+        self._outbox.retain(keys)
         whole = True
         for lot_id in self._board.unknown_lots(opened.keys):
             items = self._query(ReadOpenItems(lot_id), OpenItems)
@@ -380,7 +380,7 @@
             return
         for run in self._board.runs.values():
             if run.task is None and self._is_over(run.item) and not self._outbox.has_result(run):
-                self._outbox.dead(run, "its time is over")
+                self._outbox.give_up(run, "its time is over")
 
     def _start_runs(self, index: RouteIndex) -> None:
         """Start what is most urgent, as long as there is room for it."""
--- a/tests/unit/test_lots_item_stream.py
+++ b/tests/unit/test_lots_item_stream.py
@@ -22,7 +22,7 @@
     stream = ItemStream()
     stream.feed(EVENTS[:25])
     assert (stream.last_id, stream.is_between_events) == ("1", False)
-    stream.broken()
+    stream.discard_partial()
     stream.feed(b"id: 2\ndata: two\n\n")
     assert stream.text() == "one\ntwo"
 
@@ -54,5 +54,5 @@
 def test_what_the_group_has_is_not_kept() -> None:
     stream = ItemStream(recorded=3, last_id="3")
     stream.feed(b"id: 4\ndata: four\n\nid: 5\ndata: five\n\n")
-    stream.note_recorded(1)
+    stream.mark_recorded(1)
     assert (stream.recorded, stream.count, stream.text(), stream.last_id) == (4, 1, "five", "5")
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -182,7 +182,7 @@
         assert group.progress() == RecordedProgress(4, "4")
         for run in runs:
             feed(run, 5, EVENTS)
-            outbox.done(run)
+            outbox.complete(run)
         await record(outbox, runs)
         assert group.results() == {f"item-{n}": ("done", WHOLE_TEXT) for n in range(3)}
 
@@ -204,7 +204,7 @@
         (run,) = group.runs()
         outbox = Outbox(group)
         run.failures += 1
-        outbox.failed(run)
+        outbox.add_failure(run)
         group.late = True
         await outbox.record([run])
         group.late = False
@@ -236,7 +236,7 @@
         outbox = Outbox(group)
         for run in runs:
             feed(run, 1, EVENTS)
-            outbox.done(run)
+            outbox.complete(run)
         await outbox.record(runs)
         assert group.results() == {f"item-{n}": ("done", WHOLE_TEXT) for n in (0, 2)}
         # It is run again, from what the group has.
@@ -256,7 +256,7 @@
         for number, run in enumerate(runs):
             run.stream.feed(b"id: 1\ndata: %s\n\n" % (b"x" * size_bytes))
             if number < 5:
-                outbox.done(run)
+                outbox.complete(run)
         while not outbox.is_empty:
             await outbox.record(runs)
         assert len(group.results()) == 5
@@ -279,13 +279,13 @@
         for run in runs:
             feed(run, 1, EVENTS)
             run.failures += 1
-            outbox.failed(run)
-        outbox.done(runs[0])
+            outbox.add_failure(run)
+        outbox.complete(runs[0])
         await outbox.record(runs)
-        outbox.keep(frozenset(run.key for run in group.runs()))
+        outbox.retain(frozenset(run.key for run in group.runs()))
         assert not outbox.has_result(runs[0])
         assert not outbox.is_empty
-        outbox.keep(frozenset())
+        outbox.retain(frozenset())
         assert outbox.is_empty
 
     asyncio.run(play())
--- a/tests/unit/test_lots_outbox_refused.py
+++ b/tests/unit/test_lots_outbox_refused.py
@@ -41,13 +41,13 @@
         assert group.progress() == RecordedProgress(3, "3")
         group.late = True
         feed(run, 3, EVENTS)
-        outbox.done(run)
+        outbox.complete(run)
         for _ in range(5):
             await record(outbox, [run])
             # As the runner does every two seconds.
             opened = decode_reply(group.query_local(encode(ReadOpenKeys())), OpenKeys)
             assert isinstance(opened, OpenKeys)
-            outbox.keep(frozenset(opened.keys))
+            outbox.retain(frozenset(opened.keys))
         assert group.results() or not outbox.has_result(run), "neither listed nor to be run again"
 
     asyncio.run(play())
--- a/tests/unit/test_lots_progress_spec.py
+++ b/tests/unit/test_lots_progress_spec.py
@@ -162,7 +162,7 @@
 
     def _answer(self, command: Command) -> None:
         if command.outcome:
-            self._streams[command.store].note_recorded(len(command.pieces))
+            self._streams[command.store].mark_recorded(len(command.pieces))
 
     def _apply(self, command: SubmitLot | RecordRuns) -> Recorded | None:
         self._index += 1
