--- a/src/leverjunction/lots/gateway_loads.py
+++ b/src/leverjunction/lots/gateway_loads.py
@@ -71,8 +71,8 @@
 
     def expire(self, now_s: float) -> None:
         """Forget gateways that are silent."""
-        tellers = list(self._tellers.items())
-        for name, teller in tellers:
+        gateways = list(self._tellers.items())
+        for name, teller in gateways:
             if now_s - teller.heard_s > SILENT_S:
                 self._drop(name)
 
@@ -83,15 +83,15 @@
         self._held.clear()
 
     @property
-    def tellers(self) -> int:
+    def gateway_count(self) -> int:
         """Number of gateways that are heard."""
         return len(self._tellers)
 
-    def at_runner(self, runner_id: str) -> int:
+    def at_back_end(self, runner_id: str) -> int:
         """Return the online requests at a back end that gateways told of."""
         return self._runners[runner_id]
 
-    def held(self, service: str) -> int:
+    def waiting(self, service: str) -> int:
         """Return the online requests of a service that wait at gateways."""
         return self._held[service]
 
@@ -111,7 +111,7 @@
             word_bytes / SHARED_BYTES_PER_S,
         )
 
-    def interval_s(self) -> float:
+    def update_interval_s(self) -> float:
         """Return the pause that each gateway shall make between two words."""
         return len(self._tellers) / WORDS_PER_S
 
--- a/src/leverjunction/lots/load_listener.py
+++ b/src/leverjunction/lots/load_listener.py
@@ -92,7 +92,7 @@
         word_bytes = 0
         while True:
             await asyncio.sleep(self.loads.share_interval_s(word_bytes))
-            if self._wants() and self.loads.tellers:
+            if self._wants() and self.loads.gateway_count:
                 data = self._word()
                 word_bytes = len(data)
                 self._tell_all(data)
@@ -100,7 +100,7 @@
     def _word(self) -> bytes:
         order = self._order()
         wanted = LoadsWanted(
-            interval_s=self.loads.interval_s(),
+            interval_s=self.loads.update_interval_s(),
             for_s=WANTED_S,
             order=order.key,
             row=order.pack(self._totals()),
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -85,8 +85,8 @@
         loads.expire(now_s)
         for service, room in self._rooms.items():
             for key, seat in room.seats.items():
-                seat.tell(loads.at_runner(key), now_s)
-            room.hear(loads.tellers, loads.interval_s(), loads.held(service))
+                seat.tell(loads.at_back_end(key), now_s)
+            room.hear(loads.gateway_count, loads.update_interval_s(), loads.waiting(service))
             room.note(now_s)
 
     def online(self) -> dict[str, int]:
--- a/tests/unit/test_load_datagrams.py
+++ b/tests/unit/test_load_datagrams.py
@@ -83,16 +83,16 @@
 def test_a_change_reaches_the_leader_at_once() -> None:
     async def play() -> None:
         async with Pair() as pair:
-            await until(lambda: pair.listener.loads.tellers == 1)
+            await until(lambda: pair.listener.loads.gateway_count == 1)
             await asyncio.sleep(0.05)
             started_s = asyncio.get_running_loop().time()
             pair.port.runner_changed(seat(2))
             pair.port.held_changed("s", 3)
-            await until(lambda: pair.listener.loads.at_runner("i1") == 2)
+            await until(lambda: pair.listener.loads.at_back_end("i1") == 2)
             assert asyncio.get_running_loop().time() - started_s < 0.2
-            await until(lambda: pair.listener.loads.held("s") == 3)
+            await until(lambda: pair.listener.loads.waiting("s") == 3)
             pair.port.runner_changed(seat(0))
-            await until(lambda: pair.listener.loads.at_runner("i1") == 0)
+            await until(lambda: pair.listener.loads.at_back_end("i1") == 0)
 
     asyncio.run(play())
 
@@ -116,7 +116,7 @@
     async def play() -> None:
         async with Pair() as pair:
             pair.known = BackEndOrder(["i1", "i2", "i3"])
-            await until(lambda: pair.listener.loads.tellers == 1)
+            await until(lambda: pair.listener.loads.gateway_count == 1)
             await asyncio.sleep(0.2)
             assert pair.others == {}
             pair.order = pair.known
@@ -133,7 +133,7 @@
             await asyncio.sleep(0.2)
             assert pair.words == 0
             pair.has_work = True
-            await until(lambda: pair.listener.loads.at_runner("i1") == 1)
+            await until(lambda: pair.listener.loads.at_back_end("i1") == 1)
 
     asyncio.run(play())
 
@@ -142,7 +142,7 @@
     async def play() -> None:
         async with Pair(gateway_key=b"another") as pair:
             await asyncio.sleep(0.3)
-            assert (pair.words, pair.listener.loads.tellers) == (0, 0)
+            assert (pair.words, pair.listener.loads.gateway_count) == (0, 0)
 
     asyncio.run(play())
 
@@ -152,9 +152,9 @@
         async with Pair() as pair:
             second = LoadListener(KEY, lambda: True, lambda: None, dict, lambda: pair.order)
             await second.start(STORE)
-            assert second.loads.tellers == 0
+            assert second.loads.gateway_count == 0
             second.close()
-            await until(lambda: pair.listener.loads.tellers == 1)
+            await until(lambda: pair.listener.loads.gateway_count == 1)
 
     asyncio.run(play())
     assert any("no datagrams of gateways are heard" in line for line in lines)
--- a/tests/unit/test_lots_gateway_loads.py
+++ b/tests/unit/test_lots_gateway_loads.py
@@ -30,38 +30,38 @@
 
 
 def test_counts_of_all_gateways_add_up(loads: GatewayLoads) -> None:
-    assert (loads.at_runner("i1"), loads.at_runner("i2"), loads.at_runner("i3")) == (5, 1, 0)
-    assert (loads.held("s"), loads.tellers) == (1, 2)
+    assert (loads.at_back_end("i1"), loads.at_back_end("i2"), loads.at_back_end("i3")) == (5, 1, 0)
+    assert (loads.waiting("s"), loads.gateway_count) == (1, 2)
 
 
 def test_a_change_leaves_other_back_ends_as_they_were(loads: GatewayLoads) -> None:
     loads.take(word("a", i1=0), 1, GATEWAY, 10.1)
-    assert (loads.at_runner("i1"), loads.at_runner("i2"), loads.held("s")) == (3, 1, 0)
+    assert (loads.at_back_end("i1"), loads.at_back_end("i2"), loads.waiting("s")) == (3, 1, 0)
 
 
 def test_a_whole_word_makes_a_lost_change_good(loads: GatewayLoads) -> None:
     loads.take(word("a", whole=True, i2=4), 1, GATEWAY, 10.5)
-    assert (loads.at_runner("i1"), loads.at_runner("i2")) == (3, 4)
+    assert (loads.at_back_end("i1"), loads.at_back_end("i2")) == (3, 4)
 
 
 def test_a_silent_gateway_is_not_counted(loads: GatewayLoads) -> None:
     loads.take(word("b", i1=3), 1, GATEWAY, 11.0)
     loads.expire(10.0 + SILENT_S + 0.1)
-    assert (loads.at_runner("i1"), loads.at_runner("i2"), loads.tellers) == (3, 0, 1)
+    assert (loads.at_back_end("i1"), loads.at_back_end("i2"), loads.gateway_count) == (3, 0, 1)
 
 
 def test_a_word_from_before_a_restart_changes_nothing(loads: GatewayLoads) -> None:
     loads.take(word("a", i1=1), 2, GATEWAY, 10.2)
-    assert (loads.at_runner("i1"), loads.at_runner("i2")) == (4, 0)
+    assert (loads.at_back_end("i1"), loads.at_back_end("i2")) == (4, 0)
     loads.take(word("a", i1=9), 1, GATEWAY, 10.3)
-    assert loads.at_runner("i1") == 4
+    assert loads.at_back_end("i1") == 4
 
 
 def test_many_gateways_tell_less_often(loads: GatewayLoads) -> None:
-    assert loads.interval_s() == 2 / WORDS_PER_S
+    assert loads.update_interval_s() == 2 / WORDS_PER_S
     for number in range(338):
         loads.take(word(f"g{number}"), 1, GATEWAY, 10.0)
-    assert loads.interval_s() == pytest.approx(0.34)
+    assert loads.update_interval_s() == pytest.approx(0.34)
 
 
 def test_each_gateway_that_is_heard_is_told(loads: GatewayLoads) -> None:
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -31,7 +31,7 @@
 WHOLE_TEXT = "\n".join(f"event {number}" for number in range(1, EVENTS + 1))
 
 
-class LateGroup:
+class SingleReplicaGroup:
     """A group of one replica that commits all, and tells the proposer so or not.
 
     Attributes:
@@ -125,8 +125,8 @@
     )
 
 
-def submitted(count: int) -> LateGroup:
-    group = LateGroup()
+def submitted(count: int) -> SingleReplicaGroup:
+    group = SingleReplicaGroup()
     lot = SubmitLot(
         lot_id="lot",
         host="h",
--- a/tests/unit/test_lots_pulse.py
+++ b/tests/unit/test_lots_pulse.py
@@ -7,7 +7,7 @@
 
 import pytest
 from tests.unit.seeded_support import wait_until
-from tests.unit.test_lots_outbox import LateGroup
+from tests.unit.test_lots_outbox import SingleReplicaGroup
 
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.api import GroupStatus
@@ -33,7 +33,7 @@
     assert pulse.look(500.0) == 1.0
 
 
-class StuckGroup(LateGroup):
+class StuckGroup(SingleReplicaGroup):
     """A group whose status is not told until it is let go."""
 
     def __init__(self) -> None:
