--- a/src/leverjunction/lots/commands.py
+++ b/src/leverjunction/lots/commands.py
@@ -1,4 +1,7 @@
-"""Commands and queries of the group that keeps lots (batch jobs of opaque items)."""
+"""Commands and queries of the replicated group that stores lots.
+
+A lot is a batch job of opaque items; each item is one HTTP request to a back end.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class ItemState(StrEnum):
-    """How an item ended."""
+    """Final state of an item: its output is complete (``DONE``) or it was given up (``DEAD``)."""
 
     DONE = "done"
     DEAD = "dead"
@@ -18,11 +21,11 @@
     """One item as it was submitted.
 
     Attributes:
-        item_id: Unique in its lot; also the id of the request that runs it.
+        item_id: Unique within the lot; also the id of the request that runs the item.
         path: Path of that request.
-        headers: Its header fields.
-        body: Its body.
-        tokens: Prompt and longest answer together.
+        headers: Header fields of that request.
+        body: Body of that request.
+        tokens: Upper bound of prompt and answer tokens together.
     """
 
     item_id: str
@@ -33,16 +36,16 @@
 
 
 class SubmitLot(msgspec.Struct, frozen=True, kw_only=True, tag="submit_lot"):
-    """Take a lot; one with the same id that is here already is left as it is.
+    """Command to store a lot. A lot whose id is already stored is left unchanged.
 
     Attributes:
-        lot_id: The caller's id.
-        host: Host of its route; its items' requests name it.
-        path: Path that it was sent to.
-        max_attempts: Failed runs after which an item is given up.
-        give_up_s: Time after which an item may be given up.
-        due_ms: Time in which all items are due.
-        items: At least one.
+        lot_id: Id chosen by the caller.
+        host: Host of the lot's route, sent as the host of its items' requests.
+        path: Path of the request that submitted the lot.
+        max_attempts: Number of failed runs after which an item is given up.
+        give_up_s: Seconds after acceptance from which an item may be given up; 0 for never.
+        due_ms: Milliseconds after acceptance within which all items are due.
+        items: The items, at least one.
     """
 
     lot_id: str
@@ -55,11 +58,14 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True, kw_only=True):
-    """How one item ended.
+    """Result of one item.
 
     Attributes:
-        text: Its output when it is done, without the events that the group has already.
-        start: Number of events that the group has already.
+        lot_id: The item's lot.
+        item_id: The item.
+        state: Final state of the item.
+        text: Output of a completed item, without the events that are recorded already.
+        start: Number of events that are recorded already.
         count: Number of events in ``text``.
     """
 
@@ -72,13 +78,15 @@
 
 
 class ItemProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Events of an item that is not done yet: another store goes on behind them.
+    """Events of an unfinished item, recorded so that another store can continue after them.
 
     Attributes:
-        start: Number of events that the group has already.
+        lot_id: The item's lot.
+        item_id: The item.
+        start: Number of events that are recorded already.
         count: Number of events in ``text``.
-        last_id: Id of the last one of them.
-        text: Their data, separated by line feeds.
+        last_id: Id of the last event in ``text``.
+        text: Data of the events, separated by line feeds.
     """
 
     lot_id: str
@@ -90,11 +98,13 @@
 
 
 class ItemFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """A run of an item failed at a back end.
+    """A failed run of an item at a back end.
 
     Attributes:
-        failures: Its failed runs so far, this one included: the same however often it is sent. 0
-            in commands of older processes, which count one more.
+        lot_id: The item's lot.
+        item_id: The item.
+        failures: Number of failed runs of the item so far, this one included, so that repeating the
+            command changes nothing. 0 in commands of older versions, which add one.
     """
 
     lot_id: str
@@ -103,12 +113,15 @@
 
 
 class RecordRuns(msgspec.Struct, frozen=True, kw_only=True, tag="record_runs"):
-    """List results, first ones only, count failed runs, and keep what unfinished ones have.
+    """Command to store results (the first per item), failed runs and progress of unfinished items.
 
     Attributes:
-        repeats: Events may be among them that an earlier command of unknown outcome has brought
-            already, and each part is taken or refused by itself. Commands of older processes lack
-            it and are applied as they were then.
+        results: Results of items that ended.
+        failures: Failed runs.
+        progress: New events of unfinished items.
+        repeats: True when the command may repeat events of an earlier command of unknown outcome.
+            Each part is then accepted or rejected on its own. Commands of older versions lack this
+            field and are applied without these rules, as those versions did.
     """
 
     results: tuple[ItemResult, ...] = ()
@@ -118,19 +131,29 @@
 
 
 class EndLot(msgspec.Struct, frozen=True, tag="end_lot"):
-    """The caller ends a lot: nothing of it runs any more, what is listed stays."""
+    """Command to end a lot at the caller's request: open items are dropped, results are kept."""
 
     lot_id: str
 
 
 class ForgetLots(msgspec.Struct, frozen=True, tag="forget_lots"):
-    """Drop lots that are complete or ended and older than a time of the leader's clock."""
+    """Command to delete lots that are complete or ended.
+
+    Attributes:
+        before_ms: Only lots accepted before this time of the leader's clock are deleted.
+    """
 
     before_ms: int
 
 
 class ReadResults(msgspec.Struct, frozen=True, tag="read_results"):
-    """Read results from a position on; at least one if there is any."""
+    """Query for a page of results.
+
+    Attributes:
+        lot_id: The lot.
+        after: Position of the first result to return.
+        most_bytes: Bound on the text of the page; one result is returned even if it is longer.
+    """
 
     lot_id: str
     after: int
@@ -138,23 +161,23 @@
 
 
 class ReadBody(msgspec.Struct, frozen=True, tag="read_body"):
-    """Read the body of an item that is not listed yet."""
+    """Query for the body of an item that has no result yet."""
 
     lot_id: str
     item_id: str
 
 
 class ReadProgress(msgspec.Struct, frozen=True, tag="read_progress"):
-    """Read how many events of an item the group has."""
+    """Query for the number of recorded events of an item."""
 
     lot_id: str
     item_id: str
 
 
 class ReadRefused(msgspec.Struct, frozen=True, kw_only=True, tag="read_refused"):
-    """Read which results and progress would be refused now.
+    """Query for the results and progress that would be rejected now.
 
-    Events here are only added to, so what does not follow on them never will.
+    Recorded events are only appended to, so a part that is rejected now is rejected later too.
     """
 
     results: tuple[ItemResult, ...] = ()
@@ -162,11 +185,11 @@
 
 
 class ReadOpenKeys(msgspec.Struct, frozen=True, tag="read_open_keys"):
-    """Read which items are to be run."""
+    """Query for the keys of all open items (items that are still to be run)."""
 
 
 class ReadOpenItems(msgspec.Struct, frozen=True, tag="read_open_items"):
-    """Read what is to be run of one lot, or of all of them, without the bodies."""
+    """Query for the open items of one lot, or of all lots when the id is empty, without bodies."""
 
     lot_id: str = ""
 
@@ -176,12 +199,12 @@
 
 
 def encode_command(command: LotCommand) -> bytes:
-    """Return a command's bytes; bodies are binary, so text would make them a third longer."""
+    """Encode a command as MessagePack: in JSON its binary bodies would be a third longer."""
     return msgspec.msgpack.encode(command)
 
 
 class LotAccepted(msgspec.Struct, frozen=True):
-    """Reply to ``SubmitLot`` and ``EndLot``."""
+    """Reply to ``SubmitLot`` and ``EndLot``: the command was applied to this lot."""
 
     lot_id: str
 
@@ -190,8 +213,8 @@
     """Reply to ``RecordRuns`` and ``ForgetLots``.
 
     Attributes:
-        count: How many rows changed.
-        rejected: Items (lot and item) whose events did not follow on those that the group has.
+        count: Number of parts (results, failures, progress) or lots that changed the state.
+        rejected: Keys (lot id and item id) of the items whose part was rejected.
     """
 
     count: int
@@ -199,14 +222,19 @@
 
 
 class RecordedProgress(msgspec.Struct, frozen=True):
-    """Reply to ``ReadProgress``: number of events, and the id of the last one."""
+    """Reply to ``ReadProgress``: number of recorded events, and the id of the last one."""
 
     count: int = 0
     last_id: str = ""
 
 
 class ResultsPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Reply to ``ReadResults``: items of the lot, and results from the position asked for on."""
+    """Reply to ``ReadResults``.
+
+    Attributes:
+        total: Number of items in the lot.
+        results: Results from the requested position on.
+    """
 
     total: int
     results: tuple[ItemResult, ...]
@@ -219,11 +247,13 @@
 
 
 class OpenItem(msgspec.Struct, frozen=True, kw_only=True):
-    """One item that is to be run.
+    """One open item, with the settings of its lot.
+
+    The fields are those of ``SubmitLot`` and ``LotItem``, and two more.
 
     Attributes:
-        accepted_ms: When its lot was accepted, by the then leader's clock.
-        failures: Runs that failed at a back end so far.
+        accepted_ms: Time at which the lot was accepted, by the clock of the leader at that time.
+        failures: Number of runs that have failed at a back end so far.
     """
 
     lot_id: str
@@ -240,18 +270,18 @@
 
 
 class OpenItems(msgspec.Struct, frozen=True):
-    """Reply to ``ReadOpenItems``, the ones that are due first in front."""
+    """Reply to ``ReadOpenItems``, ordered by the time at which the items are due."""
 
     items: tuple[OpenItem, ...]
 
 
-class Refused(msgspec.Struct, frozen=True):
-    """Reply to ``ReadRefused``: lot and item of each."""
+class RefusedItems(msgspec.Struct, frozen=True):
+    """Reply to ``ReadRefused``: keys (lot id and item id) of the items that would be rejected."""
 
     keys: tuple[tuple[str, str], ...]
 
 
 class OpenKeys(msgspec.Struct, frozen=True):
-    """Reply to ``ReadOpenKeys``: lot and item of each."""
+    """Reply to ``ReadOpenKeys``: keys (lot id and item id) of the open items."""
 
     keys: tuple[tuple[str, str], ...]
--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -220,9 +220,9 @@
 
     def _applied(self, machine: LotsStateMachine, replaced: bool) -> None:
         """Pass on that other items may be open now; cleared only once the runner knows."""
-        if self._runner is not None and (replaced or machine.open_changed):
+        if self._runner is not None and (replaced or machine.open_items_changed):
             self._runner.changed()
-            machine.open_changed = False
+            machine.open_items_changed = False
 
     def _endpoint(self) -> RpcEndpoint:
         endpoint = RpcEndpoint(CLUSTER_KEY, self._clock.wall_ms())
--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -18,7 +18,7 @@
     ReadRefused,
     Recorded,
     RecordRuns,
-    Refused,
+    RefusedItems,
     encode_command,
 )
 from leverjunction.lots.item_run import ItemKey, ItemRun
@@ -141,7 +141,7 @@
         lead = self._lead
         loop = asyncio.get_running_loop()
         raw = await loop.run_in_executor(None, self._group.query_local, encode(parts))
-        refused = decode_reply(raw, Refused)
+        refused = decode_reply(raw, RefusedItems)
         if isinstance(refused, Failure):
             logger.warning("what the group refuses is not known: {}", refused.reason)
             return
--- a/src/leverjunction/lots/progress_rows.py
+++ b/src/leverjunction/lots/progress_rows.py
@@ -1,9 +1,9 @@
-"""Events of items that are not done yet, in the state machine's tables.
+"""Recorded events of unfinished items, kept in a table of the lots state machine.
 
-Rows are only added, each behind the ones before. Events that do not follow on what is here come
-from a run that did not go on from there, so they are refused: the pieces of two runs are never
-joined. A sender that does not know the outcome of its last command repeats events; those that
-are here already, word for word, are passed over.
+While an item is unfinished its rows are only appended: each holds the events that follow those of
+the row before it. Events that do not continue the recorded ones come from a different run and are
+rejected, so that the output of two runs is never mixed. A sender that does not know the outcome of
+its last command repeats events; repeated events that equal the recorded ones are skipped.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from leverjunction.lots.commands import ItemProgress, ItemResult, RecordedProgress
 
-TABLE = """
+SCHEMA = """
 CREATE TABLE IF NOT EXISTS sm_lot_part (
     lot TEXT NOT NULL, item TEXT NOT NULL, start INTEGER NOT NULL, count INTEGER NOT NULL,
     last_id TEXT NOT NULL, text TEXT NOT NULL, PRIMARY KEY (lot, item, start)
@@ -20,8 +20,10 @@
 """
 
 
-def known(connection: sqlite3.Connection, lot_id: str, item_id: str) -> RecordedProgress:
-    """Return how many events of an item are here."""
+def recorded_progress(
+    connection: sqlite3.Connection, lot_id: str, item_id: str
+) -> RecordedProgress:
+    """Return how many events of an item are recorded, and the id of the last one."""
     row = connection.execute(
         "SELECT start + count, last_id FROM sm_lot_part WHERE lot = ? AND item = ?"
         " ORDER BY start DESC LIMIT 1",
@@ -31,39 +33,39 @@
 
 
 def append(connection: sqlite3.Connection, progress: ItemProgress, repeats: bool) -> bool:
-    """Add events of an open item; return whether they follow on what is here.
+    """Append events of an open item; return whether they continue the recorded ones.
 
     Args:
-        connection: Has the tables.
+        connection: Connection to the database with the state machine's tables.
         progress: The events.
-        repeats: Whether the first ones may be here already.
+        repeats: Whether the first of the events may be recorded already.
     """
-    here = known(connection, progress.lot_id, progress.item_id).count
-    text = _rest(connection, progress, here, repeats)
+    recorded_count = recorded_progress(connection, progress.lot_id, progress.item_id).count
+    text = _new_text(connection, progress, recorded_count, repeats)
     if text is None:
         return False
-    count = progress.start + progress.count - here
+    count = progress.start + progress.count - recorded_count
     if not count:
         return True
     connection.execute(
         "INSERT INTO sm_lot_part VALUES (?, ?, ?, ?, ?, ?)",
-        (progress.lot_id, progress.item_id, here, count, progress.last_id, text),
+        (progress.lot_id, progress.item_id, recorded_count, count, progress.last_id, text),
     )
     return True
 
 
-def whole_text(connection: sqlite3.Connection, result: ItemResult, repeats: bool) -> str | None:
-    """Return the whole output of an item, None when the result does not follow on what is here.
+def full_output(connection: sqlite3.Connection, result: ItemResult, repeats: bool) -> str | None:
+    """Return the full output of an item, or None when the result does not continue its events.
 
     Args:
-        connection: Has the tables.
-        result: How the item ended.
-        repeats: Whether the first ones of its events may be here already.
+        connection: Connection to the database with the state machine's tables.
+        result: Result of the item, with the events that were not recorded before.
+        repeats: Whether the first of its events may be recorded already.
     """
     if result.start == 0:
         return result.text
-    here = known(connection, result.lot_id, result.item_id).count
-    if _rest(connection, result, here, repeats) is None:
+    recorded_count = recorded_progress(connection, result.lot_id, result.item_id).count
+    if _new_text(connection, result, recorded_count, repeats) is None:
         return None
     texts = [
         text
@@ -77,52 +79,62 @@
     return "\n".join(texts)
 
 
-def follows(connection: sqlite3.Connection, part: ItemProgress | ItemResult) -> bool:
-    """Return whether a part that may repeat events would be taken."""
+def is_acceptable(connection: sqlite3.Connection, part: ItemProgress | ItemResult) -> bool:
+    """Return whether the state machine would accept a part whose events may be repeated."""
     if isinstance(part, ItemResult) and part.start == 0:
         return True
-    here = known(connection, part.lot_id, part.item_id).count
-    return _rest(connection, part, here, repeats=True) is not None
+    recorded_count = recorded_progress(connection, part.lot_id, part.item_id).count
+    return _new_text(connection, part, recorded_count, repeats=True) is not None
 
 
-def _rest(
-    connection: sqlite3.Connection, part: ItemProgress | ItemResult, here: int, repeats: bool
+def _new_text(
+    connection: sqlite3.Connection,
+    part: ItemProgress | ItemResult,
+    recorded_count: int,
+    repeats: bool,
 ) -> str | None:
-    """Return what a part adds to the events here, None when it does not follow on them."""
-    if here == part.start:
+    """Return the text that a part adds to the recorded events, None when it does not continue them.
+
+    Args:
+        connection: Connection to the database with the state machine's tables.
+        part: Events of an unfinished item, or its result.
+        recorded_count: Number of recorded events of the item.
+        repeats: Whether the first of the part's events may be recorded already.
+    """
+    if recorded_count == part.start:
         return part.text
-    return _unrepeated(connection, part, here) if repeats else None
+    return _text_after_repeats(connection, part, recorded_count) if repeats else None
 
 
-def _unrepeated(
-    connection: sqlite3.Connection, part: ItemProgress | ItemResult, here: int
+def _text_after_repeats(
+    connection: sqlite3.Connection, part: ItemProgress | ItemResult, recorded_count: int
 ) -> str | None:
-    """Return what a part adds to the events here, None unless it begins with just those.
+    """Return the text that follows the repeated events of a part, or None if they differ.
 
     Args:
-        connection: Has the tables.
-        part: Begins before the end of what is here.
-        here: Number of events that are here.
+        connection: Connection to the database with the state machine's tables.
+        part: Starts at another event than the next one to be recorded.
+        recorded_count: Number of recorded events of the item.
     """
     rows = connection.execute(
         "SELECT start, text FROM sm_lot_part WHERE lot = ? AND item = ? AND start >= ?"
         " ORDER BY start",
         (part.lot_id, part.item_id, part.start),
     ).fetchall()
-    if not rows or rows[0][0] != part.start or here > part.start + part.count:
+    if not rows or rows[0][0] != part.start or recorded_count > part.start + part.count:
         return None
     repeated = "\n".join(text for _, text in rows)
-    if here == part.start + part.count:
+    if recorded_count == part.start + part.count:
         return "" if part.text == repeated else None
     repeated += "\n"
     return part.text[len(repeated) :] if part.text.startswith(repeated) else None
 
 
-def forget_item(connection: sqlite3.Connection, lot_id: str, item_id: str) -> None:
-    """Drop the events of an item that is listed."""
+def delete_item(connection: sqlite3.Connection, lot_id: str, item_id: str) -> None:
+    """Delete the recorded events of an item that has a result."""
     connection.execute("DELETE FROM sm_lot_part WHERE lot = ? AND item = ?", (lot_id, item_id))
 
 
-def forget_lot(connection: sqlite3.Connection, lot_id: str) -> None:
-    """Drop the events of a lot that is over."""
+def delete_lot(connection: sqlite3.Connection, lot_id: str) -> None:
+    """Delete the recorded events of all items of a lot."""
     connection.execute("DELETE FROM sm_lot_part WHERE lot = ?", (lot_id,))
--- a/src/leverjunction/lots/state_machine.py
+++ b/src/leverjunction/lots/state_machine.py
@@ -1,11 +1,13 @@
-"""Replicated state machine of the group that keeps lots.
+"""Replicated state machine that stores lots and the results of their items.
 
-State is kept in SQLite tables, written inside the group's own transaction. The rules:
+A lot is a batch job of opaque items: each item is one HTTP request whose output is kept as text.
+State is stored in SQLite tables, written in the transaction that applies the log entry. Invariants:
 
-* A lot is taken once, whatever is resent.
-* The first result of an item stands, at a position that never changes; later ones are dropped.
-* After its end a lot gets no more results.
-* Events of unfinished items are kept for the next leader (``progress_rows``).
+* Submitting a lot is idempotent: a lot whose id is already stored is left unchanged.
+* The first result of an item is final and keeps its position; later results are ignored.
+* A lot that has ended accepts no more results.
+* Events of unfinished items are stored so that the next leader can continue the item
+  (``progress_rows``).
 """
 
 from __future__ import annotations
@@ -57,22 +59,22 @@
 
 
 class LotsStateMachine:
-    """State machine of a group of lots (``consensus.api.StateMachine``).
+    """State machine of the lots group (implements ``consensus.api.StateMachine``).
 
     Attributes:
-        open_changed: Set when a command may have changed which items are open; whoever is told of
-            applied commands clears it.
+        open_items_changed: Set when a command may have changed the set of open items. The listener
+            for applied commands clears it.
     """
 
-    __slots__ = ("open_changed",)
+    __slots__ = ("open_items_changed",)
 
     def __init__(self) -> None:
-        self.open_changed = False
+        self.open_items_changed = False
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
         """Create the tables if they are missing."""
         create_missing(connection, _TABLES)
-        create_missing(connection, progress_rows.TABLE)
+        create_missing(connection, progress_rows.SCHEMA)
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
         """Apply one committed command and return its encoded reply."""
@@ -81,15 +83,15 @@
         except msgspec.MsgspecError as error:
             return encode_reply(not_decoded("lots", error, Step.APPLYING))
         if isinstance(decoded, commands.SubmitLot):
-            reply: msgspec.Struct = _submit(connection, context, decoded)
+            reply: msgspec.Struct = _submit_lot(connection, context, decoded)
         elif isinstance(decoded, commands.RecordRuns):
-            reply = _record(connection, decoded)
+            reply = _record_runs(connection, decoded)
         elif isinstance(decoded, commands.EndLot):
-            reply = _end(connection, decoded)
+            reply = _end_lot(connection, decoded)
         else:
-            reply = _forget(connection, decoded)
+            reply = _delete_old_lots(connection, decoded)
         if _changes_open_items(decoded):
-            self.open_changed = True
+            self.open_items_changed = True
         return encode_reply(reply)
 
     def query(self, connection: sqlite3.Connection, query: bytes) -> bytes:
@@ -99,28 +101,30 @@
         except msgspec.MsgspecError as error:
             return encode_reply(not_decoded("lots", error, Step.QUERYING))
         if isinstance(decoded, commands.ReadResults):
-            return encode_reply(_results(connection, decoded))
+            return encode_reply(_read_results(connection, decoded))
         if isinstance(decoded, commands.ReadBody):
-            return encode_reply(_body(connection, decoded))
+            return encode_reply(_read_body(connection, decoded))
         if isinstance(decoded, commands.ReadProgress):
-            return encode_reply(progress_rows.known(connection, decoded.lot_id, decoded.item_id))
+            return encode_reply(
+                progress_rows.recorded_progress(connection, decoded.lot_id, decoded.item_id)
+            )
         if isinstance(decoded, commands.ReadRefused):
-            return encode_reply(_refused(connection, decoded))
+            return encode_reply(_read_refused(connection, decoded))
         if isinstance(decoded, commands.ReadOpenKeys):
-            return encode_reply(_open_keys(connection))
-        return encode_reply(_open_items(connection, decoded.lot_id))
+            return encode_reply(_read_open_keys(connection))
+        return encode_reply(_read_open_items(connection, decoded.lot_id))
 
 
 def _changes_open_items(command: commands.LotCommand) -> bool:
-    """Return whether a command may change which items are open; progress alone does not."""
+    """Return whether a command may change the set of open items; progress and failures do not."""
     return not isinstance(command, commands.RecordRuns) or bool(command.results)
 
 
-def _submit(
+def _submit_lot(
     connection: sqlite3.Connection, context: ApplyContext, lot: commands.SubmitLot
 ) -> commands.LotAccepted:
-    known = connection.execute("SELECT 1 FROM sm_lot WHERE lot = ?", (lot.lot_id,)).fetchone()
-    if known is not None:
+    existing = connection.execute("SELECT 1 FROM sm_lot WHERE lot = ?", (lot.lot_id,)).fetchone()
+    if existing is not None:
         return commands.LotAccepted(lot.lot_id)
     connection.execute(
         "INSERT INTO sm_lot VALUES (?, ?, ?, ?, ?, ?, 0, ?, 0)",
@@ -145,22 +149,22 @@
     return commands.LotAccepted(lot.lot_id)
 
 
-def _record(connection: sqlite3.Connection, runs: commands.RecordRuns) -> commands.Recorded:
+def _record_runs(connection: sqlite3.Connection, runs: commands.RecordRuns) -> commands.Recorded:
     count = 0
     rejected: list[tuple[str, str]] = []
     for part in runs.progress:
         if not _is_open(connection, part.lot_id, part.item_id):
             continue
-        append = partial(progress_rows.append, connection, part, runs.repeats)
-        if _is_taken(connection, append, runs):
+        append_progress = partial(progress_rows.append, connection, part, runs.repeats)
+        if _apply_part(connection, append_progress, runs):
             count += 1
         else:
             rejected.append((part.lot_id, part.item_id))
     for result in runs.results:
         if not _is_open(connection, result.lot_id, result.item_id):
             continue
-        listed = partial(_list_result, connection, result, runs.repeats)
-        if _is_taken(connection, listed, runs):
+        insert_result = partial(_insert_result, connection, result, runs.repeats)
+        if _apply_part(connection, insert_result, runs):
             count += 1
         else:
             rejected.append((result.lot_id, result.item_id))
@@ -169,29 +173,42 @@
     return commands.Recorded(count, tuple(rejected))
 
 
-def _is_taken(
-    connection: sqlite3.Connection, take: Callable[[], bool], runs: commands.RecordRuns
+def _apply_part(
+    connection: sqlite3.Connection, apply_one: Callable[[], bool], runs: commands.RecordRuns
 ) -> bool:
-    """Take one item's part; one that cannot be taken is refused and changes nothing."""
+    """Apply one item's part of a command and return whether it was accepted.
+
+    A part that raises is rolled back and rejected.
+
+    Args:
+        connection: Open inside the transaction of the log entry.
+        apply_one: Applies the part and returns whether it was accepted.
+        runs: The command that contains the part.
+
+    Raises:
+        Exception: The database itself failed, or the command was written before parts were
+            isolated (``repeats`` is false).
+    """
     if not runs.repeats:
-        return take()
+        return apply_one()
     connection.execute("SAVEPOINT part")
     try:
-        taken = take()
+        accepted = apply_one()
     except Exception as error:
         if is_of_the_database(error):
-            # Not the part's fault: other replicas may take it.
+            # A fault of this replica's database: other replicas may accept the part.
             raise
-        # The parts of other items must not share its fate, now and each time they come again.
-        logger.exception("a part of what runs brought cannot be taken")
+        # Without the savepoint one bad part would fail the whole command, and the sender would
+        # repeat the same parts without end.
+        logger.exception("rejected one item's part of a record_runs command: applying it failed")
         connection.execute("ROLLBACK TO part")
-        taken = False
+        accepted = False
     connection.execute("RELEASE part")
-    return taken
+    return accepted
 
 
 def _is_open(connection: sqlite3.Connection, lot_id: str, item_id: str) -> bool:
-    """Return whether an item is to be run; one that is listed or ended has no row any more."""
+    """Return whether an item is still to be run; its row is deleted with its result or its lot."""
     row = connection.execute(
         "SELECT 1 FROM sm_lot_item WHERE lot = ? AND item = ?", (lot_id, item_id)
     ).fetchone()
@@ -199,8 +216,9 @@
 
 
 def _count_failure(connection: sqlite3.Connection, failure: commands.ItemFailure) -> int:
-    """Count a failed run of an open item; return how many rows changed."""
-    # A number, not one more: a command of unknown outcome comes again.
+    """Store the number of failed runs of an open item; return how many rows changed."""
+    # The command carries the total, not an increment, because a command whose outcome is unknown
+    # is sent again. Commands without a total (0) come from older versions and add one.
     cursor = connection.execute(
         "UPDATE sm_lot_item SET failures = CASE WHEN ?1 THEN max(failures, ?1) ELSE failures + 1"
         " END WHERE lot = ?2 AND item = ?3",
@@ -209,15 +227,15 @@
     return cursor.rowcount
 
 
-def _list_result(connection: sqlite3.Connection, result: ItemResult, repeats: bool) -> bool:
-    """List the first result of an open item; return whether it follows on what is here."""
-    text = progress_rows.whole_text(connection, result, repeats)
+def _insert_result(connection: sqlite3.Connection, result: ItemResult, repeats: bool) -> bool:
+    """Store the result of an open item; return whether it continues the recorded events."""
+    text = progress_rows.full_output(connection, result, repeats)
     if text is None:
         return False
     key = (result.lot_id, result.item_id)
     connection.execute("DELETE FROM sm_lot_item WHERE lot = ? AND item = ?", key)
     connection.execute("DELETE FROM sm_lot_body WHERE lot = ? AND item = ?", key)
-    progress_rows.forget_item(connection, *key)
+    progress_rows.delete_item(connection, *key)
     connection.execute(
         "INSERT INTO sm_lot_result SELECT lot, listed, ?, ?, ? FROM sm_lot WHERE lot = ?",
         (result.item_id, result.state.value, text, result.lot_id),
@@ -226,35 +244,39 @@
     return True
 
 
-def _end(connection: sqlite3.Connection, end: commands.EndLot) -> commands.LotAccepted | Failure:
+def _end_lot(
+    connection: sqlite3.Connection, end: commands.EndLot
+) -> commands.LotAccepted | Failure:
     cursor = connection.execute("UPDATE sm_lot SET ended = 1 WHERE lot = ?", (end.lot_id,))
     if cursor.rowcount == 0:
-        return _no_lot(end.lot_id, Step.APPLYING)
-    # Nothing of it runs any more, so nobody needs the bodies.
+        return _lot_not_found(end.lot_id, Step.APPLYING)
+    # No item of the lot will run again, so the bodies are not needed.
     connection.execute("DELETE FROM sm_lot_body WHERE lot = ?", (end.lot_id,))
     connection.execute("DELETE FROM sm_lot_item WHERE lot = ?", (end.lot_id,))
-    progress_rows.forget_lot(connection, end.lot_id)
+    progress_rows.delete_lot(connection, end.lot_id)
     return commands.LotAccepted(end.lot_id)
 
 
-def _forget(connection: sqlite3.Connection, old: commands.ForgetLots) -> commands.Recorded:
+def _delete_old_lots(
+    connection: sqlite3.Connection, command: commands.ForgetLots
+) -> commands.Recorded:
     rows = connection.execute(
         "SELECT lot FROM sm_lot WHERE accepted_ms < ? AND (ended = 1 OR listed = total)",
-        (old.before_ms,),
+        (command.before_ms,),
     ).fetchall()
     for (lot,) in rows:
         for table in ("sm_lot", "sm_lot_item", "sm_lot_body", "sm_lot_result"):
             connection.execute(f"DELETE FROM {table} WHERE lot = ?", (lot,))
-        progress_rows.forget_lot(connection, lot)
+        progress_rows.delete_lot(connection, lot)
     return commands.Recorded(len(rows))
 
 
-def _results(
+def _read_results(
     connection: sqlite3.Connection, query: commands.ReadResults
 ) -> commands.ResultsPage | Failure:
     lot = connection.execute("SELECT total FROM sm_lot WHERE lot = ?", (query.lot_id,)).fetchone()
     if lot is None:
-        return _no_lot(query.lot_id, Step.QUERYING)
+        return _lot_not_found(query.lot_id, Step.QUERYING)
     results: list[ItemResult] = []
     size_bytes = 0
     for item, state, text in connection.execute(
@@ -271,32 +293,36 @@
     return commands.ResultsPage(total=lot[0], results=tuple(results))
 
 
-def _body(connection: sqlite3.Connection, query: commands.ReadBody) -> commands.ItemBody | Failure:
+def _read_body(
+    connection: sqlite3.Connection, query: commands.ReadBody
+) -> commands.ItemBody | Failure:
     row = connection.execute(
         "SELECT body FROM sm_lot_body WHERE lot = ? AND item = ?", (query.lot_id, query.item_id)
     ).fetchone()
     if row is None:
-        return _no_lot(f"{query.lot_id}, item {query.item_id}", Step.QUERYING)
+        return _lot_not_found(f"{query.lot_id}, item {query.item_id}", Step.QUERYING)
     return commands.ItemBody(row[0])
 
 
-def _refused(connection: sqlite3.Connection, parts: commands.ReadRefused) -> commands.Refused:
-    brought: list[commands.ItemProgress | ItemResult] = [*parts.progress, *parts.results]
+def _read_refused(
+    connection: sqlite3.Connection, parts: commands.ReadRefused
+) -> commands.RefusedItems:
+    candidates: list[commands.ItemProgress | ItemResult] = [*parts.progress, *parts.results]
     keys = {
         (part.lot_id, part.item_id): None
-        for part in brought
+        for part in candidates
         if _is_open(connection, part.lot_id, part.item_id)
-        and not progress_rows.follows(connection, part)
+        and not progress_rows.is_acceptable(connection, part)
     }
-    return commands.Refused(tuple(keys))
+    return commands.RefusedItems(tuple(keys))
 
 
-def _open_keys(connection: sqlite3.Connection) -> commands.OpenKeys:
-    # Items of an ended lot have no rows.
+def _read_open_keys(connection: sqlite3.Connection) -> commands.OpenKeys:
+    # Ending a lot deletes its item rows, so no filter on the lot is needed.
     return commands.OpenKeys(tuple(connection.execute("SELECT lot, item FROM sm_lot_item")))
 
 
-def _open_items(connection: sqlite3.Connection, lot_id: str) -> commands.OpenItems:
+def _read_open_items(connection: sqlite3.Connection, lot_id: str) -> commands.OpenItems:
     items = [
         commands.OpenItem(
             lot_id=lot,
@@ -328,5 +354,5 @@
     return commands.OpenItems(tuple(items))
 
 
-def _no_lot(name: str, step: Step) -> Failure:
+def _lot_not_found(name: str, step: Step) -> Failure:
     return Failure(kind=FailureKind.NOT_FOUND, reason=f"there is no lot {name}", step=step)
--- a/tests/unit/lots_simulation.py
+++ b/tests/unit/lots_simulation.py
@@ -170,7 +170,7 @@
         failures: list[ItemFailure] = []
         progress: list[ItemProgress] = []
         for lot, item in chosen:
-            start = progress_rows.known(leader.connection, lot, item).count
+            start = progress_rows.recorded_progress(leader.connection, lot, item).count
             if self.random.random() < 0.1:
                 start = self.random.randint(0, self.events[lot, item])
             kind = self.random.random()
--- a/tests/unit/test_lots_conserved.py
+++ b/tests/unit/test_lots_conserved.py
@@ -118,9 +118,9 @@
         return status_as(self.role)
 
     def _tell(self) -> None:
-        if self.runner is not None and self._machine.open_changed:
+        if self.runner is not None and self._machine.open_items_changed:
             self.runner.changed()
-            self._machine.open_changed = False
+            self._machine.open_items_changed = False
 
     def _wait(self, replies: list[bytes], timeout_s: float) -> bytes | Failure:
         with self._grown:
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -221,14 +221,14 @@
     sends the same parts again. Cause: parts of many items share a command's fate. What settled it:
     "the state machine did not take the command" at each try, nothing listed, the outbox full.
     """
-    whole_text = progress_rows.whole_text
+    full_output = progress_rows.full_output
 
     def fail_at_one(connection: sqlite3.Connection, result: ItemResult, repeats: bool) -> object:
         if result.item_id == "item-1":
             raise sqlite3.IntegrityError("UNIQUE constraint failed")
-        return whole_text(connection, result, repeats)
+        return full_output(connection, result, repeats)
 
-    monkeypatch.setattr(progress_rows, "whole_text", fail_at_one)
+    monkeypatch.setattr(progress_rows, "full_output", fail_at_one)
 
     async def play() -> None:
         group = submitted(3)
--- a/tests/unit/test_lots_state_machine.py
+++ b/tests/unit/test_lots_state_machine.py
@@ -299,14 +299,14 @@
 def test_progress_does_not_change_what_is_open() -> None:
     """Reading all open items anew several times a second would cost the leader its time."""
     lots = Lots()
-    assert not lots.machine.open_changed
+    assert not lots.machine.open_items_changed
     lots.apply(submit("a"), LotAccepted)
-    assert lots.machine.open_changed
-    lots.machine.open_changed = False
+    assert lots.machine.open_items_changed
+    lots.machine.open_items_changed = False
     lots.apply(RecordRuns(progress=(progress(0, "one"),)))
-    assert not lots.machine.open_changed
+    assert not lots.machine.open_items_changed
     finish(lots, 1)
-    assert lots.machine.open_changed
+    assert lots.machine.open_items_changed
 
 
 def test_open_items_are_read_by_their_keys_or_by_lot(lots: Lots) -> None:
