--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -17,9 +17,9 @@
 from leverjunction.control.raft_transport import RpcRaftTransport, serve_raft
 from leverjunction.errors import Failure
 from leverjunction.lots.commands import ForgetLots, encode_command
+from leverjunction.lots.group_file import read_group, write_group
 from leverjunction.lots.node_watch import WATCH_INTERVAL_S, NodeWatch
 from leverjunction.lots.recent_reads import answer_recent, no_replica
-from leverjunction.lots.remembered import read_group, write_group
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.proxy.dialect import Dialect
