--- a/src/leverjunction/lots/group_file.py
+++ b/src/leverjunction/lots/group_file.py
@@ -1,4 +1,4 @@
-"""What a store remembers of its group, so that it starts again without asking the registry."""
+"""File with the group record, so that a store can restart without asking the registry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_group(folder: Path) -> GroupRecord | None:
-    """Return the remembered group; None when there is none or the file is torn."""
+    """Return the saved group record; None when the file is missing, unreadable or damaged."""
     try:
         return msgspec.json.decode((folder / GROUP_FILE).read_bytes(), type=GroupRecord)
     except (OSError, msgspec.MsgspecError):
@@ -21,10 +21,14 @@
 
 
 def write_group(folder: Path, group: GroupRecord) -> None:
-    """Remember a group whose replica has been started here.
+    """Save the record of a group whose replica was started on this machine.
+
+    Args:
+        folder: Data folder of the store.
+        group: The record to save; nothing is written when it is saved already.
 
     Raises:
-        OSError: The disk refuses to be written.
+        OSError: The file cannot be written.
     """
     if read_group(folder) != group:
         write_synced(folder / GROUP_FILE, msgspec.json.encode(group))
--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -1,4 +1,7 @@
-"""The process of a store machine: a replica of the group that keeps lots, and its runner."""
+"""Store process: hosts a replica of the lots group and the runner that executes lots.
+
+A lot is a batch job of opaque items. The runner is active only while this replica leads the group.
+"""
 
 from __future__ import annotations
 
@@ -44,16 +47,16 @@
 from leverjunction.wire.rpc_server import RpcEndpoint, RpcServer
 
 JOIN_INTERVAL_S = 0.5
-PLACES_INTERVAL_S = 0.5
-ASK_AGAIN_S = 3.0
+MAINTENANCE_INTERVAL_S = 0.5
+MEMBERSHIP_RETRY_S = 3.0
 COMMAND_TIMEOUT_S = 1.0
-FORGET_INTERVAL_S = 30.0
-FORGET_MARGIN_S = 60.0
-LOG_KEPT_BYTES = 16 * 1024 * 1024
+DELETE_LOTS_INTERVAL_S = 30.0
+RETENTION_MARGIN_S = 60.0
+RETAINED_LOG_BYTES = 16 * 1024 * 1024
 
 
 class LotsNode:
-    """One store process."""
+    """One store process: RPC server, replica of the lots group, runner and registry follower."""
 
     def __init__(
         self,
@@ -63,15 +66,15 @@
         random: Random,
         started_s: float | None = None,
     ) -> None:
-        """Prepare a process.
+        """Create the components without starting them.
 
         Args:
-            config: Its settings.
-            dialect: Words of the back ends.
+            config: Settings of this machine.
+            dialect: Header names and formats that the back ends use.
             clock: Source of time.
             random: Source of ids and timeouts.
-            started_s: When its operating system process started, in monotonic seconds; None where
-                several share one.
+            started_s: Start time of the operating system process, in monotonic seconds; None when
+                several nodes share one process.
         """
         self._started_s = started_s
         self._config = config
@@ -91,32 +94,42 @@
             calls_at_once=CALLS_AT_ONCE,
         )
         self._follower = RegistryFollower(
-            self._rpc, config.seed_addresses(), config.name, clock, random, self._on_registry
+            self._rpc,
+            config.seed_addresses(),
+            config.name,
+            clock,
+            random,
+            self._on_registry_snapshot,
         )
         self._reporter = RunReporter(self._rpc, self._follower.hubs, clock)
         host, _, port = self._address.rpartition(":")
         self._server = RpcServer(host, int(port), self._endpoint(), RPC_THREADS)
         self._runner: LotsRunner | None = None
-        self._start_fault: Failure | None = None
-        self._starting = threading.Lock()
-        self._asked: tuple[str, ...] = ()
-        self._asked_s = 0.0
-        self._forgot_s = clock.monotonic_s()
-        self._watch = NodeWatch(clock)
+        self._start_failure: Failure | None = None
+        self._start_lock = threading.Lock()
+        self._requested_voters: tuple[str, ...] = ()
+        self._requested_s = 0.0
+        self._lots_deleted_s = clock.monotonic_s()
+        self._node_watch = NodeWatch(clock)
         self._tasks = [
             PeriodicTask("join", JOIN_INTERVAL_S, self._join),
-            PeriodicTask("places", PLACES_INTERVAL_S, self._keep_places),
-            PeriodicTask("watch", WATCH_INTERVAL_S, self._look_after),
+            PeriodicTask("places", MAINTENANCE_INTERVAL_S, self._maintain_group),
+            PeriodicTask("watch", WATCH_INTERVAL_S, self._check_threads),
         ]
 
     def start(self) -> Failure | None:
-        """Start serving; the replica follows once it is known who founds the group."""
+        """Start serving; the replica starts once the founding members of the group are known.
+
+        Returns:
+            Always None: the failure of a replica to start is reported by ``fault``.
+        """
         self._server.start()
-        remembered = read_group(self._data_folder)
-        if remembered is not None:
-            # After a restart nobody has to be asked: the control processes may be starting too.
-            self._voters[JOBS_GROUP] = list(remembered.voters)
-            self._start_replica(remembered)
+        saved = read_group(self._data_folder)
+        if saved is not None:
+            # After a restart the saved record is used without asking the registry: the control
+            # processes may be starting at the same time.
+            self._voters[JOBS_GROUP] = list(saved.voters)
+            self._start_replica(saved)
         self._follower.start()
         self._reporter.start()
         for task in self._tasks:
@@ -125,7 +138,7 @@
         return None
 
     def stop(self) -> None:
-        """Hand the lead over, then stop."""
+        """Stop the runner, the replica (which hands over leadership) and then the server."""
         logger.info("stopping")
         stop_all(self._tasks)
         if self._runner is not None:
@@ -139,17 +152,17 @@
         logger.info("stopped")
 
     def fault(self) -> Failure | None:
-        """Return why this process serves nothing any more, None while it does."""
-        faults = [self._start_fault, *(replica.fault() for replica in self._local.values())]
+        """Return the failure that keeps this process from serving, or None while it serves."""
+        faults = [self._start_failure, *(replica.fault() for replica in self._local.values())]
         if self._runner is not None:
             faults.append(self._runner.fault())
         return next((fault for fault in faults if fault is not None), None)
 
     def groups(self) -> list[str]:
-        """Return the groups of which a replica lives here."""
+        """Return the names of the groups that have a replica in this process."""
         return list(self._local)
 
-    def _on_registry(self, snapshot: Snapshot) -> None:
+    def _on_registry_snapshot(self, snapshot: Snapshot) -> None:
         group = snapshot.view.group(JOBS_GROUP)
         if group is not None:
             self._voters[JOBS_GROUP] = list(group.voters)
@@ -158,7 +171,7 @@
             self._runner.set_registry(snapshot)
 
     def _start_replica(self, group: GroupRecord) -> None:
-        with self._starting:
+        with self._start_lock:
             if JOBS_GROUP in self._local:
                 return
             machine = LotsStateMachine()
@@ -169,14 +182,14 @@
                 self._clock,
                 Random(self._random.getrandbits(64)),
                 silent_since_s=self._started_s,
-                listener=lambda replaced: self._applied(machine, replaced),
+                listener=lambda replaced: self._on_applied(machine, replaced),
             )
             fault = start_replica(replica)
             if fault is not None:
-                logger.error("the replica cannot start: {}", fault.reason)
-                self._start_fault = fault
+                logger.error("cannot start the replica: {}", fault.reason)
+                self._start_failure = fault
                 return
-            self._remember(group)
+            self._save_group(group)
             self._runner = LotsRunner(
                 replica,
                 self._config.zone,
@@ -190,12 +203,12 @@
             self._local[JOBS_GROUP] = replica
             self._runner.start()
 
-    def _remember(self, group: GroupRecord) -> None:
+    def _save_group(self, group: GroupRecord) -> None:
         try:
             write_group(self._data_folder, group)
         except OSError as error:
-            # The next start asks the registry again.
-            logger.warning("the group is not remembered: {}", error)
+            # The next start reads the group record from the registry instead.
+            logger.warning("cannot save the group record: {}", error)
 
     @property
     def _data_folder(self) -> Path:
@@ -205,21 +218,28 @@
     def _group_config(self, group: GroupRecord) -> GroupConfig:
         folder = self._data_folder
         folder.mkdir(parents=True, exist_ok=True)
-        founds = self._address in group.founders
+        is_founder = self._address in group.founders
         return GroupConfig(
             group=group.name,
             address=self._address,
-            first_members=group.founders if founds else (),
+            first_members=group.founders if is_founder else (),
             data_path=str(folder / f"{group.name}.sqlite"),
             heartbeat_interval_s=self._config.elections.heartbeat_s,
             election_timeout_min_s=self._config.elections.timeout_min_s,
             election_timeout_max_s=self._config.elections.timeout_max_s,
-            log_kept_bytes=LOG_KEPT_BYTES,
+            log_kept_bytes=RETAINED_LOG_BYTES,
             rejoin_when_corrupt=True,
         )
 
-    def _applied(self, machine: LotsStateMachine, replaced: bool) -> None:
-        """Pass on that other items may be open now; cleared only once the runner knows."""
+    def _on_applied(self, machine: LotsStateMachine, replaced: bool) -> None:
+        """Notify the runner when the set of open items may have changed.
+
+        The flag is cleared only after the runner was notified, so that no change is missed.
+
+        Args:
+            machine: The replica's state machine.
+            replaced: Whether the whole state was replaced (by a snapshot).
+        """
         if self._runner is not None and (replaced or machine.open_items_changed):
             self._runner.changed()
             machine.open_items_changed = False
@@ -271,7 +291,7 @@
             for item in snapshot.view.members
         ):
             return
-        # Also again later, should the others have taken this machine for gone.
+        # Also joins again when the other processes have removed this machine as gone.
         for hub in self._follower.hubs():
             reply = self._rpc.call(
                 hub,
@@ -282,18 +302,18 @@
                 timeout_s=COMMAND_TIMEOUT_S,
             )
             if not isinstance(reply, Failure):
-                logger.info("joined through {}", hub)
+                logger.info("joined the registry through {}", hub)
                 return
 
-    def _look_after(self) -> None:
-        """Tell of threads of this process that have gone silent."""
-        self._watch.registry(self._follower.age_s())
+    def _check_threads(self) -> None:
+        """Log when the registry follower or the runner has made no progress for too long."""
+        self._node_watch.registry(self._follower.age_s())
         runner = self._runner
         if runner is not None:
-            self._watch.steps(runner.step_age_s(), runner.whereabouts)
+            self._node_watch.steps(runner.step_age_s(), runner.whereabouts)
 
-    def _keep_places(self) -> None:
-        """As leader, work towards the voters that the registry names; forget old lots."""
+    def _maintain_group(self) -> None:
+        """On the leader, request the voters that the registry names and delete old lots."""
         replica = self._local.get(JOBS_GROUP)
         snapshot = self._follower.snapshot()
         if replica is None or snapshot is None:
@@ -303,16 +323,19 @@
         if status.role != "leader" or group is None:
             return
         now_s = self._clock.monotonic_s()
-        wanted = tuple(sorted(group.voters))
-        if set(status.voters) != set(wanted) and (
-            self._asked != wanted or now_s - self._asked_s >= ASK_AGAIN_S
+        wanted_voters = tuple(sorted(group.voters))
+        if set(status.voters) != set(wanted_voters) and (
+            self._requested_voters != wanted_voters
+            or now_s - self._requested_s >= MEMBERSHIP_RETRY_S
         ):
-            logger.info("the group's voters shall be {}, are {}", wanted, status.voters)
-            reply = replica.change_members(list(wanted), COMMAND_TIMEOUT_S)
+            logger.info(
+                "changing the group's voters to {}, currently {}", wanted_voters, status.voters
+            )
+            reply = replica.change_members(list(wanted_voters), COMMAND_TIMEOUT_S)
             if not isinstance(reply, Failure):
-                self._asked, self._asked_s = wanted, now_s
-        if now_s - self._forgot_s >= FORGET_INTERVAL_S:
-            self._forgot_s = now_s
-            kept_ms = (self._config.bounds.status_s + FORGET_MARGIN_S) * 1000
-            command = ForgetLots(before_ms=self._clock.wall_ms() - int(kept_ms))
+                self._requested_voters, self._requested_s = wanted_voters, now_s
+        if now_s - self._lots_deleted_s >= DELETE_LOTS_INTERVAL_S:
+            self._lots_deleted_s = now_s
+            retention_ms = (self._config.bounds.status_s + RETENTION_MARGIN_S) * 1000
+            command = ForgetLots(before_ms=self._clock.wall_ms() - int(retention_ms))
             replica.propose(encode_command(command), COMMAND_TIMEOUT_S)
