--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -1,4 +1,4 @@
-"""Results, failed runs and progress that the group does not have yet."""
+"""Results, failed runs and progress that wait to be recorded by the replicated lots group."""
 
 from __future__ import annotations
 
@@ -30,124 +30,149 @@
 PROPOSE_TIMEOUT_S = 1.5
 
 PROGRESS_INTERVAL_S = 0.5
-"""How often the events of unfinished items are recorded: so much of each run is lost at most when
-another store has to go on with it.
+"""Interval at which events of unfinished items are recorded. At most this much of each run is lost
+when another store has to continue it.
 """
 
 
-COMMAND_BYTES = 1024 * 1024
-"""Text in one command, and the part that passes it: what gathers in a long stall goes in several,
-each far below what a message between replicas may have.
+COMMAND_TEXT_BYTES = 1024 * 1024
+"""Text after which a command takes no further part. What accumulates in a long stall is split into
+several commands, each far below the size limit of a message between replicas.
 """
 
 
 class Outbox:
-    """Kept until the group has them; used by one event loop."""
+    """Keeps results and failed runs until the group has recorded them, and records progress.
 
-    __slots__ = ("_ended", "_failures", "_group", "_lead", "_progress_s", "_trace")
+    Use it from one event loop only.
+
+    Args:
+        group: The replicated group that records them.
+        trace: Observer of the commands sent, for metrics and log lines.
+    """
+
+    __slots__ = ("_epoch", "_failures", "_group", "_progress_sent_s", "_results", "_trace")
 
     def __init__(self, group: ReplicatedGroup, trace: RecordTrace | None = None) -> None:
         self._group = group
         self._trace = trace or RecordTrace()
-        self._ended: dict[ItemKey, tuple[ItemRun, ItemState]] = {}
+        self._results: dict[ItemKey, tuple[ItemRun, ItemState]] = {}
         self._failures: dict[ItemKey, ItemFailure] = {}
-        self._progress_s = float("-inf")
-        self._lead = 0
-        """Changes with each loss of the lead: an answer that comes later concerns nothing here."""
+        self._progress_sent_s = float("-inf")
+        self._epoch = 0
+        """Incremented when leadership is lost: replies to commands sent before that are ignored."""
 
     @property
     def is_empty(self) -> bool:
-        """Whether the group has all results and failures."""
-        return not self._ended and not self._failures
+        """Whether no result and no failed run waits to be recorded."""
+        return not self._results and not self._failures
 
     @property
     def pending_results(self) -> int:
-        """Number of results that the group does not have yet."""
-        return len(self._ended)
+        """Number of results that wait to be recorded."""
+        return len(self._results)
 
     def has_result(self, run: ItemRun) -> bool:
-        """Return whether an item has ended, though the group may not know yet."""
-        return run.key in self._ended
+        """Return whether an item has a result that waits to be recorded."""
+        return run.key in self._results
 
     def clear(self) -> None:
-        """Forget all: another store leads the group."""
-        self._ended.clear()
+        """Drop everything, because another store leads the group."""
+        self._results.clear()
         self._failures.clear()
-        self._lead += 1
+        self._epoch += 1
         self._trace.clear()
 
     def retain(self, keys: frozenset[ItemKey]) -> None:
-        """Forget what is not open any more: the group has it, though perhaps no answer said so."""
-        for key in self._ended.keys() - keys:
-            del self._ended[key]
+        """Drop what belongs to items that are no longer open.
+
+        The group has recorded their results, perhaps without a reply that said so.
+
+        Args:
+            keys: Keys of all open items.
+        """
+        for key in self._results.keys() - keys:
+            del self._results[key]
         for key in self._failures.keys() - keys:
             del self._failures[key]
 
     def complete(self, run: ItemRun) -> None:
-        """Take an item whose output is whole."""
-        self._ended[run.key] = (run, ItemState.DONE)
+        """Add the result of an item whose output is complete."""
+        self._results[run.key] = (run, ItemState.DONE)
 
     def give_up(self, run: ItemRun, reason: str) -> None:
-        """Take an item that is given up."""
+        """Add the result of an item that is given up.
+
+        Args:
+            run: The item.
+            reason: Why it is given up, for the log.
+        """
         lot_id, item_id = run.key
-        logger.info("item {} of lot {} is given up: {}", item_id, lot_id, reason)
-        self._ended[run.key] = (run, ItemState.DEAD)
+        logger.info("giving up item {} of lot {}: {}", item_id, lot_id, reason)
+        self._results[run.key] = (run, ItemState.DEAD)
 
     def add_failure(self, run: ItemRun) -> None:
-        """Take a run that failed at a back end."""
+        """Add a run that failed at a back end."""
         lot_id, item_id = run.key
         self._failures[run.key] = ItemFailure(lot_id=lot_id, item_id=item_id, failures=run.failures)
 
     async def record(self, runs: Iterable[ItemRun]) -> None:
-        """Replicate what is here; what could not be is kept for the next time.
+        """Send one command with what waits; results and failures not recorded stay for the next.
 
         Args:
-            runs: All open items, for their progress.
+            runs: All open items, whose progress is recorded too when it is due.
         """
-        progress = self._progress(runs)
+        progress = self._due_progress(runs)
         if self.is_empty and not progress:
             return
-        results = tuple(_bounded(_result(run, state) for run, state in self._ended.values()))
+        results = tuple(
+            _within_limit(_item_result(run, state) for run, state in self._results.values())
+        )
         failures = tuple(self._failures.values())
-        left = COMMAND_BYTES - sum(len(result.text) for result in results)
-        parts = tuple(_bounded((_progress(run) for run in progress), left))
+        progress_bytes = COMMAND_TEXT_BYTES - sum(len(result.text) for result in results)
+        parts = tuple(_within_limit((_item_progress(run) for run in progress), progress_bytes))
         command = RecordRuns(
             results=results,
             failures=failures,
             progress=parts,
-            # What could not be recorded may have been, and comes again.
+            # A command of unknown outcome may have been applied, and its parts are sent again.
             repeats=True,
         )
         sent = [(run, part.count) for run, part in zip(progress, parts, strict=False)]
-        lead = self._lead
+        epoch = self._epoch
         self._trace.begin(command)
         reply = await self._propose(command)
         self._trace.returned(reply)
-        if lead != self._lead:
+        if epoch != self._epoch:
             return
         if isinstance(reply, Failure):
-            logger.warning("results are not recorded yet: {}", reply.reason)
-            await self._go_on_refused(ReadRefused(results=results, progress=parts), progress)
+            logger.warning("cannot record results and progress yet: {}", reply.reason)
+            await self._restart_refused(ReadRefused(results=results, progress=parts), progress)
             return
-        self._settle_failures(failures)
-        self._settle(results, sent, frozenset(reply.rejected))
+        self._remove_recorded_failures(failures)
+        self._remove_recorded(results, sent, frozenset(reply.rejected))
 
-    async def _go_on_refused(self, parts: ReadRefused, sent: list[ItemRun]) -> None:
-        """Have items go on from what the group has if it refuses what they bring.
+    async def _restart_refused(self, parts: ReadRefused, sent: list[ItemRun]) -> None:
+        """Restart items whose parts the group would reject now, from the events it has recorded.
 
-        While commits outlast their proposers no answer tells of it: an item whose result was
-        refused was never run again, its result sent without end.
+        Called when a command failed or timed out. While commits take longer than the proposal
+        timeout, no reply says that a part was rejected. Without this query an item whose result is
+        rejected would never run again, and its result would be sent without end.
+
+        Args:
+            parts: Results and progress of the command.
+            sent: Unfinished items whose progress was due.
         """
-        lead = self._lead
+        epoch = self._epoch
         loop = asyncio.get_running_loop()
         raw = await loop.run_in_executor(None, self._group.query_local, encode(parts))
         refused = decode_reply(raw, RefusedItems)
         if isinstance(refused, Failure):
-            logger.warning("what the group refuses is not known: {}", refused.reason)
+            logger.warning("cannot read which parts the group would reject: {}", refused.reason)
             return
-        if lead != self._lead or not refused.keys:
+        if epoch != self._epoch or not refused.keys:
             return
-        logger.info("{} items go on from what the group has", len(refused.keys))
+        logger.info("restarting {} items from their recorded events", len(refused.keys))
         keys = frozenset(refused.keys)
         for run in sent:
             if run.key in keys:
@@ -160,20 +185,26 @@
         raw = await loop.run_in_executor(None, self._group.propose, body, PROPOSE_TIMEOUT_S)
         return raw if isinstance(raw, Failure) else decode_reply(raw, Recorded)
 
-    def _settle_failures(self, failures: tuple[ItemFailure, ...]) -> None:
+    def _remove_recorded_failures(self, failures: tuple[ItemFailure, ...]) -> None:
         for failure in failures:
             key = (failure.lot_id, failure.item_id)
-            # Another run may have failed meanwhile.
+            # The entry differs when another run of the item has failed in the meantime.
             if self._failures.get(key) == failure:
                 del self._failures[key]
 
-    def _settle(
+    def _remove_recorded(
         self,
         results: tuple[ItemResult, ...],
         sent: list[tuple[ItemRun, int]],
         rejected: frozenset[ItemKey],
     ) -> None:
-        """Note what the group has now; what it rejected goes on from what it has."""
+        """Remove what the group has recorded; restart items whose parts it rejected.
+
+        Args:
+            results: Results of the command.
+            sent: Unfinished items of the command and how many events of each it contained.
+            rejected: Keys of the items whose part was rejected.
+        """
         for run, count in sent:
             if run.key in rejected:
                 run.restart()
@@ -181,39 +212,44 @@
                 run.stream.mark_recorded(count)
         self._restart_ended(results, rejected)
         for result in results:
-            self._ended.pop((result.lot_id, result.item_id), None)
+            self._results.pop((result.lot_id, result.item_id), None)
 
     def _restart_ended(self, results: tuple[ItemResult, ...], refused: frozenset[ItemKey]) -> None:
-        """Have items whose results were refused run again."""
+        """Run the items whose results were rejected again."""
         for result in results:
             key = (result.lot_id, result.item_id)
-            if key in refused and key in self._ended:
-                run, _ = self._ended.pop(key)
+            if key in refused and key in self._results:
+                run, _ = self._results.pop(key)
                 run.restart()
 
-    def _progress(self, runs: Iterable[ItemRun]) -> list[ItemRun]:
-        """Return the unfinished items whose new events are to be recorded now."""
+    def _due_progress(self, runs: Iterable[ItemRun]) -> list[ItemRun]:
+        """Return the unfinished items with new events, none before the interval is over."""
         now_s = asyncio.get_running_loop().time()
-        if now_s - self._progress_s < PROGRESS_INTERVAL_S:
+        if now_s - self._progress_sent_s < PROGRESS_INTERVAL_S:
             return []
-        self._progress_s = now_s
-        waiting = [
+        self._progress_sent_s = now_s
+        unfinished = [
             run for run in runs if run.stream.count and run.follows and not self.has_result(run)
         ]
-        # Should there be too much for one command, those come first that would lose most.
-        return sorted(waiting, key=lambda run: run.stream.count, reverse=True)
+        # Longest first: if not all fit into one command, the items that would lose most are sent.
+        return sorted(unfinished, key=lambda run: run.stream.count, reverse=True)
+
 
+def _within_limit(parts: Iterable[Part], text_bytes: int = COMMAND_TEXT_BYTES) -> Iterator[Part]:
+    """Yield parts until their text reaches a limit; the part that crosses it is included.
 
-def _bounded(parts: Iterable[Part], most_bytes: int = COMMAND_BYTES) -> Iterator[Part]:
-    """Yield parts until their text passes a bound."""
+    Args:
+        parts: Results or progress.
+        text_bytes: The limit.
+    """
     for part in parts:
-        if most_bytes <= 0:
+        if text_bytes <= 0:
             return
-        most_bytes -= len(part.text)
+        text_bytes -= len(part.text)
         yield part
 
 
-def _progress(run: ItemRun) -> ItemProgress:
+def _item_progress(run: ItemRun) -> ItemProgress:
     lot_id, item_id = run.key
     stream = run.stream
     return ItemProgress(
@@ -226,7 +262,7 @@
     )
 
 
-def _result(run: ItemRun, state: ItemState) -> ItemResult:
+def _item_result(run: ItemRun, state: ItemState) -> ItemResult:
     lot_id, item_id = run.key
     if state is ItemState.DEAD:
         return ItemResult(lot_id=lot_id, item_id=item_id, state=state)
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -23,7 +23,7 @@
     encode_command,
 )
 from leverjunction.lots.item_run import ItemRun
-from leverjunction.lots.outbox import COMMAND_BYTES, PROGRESS_INTERVAL_S, Outbox
+from leverjunction.lots.outbox import COMMAND_TEXT_BYTES, PROGRESS_INTERVAL_S, Outbox
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.wire.codec import decode_reply, encode, encode_reply
 
@@ -247,7 +247,7 @@
 
 
 def test_what_gathers_in_a_stall_goes_in_commands_of_bounded_size() -> None:
-    size_bytes = COMMAND_BYTES // 2
+    size_bytes = COMMAND_TEXT_BYTES // 2
 
     async def play() -> None:
         group = submitted(9)
@@ -263,7 +263,7 @@
         for _ in range(2):
             await record(outbox, runs[5:])
         assert [run.stream.recorded for run in runs[5:]] == [1] * 4
-        assert group.largest_bytes < 2 * COMMAND_BYTES
+        assert group.largest_bytes < 2 * COMMAND_TEXT_BYTES
 
     asyncio.run(play())
 
