--- a/src/leverjunction/lots/gateway_loads.py
+++ b/src/leverjunction/lots/gateway_loads.py
@@ -1,4 +1,8 @@
-"""Online requests at the back ends, as gateways tell them to the leader. Pure."""
+"""Online request counts that gateways report to the leader of batch work.
+
+No I/O: the times are passed in. A gateway sends updates, with all its counts (``whole``) or only
+those that changed; the leader broadcasts the sums over all gateways back to them.
+"""
 
 from __future__ import annotations
 
@@ -6,126 +10,147 @@
 
 from leverjunction.proxy.online_loads import OnlineLoads
 
-SILENT_S = 1.2
-"""A gateway that was not heard for so long is not counted: two of its whole words are missing."""
+GATEWAY_TIMEOUT_S = 1.2
+"""Age of the last update after which a gateway is not counted: two of its full updates, sent every
+0.5 s, are missing.
+"""
 
-WORDS_PER_S = 1000.0
-"""Of all gateways together, a tenth of a core of the leader: the more gateways, the longer the
-pause between two words of each.
+UPDATES_PER_S = 1000.0
+"""Rate of updates from all gateways together; it costs the leader a tenth of a core. The more
+gateways there are, the longer each of them pauses between two updates.
 """
 
 
-SHARE_INTERVAL_S = 0.05
-"""Least pause between two words to a gateway on what all have: a slot is freed about as often at a
-loaded back end.
-"""
+BROADCAST_INTERVAL_S = 0.05
+"""Shortest pause between two broadcasts: a loaded back end frees a slot about this often."""
 
-SHARES_PER_S = 5000.0
-"""Words to all gateways together: they are alike, and made once. With 3,300 a second (165 gateways)
-the busiest store took 0.40 of a core at most, 0.30 with 1,000 that were made one by one.
+BROADCAST_DATAGRAMS_PER_S = 5000.0
+"""Highest rate of datagrams to all gateways together. All datagrams of a broadcast are the same and
+are encoded once: 3,300 per second (165 gateways) took at most 0.40 of a core at the busiest store,
+while 1,000 per second that were encoded one by one took 0.30.
 """
 
-SHARED_BYTES_PER_S = 6000.0
-"""To each gateway, so that the pause grows with the back ends: by design 50 ms up to some 100, and
-0.3 s at 1,200.
+BROADCAST_BYTES_PER_S = 6000.0
+"""Highest rate of bytes to each gateway. A broadcast, and the pause after it, grow with the number
+of back ends: 50 ms up to about 100 of them, 0.3 s at 1,200.
 """
 
 Address = tuple[str, int]
 
 
-class _Teller:
-    __slots__ = ("address", "heard_s", "held", "incarnation", "runners")
+class _Gateway:
+    """Last known counts of one gateway."""
+
+    __slots__ = ("address", "incarnation", "runners", "updated_s", "waiting")
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
         self.address: Address = ("", 0)
-        self.heard_s = 0.0
+        self.updated_s = 0.0
         self.runners: dict[str, int] = {}
-        self.held: dict[str, int] = {}
+        self.waiting: dict[str, int] = {}
 
 
 class GatewayLoads:
-    """Sums over the gateways that are heard, kept up with each word."""
+    """Sums of the counts of all live gateways, maintained incrementally with each update."""
 
-    __slots__ = ("_held", "_runners", "_tellers")
+    __slots__ = ("_at_back_ends", "_gateways", "_waiting")
 
     def __init__(self) -> None:
-        self._tellers: dict[str, _Teller] = {}
-        self._runners: Counter[str] = Counter()
-        self._held: Counter[str] = Counter()
-
-    def take(self, word: OnlineLoads, incarnation: int, address: Address, now_s: float) -> None:
-        """Take a gateway's word; one of an earlier start of it is dropped."""
-        teller = self._tellers.get(word.gateway)
-        if teller is not None and incarnation > teller.incarnation:
-            self._drop(word.gateway)
-            teller = None
-        if teller is None:
-            teller = self._tellers[word.gateway] = _Teller(incarnation)
-        if incarnation < teller.incarnation:
+        self._gateways: dict[str, _Gateway] = {}
+        self._at_back_ends: Counter[str] = Counter()
+        self._waiting: Counter[str] = Counter()
+
+    def apply_update(
+        self, update: OnlineLoads, incarnation: int, address: Address, now_s: float
+    ) -> None:
+        """Apply a gateway's update; one that it sent before its last restart is ignored.
+
+        Args:
+            update: Counts of the gateway.
+            incarnation: Start of the gateway that sent it; higher after each restart.
+            address: Host and port from which the update came.
+            now_s: Time of arrival, in monotonic seconds.
+        """
+        gateway = self._gateways.get(update.gateway)
+        if gateway is not None and incarnation > gateway.incarnation:
+            self._drop(update.gateway)
+            gateway = None
+        if gateway is None:
+            gateway = self._gateways[update.gateway] = _Gateway(incarnation)
+        if incarnation < gateway.incarnation:
             return
-        teller.heard_s = now_s
-        teller.address = address
-        _update(teller.runners, word.runners, self._runners, word.whole)
-        _update(teller.held, word.held, self._held, word.whole)
+        gateway.updated_s = now_s
+        gateway.address = address
+        _set_counts(gateway.runners, update.runners, self._at_back_ends, update.whole)
+        _set_counts(gateway.waiting, update.held, self._waiting, update.whole)
 
     def expire(self, now_s: float) -> None:
-        """Forget gateways that are silent."""
-        gateways = list(self._tellers.items())
-        for name, teller in gateways:
-            if now_s - teller.heard_s > SILENT_S:
+        """Drop gateways whose last update is older than ``GATEWAY_TIMEOUT_S``."""
+        gateways = list(self._gateways.items())
+        for name, gateway in gateways:
+            if now_s - gateway.updated_s > GATEWAY_TIMEOUT_S:
                 self._drop(name)
 
     def clear(self) -> None:
-        """Forget all."""
-        self._tellers.clear()
-        self._runners.clear()
-        self._held.clear()
+        """Drop all gateways."""
+        self._gateways.clear()
+        self._at_back_ends.clear()
+        self._waiting.clear()
 
     @property
     def gateway_count(self) -> int:
-        """Number of gateways that are heard."""
-        return len(self._tellers)
+        """Number of live gateways."""
+        return len(self._gateways)
 
     def at_back_end(self, runner_id: str) -> int:
-        """Return the online requests at a back end that gateways told of."""
-        return self._runners[runner_id]
+        """Return the number of online requests that gateways have at a back end."""
+        return self._at_back_ends[runner_id]
 
     def waiting(self, service: str) -> int:
-        """Return the online requests of a service that wait at gateways."""
-        return self._held[service]
+        """Return the number of online requests of a service that wait at gateways."""
+        return self._waiting[service]
 
     def addresses(self) -> list[Address]:
-        """Return where the gateways that are heard listen."""
-        return [teller.address for teller in self._tellers.values()]
+        """Return the datagram addresses of the live gateways."""
+        return [gateway.address for gateway in self._gateways.values()]
 
-    def share_interval_s(self, word_bytes: int) -> float:
-        """Return the pause between two words to each gateway.
+    def broadcast_interval_s(self, datagram_bytes: int) -> float:
+        """Return the pause between two broadcasts, in seconds.
 
         Args:
-            word_bytes: Size of a word.
+            datagram_bytes: Size of the last broadcast's datagram.
         """
         return max(
-            SHARE_INTERVAL_S,
-            len(self._tellers) / SHARES_PER_S,
-            word_bytes / SHARED_BYTES_PER_S,
+            BROADCAST_INTERVAL_S,
+            len(self._gateways) / BROADCAST_DATAGRAMS_PER_S,
+            datagram_bytes / BROADCAST_BYTES_PER_S,
         )
 
     def update_interval_s(self) -> float:
-        """Return the pause that each gateway shall make between two words."""
-        return len(self._tellers) / WORDS_PER_S
+        """Return the least pause between two updates of one gateway, in seconds."""
+        return len(self._gateways) / UPDATES_PER_S
 
     def _drop(self, name: str) -> None:
-        teller = self._tellers.pop(name)
-        _update(teller.runners, {}, self._runners, whole=True)
-        _update(teller.held, {}, self._held, whole=True)
-
-
-def _update(known: dict[str, int], told: dict[str, int], sums: Counter[str], whole: bool) -> None:
-    """Set a gateway's counts and the sums of all; back ends without any are not kept."""
+        gateway = self._gateways.pop(name)
+        _set_counts(gateway.runners, {}, self._at_back_ends, whole=True)
+        _set_counts(gateway.waiting, {}, self._waiting, whole=True)
+
+
+def _set_counts(
+    known: dict[str, int], counts: dict[str, int], sums: Counter[str], whole: bool
+) -> None:
+    """Set counts of a gateway and adjust the sums; entries that become zero are removed.
+
+    Args:
+        known: Counts of the gateway by key, changed in place.
+        counts: New counts by key.
+        sums: Sums over all gateways by key, changed in place.
+        whole: Whether keys missing in ``counts`` are zero; otherwise they are unchanged.
+    """
     if whole:
-        told = {**dict.fromkeys(known, 0), **told}
-    for key, count in told.items():
+        counts = {**dict.fromkeys(known, 0), **counts}
+    for key, count in counts.items():
         sums[key] += count - known.get(key, 0)
         if count:
             known[key] = count
--- a/src/leverjunction/lots/load_listener.py
+++ b/src/leverjunction/lots/load_listener.py
@@ -1,4 +1,7 @@
-"""Datagram port of a store: hears from gateways which online requests they have."""
+"""Datagram endpoint of a store: receives the online request counts of the gateways.
+
+While the store runs batch work, it broadcasts the sums over all gateways back to them.
+"""
 
 from __future__ import annotations
 
@@ -16,99 +19,109 @@
 from leverjunction.wire.codec import decode, encode
 from leverjunction.wire.envelope import Envelope, MessageKind, decode_envelope, encode_envelope
 
-WANTED_S = 1.5
-"""How long a gateway tells its changes after an answer: three of its whole words."""
+SUBSCRIPTION_S = 1.5
+"""How long a gateway sends its changes after a broadcast: the time of three of its full updates."""
 
 
 class LoadListener(asyncio.DatagramProtocol):
-    """Used by one event loop.
+    """Protocol of the datagram endpoint; create it inside the event loop that uses it.
 
     Args:
-        cluster_key: Signs the words.
-        wants: Returns whether this process runs batch work.
-        heard: Called after each word that was taken.
-        totals: Returns the online requests at each back end.
-        order: Returns the back ends that this process knows.
+        cluster_key: Key that signs the datagrams.
+        is_active: Returns whether this process runs batch work; otherwise updates are ignored.
+        on_update: Called after each update that was applied.
+        totals: Returns the number of online requests at each back end.
+        order: Returns the known back ends in the order of a broadcast's row.
+
+    Attributes:
+        loads: Counts reported by the gateways.
     """
 
     def __init__(
         self,
         cluster_key: bytes,
-        wants: Callable[[], bool],
-        heard: Callable[[], None],
+        is_active: Callable[[], bool],
+        on_update: Callable[[], None],
         totals: Callable[[], dict[str, int]],
         order: Callable[[], BackEndOrder],
     ) -> None:
         self._totals = totals
         self._order = order
-        self._sharing: asyncio.Task[None] | None = None
+        self._broadcast_task: asyncio.Task[None] | None = None
         self.loads = GatewayLoads()
-        self._key = cluster_key
-        self._wants = wants
-        self._heard = heard
+        self._cluster_key = cluster_key
+        self._is_active = is_active
+        self._on_update = on_update
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, address: str) -> None:
-        """Bind the port; without it batch gives way by the back ends' reports alone."""
+        """Bind the port and start broadcasting.
+
+        A port that cannot be bound is logged and otherwise ignored: batch work then yields to
+        online requests by the back ends' load reports alone.
+
+        Args:
+            address: Host and port to bind.
+        """
         host, _, port = address.rpartition(":")
         try:
             await self._loop.create_datagram_endpoint(lambda: self, (host, int(port)))
         except OSError as error:
-            logger.warning("no datagrams of gateways are heard at {}: {}", address, error)
+            logger.warning("cannot receive load updates of gateways at {}: {}", address, error)
             return
-        self._sharing = self._loop.create_task(self._share())
+        self._broadcast_task = self._loop.create_task(self._broadcast_forever())
 
     def close(self) -> None:
-        """Close the port."""
-        if self._sharing is not None:
-            self._sharing.cancel()
+        """Stop broadcasting and close the port."""
+        if self._broadcast_task is not None:
+            self._broadcast_task.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; the event loop's class does not name its base."""
+        """Keep the transport; cast, since the loop's class need not extend DatagramTransport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a gateway's word; the first one is answered with the next that is shared."""
-        if not self._wants():
+        """Apply a gateway's update; from then on the gateway receives the broadcasts."""
+        if not self._is_active():
             return
-        envelope = decode_envelope(data, self._key, addr[0])
+        envelope = decode_envelope(data, self._cluster_key, addr[0])
         if isinstance(envelope, Failure) or envelope.kind is not MessageKind.ONLINE_LOADS:
             return
-        word = decode(envelope.body, OnlineLoads, addr[0])
-        if isinstance(word, Failure):
-            logger.warning("a word of {} is not understood: {}", addr[0], word.reason)
+        update = decode(envelope.body, OnlineLoads, addr[0])
+        if isinstance(update, Failure):
+            logger.warning("cannot decode a load update from {}: {}", addr[0], update.reason)
             return
-        self.loads.take(word, envelope.incarnation, addr, self._loop.time())
-        self._heard()
+        self.loads.apply_update(update, envelope.incarnation, addr, self._loop.time())
+        self._on_update()
 
     def error_received(self, exc: Exception) -> None:
-        """Do nothing: a gateway that is down tells nothing either."""
+        """Ignore send errors: a gateway that is down sends no updates and soon expires."""
 
-    async def _share(self) -> None:
-        """Tell all gateways, again and again, what all have at the back ends."""
-        word_bytes = 0
+    async def _broadcast_forever(self) -> None:
+        """Send all gateways the sums over all gateways, until the task is cancelled."""
+        datagram_bytes = 0
         while True:
-            await asyncio.sleep(self.loads.share_interval_s(word_bytes))
-            if self._wants() and self.loads.gateway_count:
-                data = self._word()
-                word_bytes = len(data)
-                self._tell_all(data)
+            await asyncio.sleep(self.loads.broadcast_interval_s(datagram_bytes))
+            if self._is_active() and self.loads.gateway_count:
+                data = self._encode_broadcast()
+                datagram_bytes = len(data)
+                self._send_to_all(data)
 
-    def _word(self) -> bytes:
+    def _encode_broadcast(self) -> bytes:
         order = self._order()
-        wanted = LoadsWanted(
+        broadcast = LoadsWanted(
             interval_s=self.loads.update_interval_s(),
-            for_s=WANTED_S,
+            for_s=SUBSCRIPTION_S,
             order=order.key,
             row=order.pack(self._totals()),
         )
-        envelope = Envelope(kind=MessageKind.LOADS_WANTED, group=JOBS_GROUP, body=encode(wanted))
-        return encode_envelope(envelope, self._key)
+        envelope = Envelope(kind=MessageKind.LOADS_WANTED, group=JOBS_GROUP, body=encode(broadcast))
+        return encode_envelope(envelope, self._cluster_key)
 
-    def _tell_all(self, data: bytes) -> None:
+    def _send_to_all(self, data: bytes) -> None:
         assert self._transport is not None
         for address in self.loads.addresses():
             self._transport.sendto(data, address)
--- a/tests/unit/test_load_datagrams.py
+++ b/tests/unit/test_load_datagrams.py
@@ -157,4 +157,4 @@
             await until(lambda: pair.listener.loads.gateway_count == 1)
 
     asyncio.run(play())
-    assert any("no datagrams of gateways are heard" in line for line in lines)
+    assert any("cannot receive load updates of gateways" in line for line in lines)
