--- a/src/leverjunction/lots/__init__.py
+++ b/src/leverjunction/lots/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs of opaque items: kept by the stores' group, run by its leader."""
+"""Lots, batch jobs of opaque items: replicated by the group of stores and run by its leader."""
--- a/src/leverjunction/lots/item_stream.py
+++ b/src/leverjunction/lots/item_stream.py
@@ -1,4 +1,4 @@
-"""Collects the events of one item's runs into its text. Pure."""
+"""Collects the server-sent events of an item's runs into its output text. No I/O."""
 
 from __future__ import annotations
 
@@ -9,59 +9,57 @@
 
 
 class ItemStream:
-    """Events of an item so far; a later run continues after the last whole event.
-
-    Events that the group of lots has already are not kept here.
+    """Unrecorded events of an item; a later run continues after the last whole event.
 
     Args:
-        recorded: Number of events that the group has.
-        last_id: Id of the last one of them.
+        recorded: Number of events of the item that the lots group has recorded.
+        last_id: Id of the last recorded event.
 
     Attributes:
-        recorded: Number of events that the group has.
-        last_id: Id of the last whole event, empty before the first.
+        recorded: Number of events of the item that the lots group has recorded.
+        last_id: Id of the last whole event, empty before the first one.
     """
 
-    __slots__ = ("_events", "_pending", "last_id", "recorded")
+    __slots__ = ("_events", "_partial", "last_id", "recorded")
 
     def __init__(self, recorded: int = 0, last_id: str = "") -> None:
         self._events: list[str] = []
-        self._pending = b""
+        self._partial = b""
         self.recorded = recorded
         self.last_id = last_id
 
     def feed(self, data: bytes) -> int:
-        """Add bytes of the current run; return how many events became whole."""
-        self._pending += data.replace(b"\r\n", b"\n")
-        *blocks, self._pending = self._pending.split(b"\n\n")
+        """Add bytes of the current run's output; return how many events they completed."""
+        self._partial += data.replace(b"\r\n", b"\n")
+        *blocks, self._partial = self._partial.split(b"\n\n")
         for block in blocks:
-            self._take(block)
+            self._append_event(block)
         return len(blocks)
 
     def discard_partial(self) -> None:
-        """The run broke off: drop the event that is not whole."""
-        self._pending = b""
+        """Drop the incomplete event after a run broke off."""
+        self._partial = b""
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no event is half received."""
-        return not self._pending
+        """Whether the bytes so far end at the end of an event."""
+        return not self._partial
 
     @property
     def count(self) -> int:
-        """Number of whole events that the group does not have yet."""
+        """Number of whole events that are not recorded yet."""
         return len(self._events)
 
     def text(self) -> str:
-        """Return the data of these events in order, separated by line feeds."""
+        """Return the data of the events that are not recorded yet, separated by line feeds."""
         return "\n".join(self._events)
 
     def mark_recorded(self, count: int) -> None:
-        """Note that the group has the first ones of these events now."""
+        """Drop the first ``count`` events after the group has recorded them."""
         del self._events[:count]
         self.recorded += count
 
-    def _take(self, block: bytes) -> None:
+    def _append_event(self, block: bytes) -> None:
         data: list[bytes] = []
         for line in block.split(b"\n"):
             name, _, value = line.partition(b":")
--- a/src/leverjunction/lots/metrics.py
+++ b/src/leverjunction/lots/metrics.py
@@ -1,4 +1,7 @@
-"""Figures of the runner of lots in this process; all are zero while this store does not lead."""
+"""Prometheus metrics of the lots runner in this process.
+
+The gauges on items and records are zero while this store does not lead the lots group.
+"""
 
 from __future__ import annotations
 
--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -307,10 +307,10 @@
 
     def _check_threads(self) -> None:
         """Log when the registry follower or the runner has made no progress for too long."""
-        self._node_watch.registry(self._follower.age_s())
+        self._node_watch.check_registry_age(self._follower.age_s())
         runner = self._runner
         if runner is not None:
-            self._node_watch.steps(runner.step_age_s(), runner.whereabouts)
+            self._node_watch.check_step_age(runner.step_age_s(), runner.whereabouts)
 
     def _maintain_group(self) -> None:
         """On the leader, request the voters that the registry names and delete old lots."""
--- a/src/leverjunction/lots/node_watch.py
+++ b/src/leverjunction/lots/node_watch.py
@@ -1,4 +1,7 @@
-"""Watches a store's own threads from another one: a loop that hangs can't tell of itself."""
+"""Watchdog for the threads of a store.
+
+It runs in a thread of its own, because a loop that hangs cannot log that it hangs.
+"""
 
 from __future__ import annotations
 
@@ -14,48 +17,60 @@
 from leverjunction.lots.stall_watch import AgeWatch
 
 WATCH_INTERVAL_S = 1.0
-STEP_LATE_S = 3.0
-"""Seconds without a step of the runner: six times its longest pause (``runner.IDLE_STEP_S``)."""
+STEP_TIMEOUT_S = 3.0
+"""Time without a step of the runner before a warning: six times its longest pause
+(``runner.IDLE_STEP_S``).
+"""
 
-REGISTRY_SILENT_S = 5.0
-"""Seconds without an answer: three whole calls and more (``follower.CALL_TIMEOUT_S``)."""
+REGISTRY_TIMEOUT_S = 5.0
+"""Time without an answer of a control process before a warning: more than three calls of the
+registry follower that time out.
+"""
 
 STACK_DEPTH = 8
-"""Innermost calls of a thread that a line names."""
+"""Number of innermost calls in the one-line stack of a thread."""
 
 
 class NodeWatch:
-    """Used by one thread."""
+    """Logs when the registry follower or the runner makes no progress, and when it does again.
+
+    Not thread-safe: use it from one thread.
+    """
 
     __slots__ = ("_clock", "_registry", "_steps")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._registry = AgeWatch("no control process has answered", REGISTRY_SILENT_S)
-        self._steps = AgeWatch("the runner of lots has not taken a step", STEP_LATE_S)
+        self._registry = AgeWatch("no control process has answered", REGISTRY_TIMEOUT_S)
+        self._steps = AgeWatch("the runner of lots has not taken a step", STEP_TIMEOUT_S)
+
+    def check_registry_age(self, age_s: float) -> None:
+        """Export and check the time since a control process answered.
 
-    def registry(self, age_s: float) -> None:
-        """Take the time since a control process answered."""
+        Args:
+            age_s: That time in seconds.
+        """
         metrics.REGISTRY_AGE_S.set(age_s)
-        word = self._registry.look(age_s, self._clock.monotonic_s())
-        if word:
-            logger.warning("{}", word)
+        message = self._registry.look(age_s, self._clock.monotonic_s())
+        if message:
+            logger.warning("{}", message)
 
-    def steps(self, age_s: float, whereabouts: Callable[[], str]) -> None:
-        """Take the time since the runner's last step.
+    def check_step_age(self, age_s: float, whereabouts: Callable[[], str]) -> None:
+        """Export and check the time since the runner's last step.
 
         Args:
-            age_s: That time.
-            whereabouts: Tells what its thread is doing; asked for when a line is written.
+            age_s: That time in seconds.
+            whereabouts: Returns the current stack of the runner's thread; called only when a
+                warning is logged.
         """
         metrics.STEP_AGE_S.set(age_s)
-        word = self._steps.look(age_s, self._clock.monotonic_s())
-        if word:
-            logger.warning("{}; {}", word, whereabouts())
+        message = self._steps.look(age_s, self._clock.monotonic_s())
+        if message:
+            logger.warning("{}; {}", message, whereabouts())
 
 
 def format_thread_stack(thread: threading.Thread) -> str:
-    """Return where a thread is, for a person."""
+    """Return the current stack of a thread on one line, for log messages."""
     frame = sys._current_frames().get(thread.ident or 0)
     if frame is None or not thread.is_alive():
         return f"thread {thread.name} has ended"
--- a/tests/unit/test_lots_node_watch.py
+++ b/tests/unit/test_lots_node_watch.py
@@ -56,14 +56,14 @@
     assert hangs.wait(5.0)
     watch = NodeWatch(SystemClock())
     wait_until(lambda: runner.step_age_s() > 0.3)
-    (word,) = hear(lambda: watch.steps(runner.step_age_s() + 3.0, runner.whereabouts))
+    (word,) = hear(lambda: watch.check_step_age(runner.step_age_s() + 3.0, runner.whereabouts))
     assert word.startswith("the runner of lots has not taken a step for 3.")
     assert "thread lots-runner is in" in word
     assert "_step (runner.py:" in word
-    assert hear(lambda: watch.steps(runner.step_age_s() + 3.5, runner.whereabouts)) == []
+    assert hear(lambda: watch.check_step_age(runner.step_age_s() + 3.5, runner.whereabouts)) == []
     let_go.set()
     wait_until(lambda: runner.step_age_s() < 0.3)
-    (over,) = hear(lambda: watch.steps(runner.step_age_s(), runner.whereabouts))
+    (over,) = hear(lambda: watch.check_step_age(runner.step_age_s(), runner.whereabouts))
     assert over.startswith("the runner of lots has not taken a step: over, after ")
     runner.stop()
     assert runner.whereabouts() == "thread lots-runner has ended"
@@ -72,7 +72,7 @@
 def test_a_store_without_control_processes_tells_so(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_watch, "REGISTRY_SILENT_S", 0.5)
+    monkeypatch.setattr(node_watch, "REGISTRY_TIMEOUT_S", 0.5)
     fleet = SeededFleet(tmp_path)
     with heard() as words:
         try:
--- a/tests/unit/test_lots_recent_reads.py
+++ b/tests/unit/test_lots_recent_reads.py
@@ -7,7 +7,7 @@
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.lots.commands import ItemBody
-from leverjunction.lots.recent_reads import RECENT_S, answer_recent
+from leverjunction.lots.recent_reads import MAX_STALENESS_S, answer_recent
 from leverjunction.wire.codec import decode_reply, encode_reply
 
 HERE = ItemBody(b"\x00here")
@@ -46,14 +46,14 @@
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
 def test_a_recent_state_answers(role: str) -> None:
-    assert ask(role, RECENT_S / 2, encode_reply(HERE)) == HERE
+    assert ask(role, MAX_STALENESS_S / 2, encode_reply(HERE)) == HERE
 
 
 @pytest.mark.parametrize(
     ("role", "age_s", "answer"),
     [
-        ("follower", RECENT_S * 1.1, encode_reply(HERE)),
-        ("leader", RECENT_S * 1.1, encode_reply(HERE)),
+        ("follower", MAX_STALENESS_S * 1.1, encode_reply(HERE)),
+        ("leader", MAX_STALENESS_S * 1.1, encode_reply(HERE)),
         ("candidate", 0.0, encode_reply(HERE)),
         ("learner", 0.0, encode_reply(HERE)),
         ("blank", 0.0, encode_reply(HERE)),
