--- a/tests/unit/test_lots_client.py
+++ b/tests/unit/test_lots_client.py
@@ -1,4 +1,4 @@
-"""A gateway's calls to the stores: leader first, bounded in time, true about what may have run."""
+"""Lots client: finds the leader, bounds the time, reports whether a call may have run."""
 
 from __future__ import annotations
 
@@ -29,7 +29,14 @@
 
 
 class Stores:
-    """Stands for the RPC client and for the follower."""
+    """Test double for the RPC client and for the registry follower.
+
+    Attributes:
+        answers: Replies of the stores, by the first letter of their address.
+        asked: First letters of the addresses that were called, in order.
+        given_s: Timeouts of these calls.
+        kinds: Message kinds of these calls.
+    """
 
     def __init__(self, **answers: Answer) -> None:
         self.answers = answers
@@ -54,7 +61,7 @@
         return self.answers[peer[0]](timeout_s)
 
 
-def taken(_timeout_s: float) -> bytes:
+def accepting(_timeout_s: float) -> bytes:
     return encode_reply(LotAccepted("lot"))
 
 
@@ -86,43 +93,43 @@
     return LotsClient(stores, stores, "z2")  # type: ignore[arg-type]
 
 
-def test_the_leader_is_found_and_asked_first_from_then_on() -> None:
-    stores = Stores(a=NOT_LEADER, b=NOT_LEADER, c=taken)
+def test_leader_is_found_and_called_first_afterwards() -> None:
+    stores = Stores(a=NOT_LEADER, b=NOT_LEADER, c=accepting)
     client = make(stores)
     assert call(client) == LotAccepted("lot")
     assert call(client) == LotAccepted("lot")
     assert stores.asked == ["a", "b", "c", "c"]
 
 
-def test_a_store_that_does_not_lead_says_who_does() -> None:
+def test_leader_named_by_a_store_is_called_next() -> None:
     stores = Stores(
-        a=refusing(FailureKind.NOT_LEADER, Execution.NOT_RUN, "c:1"), b=NOT_LEADER, c=taken
+        a=refusing(FailureKind.NOT_LEADER, Execution.NOT_RUN, "c:1"), b=NOT_LEADER, c=accepting
     )
     assert call(make(stores)) == LotAccepted("lot")
     assert stores.asked == ["a", "c"]
 
 
-def test_calls_are_not_passed_on_from_store_to_store() -> None:
-    """A store that was cut off held each call that it should pass on, for over a second."""
-    stores = Stores(a=NOT_LEADER, b=taken, c=taken)
+def test_stores_are_told_not_to_forward_calls() -> None:
+    """A partitioned store delayed each call that it had to forward by more than a second."""
+    stores = Stores(a=NOT_LEADER, b=accepting, c=accepting)
     assert call(make(stores)) == LotAccepted("lot")
     assert stores.kinds == [MessageKind.FORWARDED_PROPOSE] * 2
 
 
-def test_a_silent_store_is_passed_over_while_the_caller_still_waits() -> None:
-    stores = Stores(a=silent, b=taken, c=taken)
+def test_silent_store_is_skipped_after_a_short_timeout() -> None:
+    stores = Stores(a=silent, b=accepting, c=accepting)
     assert call(make(stores)) == LotAccepted("lot")
-    # What the silent store was given, not the time on the clock: that counts other processes too.
+    # Checks the timeout given to the call, since the elapsed time depends on other processes too.
     assert stores.asked == ["a", "b"]
     assert stores.given_s[0] < 0.4
 
 
-def test_an_election_is_waited_for() -> None:
+def test_call_is_retried_during_an_election() -> None:
     refusals = iter([NOT_LEADER] * 4)
     stores = Stores(
         a=NOT_LEADER,
         b=NOT_LEADER,
-        c=lambda timeout_s: next(refusals, taken)(timeout_s),
+        c=lambda timeout_s: next(refusals, accepting)(timeout_s),
     )
     assert call(make(stores)) == LotAccepted("lot")
     assert len(stores.asked) == 15
@@ -135,16 +142,19 @@
         (refusing(FailureKind.TIMEOUT, Execution.UNKNOWN), Execution.UNKNOWN),
     ],
 )
-def test_what_may_have_been_taken_is_not_called_not_run(
+def test_call_that_may_have_run_is_not_reported_as_not_run(
     first: Answer, execution: Execution
 ) -> None:
-    """503 promises that nothing of a lot runs; one store may have taken it, the others refuse."""
+    """A 503 response promises that nothing of the lot runs.
+
+    Here the first store may have accepted it, although the others refuse.
+    """
     reply = call(make(Stores(a=first, b=NOT_LEADER, c=NOT_LEADER)))
     assert isinstance(reply, Failure)
     assert reply.execution is execution
 
 
-def test_a_lot_that_does_not_exist_is_told_at_once() -> None:
+def test_not_found_is_returned_without_further_calls() -> None:
     stores = Stores(
         a=refusing(FailureKind.NOT_FOUND, Execution.NOT_RUN), b=NOT_LEADER, c=NOT_LEADER
     )
@@ -153,7 +163,7 @@
     assert (reply.kind, stores.asked) == (FailureKind.NOT_FOUND, ["a"])
 
 
-def test_silent_stores_do_not_hold_a_call_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_time_of_a_call_to_silent_stores_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_module, "CALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(client_module, "CALL_BUDGET_S", 0.5)
     started_s = time.monotonic()
@@ -168,17 +178,17 @@
 
 
 @pytest.mark.parametrize(
-    ("near", "asked"),
+    ("local", "asked"),
     [
         (page, ["b"]),
         (refusing(FailureKind.NOT_LEADER, Execution.NOT_RUN, "c:1"), ["b", "c"]),
         (silent, ["b", "a", "c"]),
     ],
-    ids=["recent", "old", "silent"],
+    ids=["recent", "stale", "silent"],
 )
-def test_results_are_read_from_the_store_of_the_own_zone(near: Answer, asked: list[str]) -> None:
-    """Each page of results crossed zones twice: to a store that passed the call on, and back."""
-    stores = Stores(a=NOT_LEADER, b=near, c=page)
+def test_results_are_read_from_the_store_in_the_same_zone(local: Answer, asked: list[str]) -> None:
+    """Guards against result pages crossing zones twice: to a store that forwards, and back."""
+    stores = Stores(a=NOT_LEADER, b=local, c=page)
     query = ReadResults(lot_id="lot", after=0, most_bytes=1000)
     reply = asyncio.run(make(stores).query(query, ResultsPage))
     assert reply == ResultsPage(total=1, results=())
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -1,4 +1,4 @@
-"""What the outbox brings to the group when outcomes of commands are unknown."""
+"""The outbox records results and progress although outcomes of commands are unknown."""
 
 from __future__ import annotations
 
@@ -28,19 +28,20 @@
 from leverjunction.wire.codec import decode_reply, encode, encode_reply
 
 EVENTS = 6
-WHOLE_TEXT = "\n".join(f"event {number}" for number in range(1, EVENTS + 1))
+FULL_TEXT = "\n".join(f"event {number}" for number in range(1, EVENTS + 1))
 
 
 class SingleReplicaGroup:
-    """A group of one replica that commits all, and tells the proposer so or not.
+    """A group of one replica that commits every command, with or without a timely reply.
 
     Attributes:
-        late: Whether each commit comes after its proposer has stopped waiting.
-        largest_bytes: Of the commands so far.
+        times_out: Whether commits take longer than the proposal timeout: the proposer gets a
+            failure of unknown outcome although the command is applied.
+        largest_bytes: Size of the largest command so far.
     """
 
     def __init__(self) -> None:
-        self.late = False
+        self.times_out = False
         self.largest_bytes = 0
         self._machine = LotsStateMachine()
         self._connection = sqlite3.connect(
@@ -56,12 +57,12 @@
         try:
             reply = self._machine.apply(self._connection, context, command)
         except sqlite3.IntegrityError as error:
-            # As the engine does with a command that the state machine cannot take.
+            # The consensus engine also rolls back a command at which the state machine raises.
             self._connection.execute("ROLLBACK TO entry")
             reply = encode_reply(_refused(error))
         self._connection.execute("RELEASE entry")
         self.largest_bytes = max(self.largest_bytes, len(command))
-        if not self.late:
+        if not self.times_out:
             return reply
         return Failure(
             kind=FailureKind.TIMEOUT,
@@ -85,7 +86,7 @@
         return {item.item_id: (item.state.value, item.text) for item in page.results}
 
     def runs(self) -> list[ItemRun]:
-        """Open items as the runner takes them in, their streams as a first run has them."""
+        """Return the open items as runs, ready for their first events."""
         opened = decode_reply(self.query_local(encode(ReadOpenItems())), OpenItems)
         assert isinstance(opened, OpenItems)
         runs = [ItemRun(item) for item in opened.items]
@@ -94,7 +95,7 @@
         return runs
 
     def progress(self) -> RecordedProgress | Failure:
-        """Events of the first item that the group has."""
+        """Return the recorded progress of the first item."""
         return decode_reply(
             self.query_local(encode(ReadProgress("lot", "item-0"))), RecordedProgress
         )
@@ -144,30 +145,29 @@
 
 
 def feed(run: ItemRun, first: int, last: int) -> None:
-    """Have a run give some of its item's events."""
+    """Feed events ``first`` to ``last`` into the stream of a run."""
     for number in range(first, last + 1):
         run.stream.feed(b"id: %d\ndata: event %d\n\n" % (number, number))
 
 
 async def record(outbox: Outbox, runs: list[ItemRun]) -> None:
-    """Record what is new, progress included."""
+    """Wait until progress is due, then record everything new."""
     await asyncio.sleep(PROGRESS_INTERVAL_S)
     await outbox.record(runs)
 
 
-def test_items_end_while_each_commit_outlasts_its_proposer() -> None:
-    """Items stayed open for good while commits took longer than 1.5 s.
+def test_items_end_while_commits_outlast_the_proposal_timeout() -> None:
+    """Guards against items that stay open for good while commits take longer than 1.5 s.
 
-    Symptom: items that were under way when commits became slow had one run, which ended, and no
-    later one. Sequence: some events recorded in time; more events committed, though their proposer
-    had given up; the end of the run. Cause: the outbox did not know of the second commit, so the
-    result followed on fewer events than the group had and was refused, each time anew, and an item
-    with a result is not run again. What settled it: with commits of 1.6 to 5 s, plays of 24 items
-    ended after 40 s with items open; those looked at had no task and a result that waited; 300 to
-    422 parts refused a play, and the line "no quorum answered within 1.5 s" at each try.
+    Some events are recorded in time; more are committed after the proposal has timed out; then the
+    run ends. An outbox that does not know of the second commit sends a result that continues fewer
+    events than the group has recorded. The group rejects it at every attempt, and an item with a
+    waiting result is not run again. Seen with commits of 1.6 to 5 s: after 40 s some of 24 items
+    were still open, with 300 to 422 parts rejected per test run and "no quorum answered within
+    1.5 s" logged at each attempt.
     """
 
-    async def play() -> None:
+    async def scenario() -> None:
         group = submitted(3)
         runs = group.runs()
         outbox = Outbox(group)
@@ -175,7 +175,7 @@
             feed(run, 1, 2)
         await record(outbox, runs)
         assert group.progress() == RecordedProgress(2, "2")
-        group.late = True
+        group.times_out = True
         for run in runs:
             feed(run, 3, 4)
         await record(outbox, runs)
@@ -184,42 +184,41 @@
             feed(run, 5, EVENTS)
             outbox.complete(run)
         await record(outbox, runs)
-        assert group.results() == {f"item-{n}": ("done", WHOLE_TEXT) for n in range(3)}
+        assert group.results() == {f"item-{n}": ("done", FULL_TEXT) for n in range(3)}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_failed_run_counts_once_though_its_command_is_repeated() -> None:
-    """Items were given up after two failed runs where three were allowed.
+def test_failed_run_counts_once_when_its_command_is_repeated() -> None:
+    """Guards against items being given up after two failed runs where three are allowed.
 
-    Sequence: a run fails; the command that counts it is committed, though its proposer had given
-    up; the outbox sends it again; another store takes the lead and reads two failed runs where one
-    was. Cause: the command said "one more" and not "how many". What settled it: with failing back
-    ends and uncertain commits, "is given up: 3 runs failed" for items of which back ends had
-    answered 500 twice, in 2 of 40 plays with 8 % of failing runs and in 2 of 10 with 35 %.
+    A run fails; the command that counts it is committed after its proposal has timed out, so the
+    outbox sends it again. If the command added one instead of stating the total, a new leader would
+    read two failed runs. Seen with uncertain commits as items given up after "3 runs failed" for
+    which back ends had answered 500 twice: in 2 of 40 test runs with 8 % of failing item runs, and
+    in 2 of 10 with 35 %.
     """
 
-    async def play() -> None:
+    async def scenario() -> None:
         group = submitted(1)
         (run,) = group.runs()
         outbox = Outbox(group)
         run.failures += 1
         outbox.add_failure(run)
-        group.late = True
+        group.times_out = True
         await outbox.record([run])
-        group.late = False
+        group.times_out = False
         await outbox.record([run])
         assert [run.item.failures for run in group.runs()] == [1]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_part_that_cannot_be_taken_holds_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No result of a store would be listed any more, because of one.
+def test_faulty_part_does_not_block_other_parts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against one faulty result blocking all results of a store.
 
-    Sequence: the state machine raises at one part of a command; all of it is undone; the outbox
-    sends the same parts again. Cause: parts of many items share a command's fate. What settled it:
-    "the state machine did not take the command" at each try, nothing listed, the outbox full.
+    If the state machine raises at one part of a command and the whole command is rolled back, the
+    outbox sends the same parts again, and no result is ever recorded.
     """
     full_output = progress_rows.full_output
 
@@ -230,7 +229,7 @@
 
     monkeypatch.setattr(progress_rows, "full_output", fail_at_one)
 
-    async def play() -> None:
+    async def scenario() -> None:
         group = submitted(3)
         runs = group.runs()
         outbox = Outbox(group)
@@ -238,18 +237,18 @@
             feed(run, 1, EVENTS)
             outbox.complete(run)
         await outbox.record(runs)
-        assert group.results() == {f"item-{n}": ("done", WHOLE_TEXT) for n in (0, 2)}
-        # It is run again, from what the group has.
+        assert group.results() == {f"item-{n}": ("done", FULL_TEXT) for n in (0, 2)}
+        # The item is run again, after its recorded events.
         assert not outbox.has_result(runs[1])
         assert not runs[1].follows
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_gathers_in_a_stall_goes_in_commands_of_bounded_size() -> None:
+def test_parts_from_a_stall_are_sent_in_commands_of_bounded_size() -> None:
     size_bytes = COMMAND_TEXT_BYTES // 2
 
-    async def play() -> None:
+    async def scenario() -> None:
         group = submitted(9)
         runs = group.runs()
         outbox = Outbox(group)
@@ -265,17 +264,17 @@
         assert [run.stream.recorded for run in runs[5:]] == [1] * 4
         assert group.largest_bytes < 2 * COMMAND_TEXT_BYTES
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_is_not_open_any_more_is_forgotten_without_an_answer() -> None:
-    """Results were sent again and again, each time with those that came since."""
+def test_parts_of_closed_items_are_dropped_without_a_reply() -> None:
+    """Guards against sending recorded results again in every command when replies are lost."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         group = submitted(2)
         runs = group.runs()
         outbox = Outbox(group)
-        group.late = True
+        group.times_out = True
         for run in runs:
             feed(run, 1, EVENTS)
             run.failures += 1
@@ -288,4 +287,4 @@
         outbox.retain(frozenset())
         assert outbox.is_empty
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/unit/test_lots_outbox_refused.py
+++ b/tests/unit/test_lots_outbox_refused.py
@@ -1,11 +1,10 @@
-"""A result that the group refuses is found out though no answer comes in time.
-
-Symptom: an accepted item has one run, which ended, and no later one, while commits take longer than
-1.5 s; items that came later are listed. Sequence: a store takes the lead and reads an item's
-progress before the last command of the leader before it is applied; its run gives other events than
-those that command has; the run ends, and its result is refused, but the answer comes too late.
-Cause: that a part was refused is learnt from the answer alone. The outbox sends the result again
-and again, the group refuses it each time, and an item with a result is not run again.
+"""The outbox detects that the group rejects a result although no reply arrives in time.
+
+Guards against an item that is never run again while commits take longer than 1.5 s. A new leader
+reads an item's progress before the previous leader's last command is applied, and its own run
+produces other events than that command contains. The result of the run is rejected, but the reply
+comes too late. If rejections were learnt from replies alone, the outbox would send the result
+without end, and an item with a waiting result is not run again.
 """
 
 from __future__ import annotations
@@ -26,28 +25,30 @@
 from leverjunction.wire.codec import decode_reply, encode
 
 
-def test_a_refused_result_is_run_again_while_each_commit_outlasts_its_proposer() -> None:
-    async def play() -> None:
+def test_item_with_rejected_result_is_run_again_while_commits_time_out() -> None:
+    async def scenario() -> None:
         group = submitted(1)
         (run,) = group.runs()
         outbox = Outbox(group)
         feed(run, 1, 2)
         await record(outbox, [run])
-        # The last word of the leader before, applied only now; its run gave another text.
-        before = ItemProgress(
+        # The last command of the previous leader, applied only now; its run produced another text.
+        late_progress = ItemProgress(
             lot_id="lot", item_id="item-0", start=2, count=1, last_id="3", text="another 3"
         )
-        group.propose(encode_command(RecordRuns(progress=(before,), repeats=True)), 1.0)
+        group.propose(encode_command(RecordRuns(progress=(late_progress,), repeats=True)), 1.0)
         assert group.progress() == RecordedProgress(3, "3")
-        group.late = True
+        group.times_out = True
         feed(run, 3, EVENTS)
         outbox.complete(run)
         for _ in range(5):
             await record(outbox, [run])
-            # As the runner does every two seconds.
-            opened = decode_reply(group.query_local(encode(ReadOpenKeys())), OpenKeys)
-            assert isinstance(opened, OpenKeys)
-            outbox.retain(frozenset(opened.keys))
-        assert group.results() or not outbox.has_result(run), "neither listed nor to be run again"
+            # The runner does this every two seconds.
+            reply = decode_reply(group.query_local(encode(ReadOpenKeys())), OpenKeys)
+            assert isinstance(reply, OpenKeys)
+            outbox.retain(frozenset(reply.keys))
+        assert group.results() or not outbox.has_result(run), (
+            "no result recorded, and the item is not run again"
+        )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/unit/test_lots_state_machine.py
+++ b/tests/unit/test_lots_state_machine.py
@@ -1,4 +1,4 @@
-"""Lots: taken once, first result stands, stable positions, nothing runs after the end."""
+"""Invariants of the lots state machine: idempotent submission, final results, stable positions."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Lots:
-    """The state machine on a database in memory."""
+    """The state machine on an in-memory database."""
 
     def __init__(self) -> None:
         self.machine = LotsStateMachine()
@@ -53,18 +53,20 @@
         raw = self.machine.apply(self.connection, context, encode_command(command))
         return decode_reply(raw, reply_type)
 
-    def ask(self, query: msgspec.Struct, reply_type: type) -> object:
+    def query(self, query: msgspec.Struct, reply_type: type) -> object:
         return decode_reply(self.machine.query(self.connection, encode(query)), reply_type)
 
     def page(self, after: int = 0, most_bytes: int = 1000) -> ResultsPage:
-        page = self.ask(ReadResults(lot_id="lot", after=after, most_bytes=most_bytes), ResultsPage)
+        page = self.query(
+            ReadResults(lot_id="lot", after=after, most_bytes=most_bytes), ResultsPage
+        )
         assert isinstance(page, ResultsPage)
         return page
 
     def open_items(self) -> list[str]:
-        opened = self.ask(ReadOpenItems(), OpenItems)
-        assert isinstance(opened, OpenItems)
-        return [item.item_id for item in opened.items]
+        reply = self.query(ReadOpenItems(), OpenItems)
+        assert isinstance(reply, OpenItems)
+        return [item.item_id for item in reply.items]
 
     def done(self, item: str, text: str = "text") -> object:
         result = ItemResult(lot_id="lot", item_id=item, state=ItemState.DONE, text=text)
@@ -93,7 +95,7 @@
     return lots
 
 
-def test_a_lot_that_is_sent_again_is_taken_once(lots: Lots) -> None:
+def test_submitting_a_lot_again_changes_nothing(lots: Lots) -> None:
     assert lots.apply(submit("a", "b", "c"), LotAccepted) == LotAccepted("lot")
     assert lots.open_items() == ["a", "b", "c"]
     assert lots.page().total == 3
@@ -108,31 +110,31 @@
     assert lots.open_items() == []
 
 
-def test_the_first_result_stands(lots: Lots) -> None:
+def test_first_result_of_an_item_is_final(lots: Lots) -> None:
     lots.done("a", "first")
     assert lots.done("a", "second") == Recorded(0)
     assert [item.text for item in lots.page().results] == ["first"]
 
 
-def test_a_page_holds_at_least_one_result(lots: Lots) -> None:
+def test_page_contains_at_least_one_result(lots: Lots) -> None:
     for item in ("a", "b", "c"):
         lots.done(item, "x" * 600)
     assert len(lots.page(most_bytes=10).results) == 1
     assert len(lots.page(most_bytes=1250).results) == 2
 
 
-def test_a_result_of_an_unknown_item_is_dropped(lots: Lots) -> None:
+def test_result_of_an_unknown_item_is_ignored(lots: Lots) -> None:
     assert lots.done("z") == Recorded(0)
     assert lots.page().results == ()
 
 
-def test_bodies_return_as_they_came_until_the_item_is_listed(lots: Lots) -> None:
-    assert lots.ask(ReadBody("lot", "a"), ItemBody) == ItemBody(b"\xff\x00")
+def test_body_is_readable_until_the_item_has_a_result(lots: Lots) -> None:
+    assert lots.query(ReadBody("lot", "a"), ItemBody) == ItemBody(b"\xff\x00")
     lots.done("a")
-    assert isinstance(lots.ask(ReadBody("lot", "a"), ItemBody), Failure)
+    assert isinstance(lots.query(ReadBody("lot", "a"), ItemBody), Failure)
 
 
-def test_after_its_end_nothing_runs_and_what_is_listed_stays(lots: Lots) -> None:
+def test_ended_lot_keeps_its_results_and_has_no_open_items(lots: Lots) -> None:
     lots.done("a")
     assert lots.apply(EndLot("lot"), LotAccepted) == LotAccepted("lot")
     assert lots.apply(EndLot("lot"), LotAccepted) == LotAccepted("lot")
@@ -140,7 +142,7 @@
     assert lots.done("b") == Recorded(0)
     assert [item.item_id for item in lots.page().results] == ["a"]
     assert lots.page().total == 3
-    # A late resend of the lot does not begin it anew.
+    # A late resend of the lot does not reopen it.
     lots.apply(submit("a", "b", "c"), LotAccepted)
     assert lots.open_items() == []
 
@@ -148,17 +150,17 @@
 def test_failed_runs_are_counted(lots: Lots) -> None:
     failure = ItemFailure(lot_id="lot", item_id="b")
     lots.apply(RecordRuns(failures=(failure, failure)))
-    opened = lots.ask(ReadOpenItems(), OpenItems)
-    assert isinstance(opened, OpenItems)
-    assert [item.failures for item in opened.items] == [0, 2, 0]
+    reply = lots.query(ReadOpenItems(), OpenItems)
+    assert isinstance(reply, OpenItems)
+    assert [item.failures for item in reply.items] == [0, 2, 0]
 
 
-def test_failed_runs_that_come_with_their_number_are_not_counted_again(lots: Lots) -> None:
+def test_failed_runs_with_their_number_are_not_counted_twice(lots: Lots) -> None:
     for count in (1, 2, 2, 1):
         lots.apply(RecordRuns(failures=(ItemFailure(lot_id="lot", item_id="b", failures=count),)))
-    opened = lots.ask(ReadOpenItems(), OpenItems)
-    assert isinstance(opened, OpenItems)
-    assert [item.failures for item in opened.items] == [0, 2, 0]
+    reply = lots.query(ReadOpenItems(), OpenItems)
+    assert isinstance(reply, OpenItems)
+    assert [item.failures for item in reply.items] == [0, 2, 0]
 
 
 def test_an_unknown_lot_is_not_found(lots: Lots) -> None:
@@ -166,16 +168,16 @@
         (ReadResults("x", 0, 10), ResultsPage),
         (ReadBody("x", "a"), ItemBody),
     ):
-        failure = lots.ask(query, reply_type)
+        failure = lots.query(query, reply_type)
         assert isinstance(failure, Failure)
         assert failure.kind is FailureKind.NOT_FOUND
 
 
-def test_only_lots_that_are_over_are_forgotten(lots: Lots) -> None:
+def test_only_complete_or_ended_lots_are_deleted(lots: Lots) -> None:
     lots.apply(submit("a", lot="old"), LotAccepted)
     lots.apply(EndLot("old"), LotAccepted)
     assert lots.apply(ForgetLots(before_ms=10**9)) == Recorded(1)
-    assert isinstance(lots.ask(ReadResults("old", 0, 10), ResultsPage), Failure)
+    assert isinstance(lots.query(ReadResults("old", 0, 10), ResultsPage), Failure)
     assert lots.page().total == 3
 
 
@@ -190,8 +192,8 @@
     )
 
 
-def known(lots: Lots, item: str = "a") -> object:
-    return lots.ask(ReadProgress("lot", item), RecordedProgress)
+def recorded_progress(lots: Lots, item: str = "a") -> object:
+    return lots.query(ReadProgress("lot", item), RecordedProgress)
 
 
 def finish(lots: Lots, start: int, *events: str, repeats: bool = False) -> object:
@@ -206,22 +208,22 @@
     return lots.apply(RecordRuns(results=(result,), repeats=repeats))
 
 
-@pytest.mark.parametrize("rest", [("three",), (), ("", "four")], ids=["one", "none", "empty"])
-def test_a_result_is_put_together_from_what_was_recorded(lots: Lots, rest: tuple[str, ...]) -> None:
+@pytest.mark.parametrize("new_events", [("three",), (), ("", "four")], ids=["one", "none", "empty"])
+def test_result_is_assembled_from_recorded_events(lots: Lots, new_events: tuple[str, ...]) -> None:
     assert lots.apply(RecordRuns(progress=(progress(0, "one"),))) == Recorded(1)
     assert lots.apply(RecordRuns(progress=(progress(1, "", "two"),))) == Recorded(1)
-    assert known(lots) == RecordedProgress(3, "3")
-    assert finish(lots, 3, *rest) == Recorded(1)
-    assert lots.page().results[0].text == "\n".join(("one", "", "two", *rest))
-    assert known(lots) == RecordedProgress()
+    assert recorded_progress(lots) == RecordedProgress(3, "3")
+    assert finish(lots, 3, *new_events) == Recorded(1)
+    assert lots.page().results[0].text == "\n".join(("one", "", "two", *new_events))
+    assert recorded_progress(lots) == RecordedProgress()
 
 
 @pytest.mark.parametrize("start", [0, 1, 3])
-def test_the_pieces_of_two_runs_are_never_joined(lots: Lots, start: int) -> None:
+def test_events_of_two_runs_are_never_mixed(lots: Lots, start: int) -> None:
     lots.apply(RecordRuns(progress=(progress(0, "one", "two"),)))
     rejected = Recorded(0, (("lot", "a"),))
     assert lots.apply(RecordRuns(progress=(progress(start, "other"),))) == rejected
-    assert known(lots) == RecordedProgress(2, "2")
+    assert recorded_progress(lots) == RecordedProgress(2, "2")
     if start:
         assert finish(lots, start, "other") == rejected
         assert "a" in lots.open_items()
@@ -229,7 +231,7 @@
 
 @pytest.fixture
 def recorded(lots: Lots) -> Lots:
-    """Four events of an item in three pieces."""
+    """A lot with four recorded events of item ``a``, recorded by three commands."""
     for part in (progress(0, "a"), progress(1, "b"), progress(2, "", "two")):
         assert lots.apply(RecordRuns(progress=(part,))) == Recorded(1)
     return lots
@@ -244,18 +246,20 @@
         (0, ("a", "b", "", "two")),
     ],
 )
-def test_events_that_come_again_are_taken_once(
+def test_repeated_events_are_recorded_once(
     recorded: Lots, start: int, events: tuple[str, ...]
 ) -> None:
     part = progress(start, *events)
-    # A command of an older process is applied as it was then, whoever applies it.
+    # Without ``repeats``, as in commands of older versions, repeated events are rejected.
     assert recorded.apply(RecordRuns(progress=(part,))) == Recorded(0, (("lot", "a"),))
     for _ in range(2):
         assert recorded.apply(RecordRuns(progress=(part,), repeats=True)) == Recorded(1)
-        assert known(recorded) == RecordedProgress(start + len(events), str(start + len(events)))
+        assert recorded_progress(recorded) == RecordedProgress(
+            start + len(events), str(start + len(events))
+        )
     assert finish(recorded, start, *events, "end", repeats=True) == Recorded(1)
-    whole = ("a", "b", "", "two")[:start] + events + ("end",)
-    assert recorded.page().results[0].text == "\n".join(whole)
+    full_text = ("a", "b", "", "two")[:start] + events + ("end",)
+    assert recorded.page().results[0].text == "\n".join(full_text)
 
 
 @pytest.mark.parametrize(
@@ -271,33 +275,33 @@
         (5, ("three",)),
     ],
 )
-def test_events_that_are_not_those_recorded_are_refused(
+def test_events_that_differ_from_the_recorded_ones_are_rejected(
     recorded: Lots, start: int, events: tuple[str, ...]
 ) -> None:
-    refused = Recorded(0, (("lot", "a"),))
+    rejected = Recorded(0, (("lot", "a"),))
     part = progress(start, *events)
-    assert recorded.apply(RecordRuns(progress=(part,), repeats=True)) == refused
-    assert finish(recorded, start, *events, repeats=True) == refused
-    assert known(recorded) == RecordedProgress(4, "4")
+    assert recorded.apply(RecordRuns(progress=(part,), repeats=True)) == rejected
+    assert finish(recorded, start, *events, repeats=True) == rejected
+    assert recorded_progress(recorded) == RecordedProgress(4, "4")
 
 
-def test_a_whole_result_stands_whatever_was_recorded(lots: Lots) -> None:
+def test_result_with_all_events_replaces_recorded_progress(lots: Lots) -> None:
     lots.apply(RecordRuns(progress=(progress(0, "one"),)))
     assert finish(lots, 0, "one", "two") == Recorded(1)
     assert lots.page().results[0].text == "one\ntwo"
 
 
-def test_nothing_is_recorded_of_what_is_listed_or_over(lots: Lots) -> None:
+def test_progress_of_closed_items_is_ignored(lots: Lots) -> None:
     lots.done("a")
     assert lots.apply(RecordRuns(progress=(progress(0, "one"),))) == Recorded(0)
     lots.apply(RecordRuns(progress=(progress(0, "one", item="b"),)))
     lots.apply(EndLot("lot"), LotAccepted)
-    assert known(lots, "b") == RecordedProgress()
+    assert recorded_progress(lots, "b") == RecordedProgress()
     assert lots.apply(RecordRuns(progress=(progress(1, "two", item="b"),))) == Recorded(0)
 
 
-def test_progress_does_not_change_what_is_open() -> None:
-    """Reading all open items anew several times a second would cost the leader its time."""
+def test_progress_does_not_mark_open_items_changed() -> None:
+    """Guards against the leader reading all open items again at each progress command."""
     lots = Lots()
     assert not lots.machine.open_items_changed
     lots.apply(submit("a"), LotAccepted)
@@ -309,14 +313,14 @@
     assert lots.machine.open_items_changed
 
 
-def test_open_items_are_read_by_their_keys_or_by_lot(lots: Lots) -> None:
+def test_open_items_are_queried_by_key_or_by_lot(lots: Lots) -> None:
     lots.apply(submit("x", lot="other"), LotAccepted)
     lots.done("b")
-    keys = lots.ask(ReadOpenKeys(), OpenKeys)
+    keys = lots.query(ReadOpenKeys(), OpenKeys)
     assert isinstance(keys, OpenKeys)
     assert sorted(keys.keys) == [("lot", "a"), ("lot", "c"), ("other", "x")]
-    of_one = lots.ask(ReadOpenItems("other"), OpenItems)
-    assert isinstance(of_one, OpenItems)
-    assert [item.item_id for item in of_one.items] == ["x"]
+    one_lot = lots.query(ReadOpenItems("other"), OpenItems)
+    assert isinstance(one_lot, OpenItems)
+    assert [item.item_id for item in one_lot.items] == ["x"]
     lots.apply(EndLot("lot"), LotAccepted)
-    assert lots.ask(ReadOpenKeys(), OpenKeys) == OpenKeys((("other", "x"),))
+    assert lots.query(ReadOpenKeys(), OpenKeys) == OpenKeys((("other", "x"),))
