--- a/tests/unit/lots_simulation.py
+++ b/tests/unit/lots_simulation.py
@@ -1,7 +1,7 @@
-"""The group that keeps lots in virtual time: its commands, lost disks and changing machines.
+"""Simulation of the lots group in virtual time, with lost disks and replaced machines.
 
-What its tables must hold is told by the committed commands alone: they are applied once more, in
-order, on an empty database that knows no crash and no snapshot.
+The expected tables are computed from the committed commands alone: these are applied in order to an
+empty database, without crashes and snapshots.
 """
 
 from __future__ import annotations
@@ -37,20 +37,20 @@
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.wire.codec import decode_reply, encode
 
-CALM_AT_MOST_S = 200.0
-CALM_STEP_S = 5.0
-REPEATED_WITHIN_S = 5.0
+RECOVERY_TIMEOUT_S = 200.0
+RECOVERY_STEP_S = 5.0
+REPEAT_WINDOW_S = 5.0
 FORGET_AGE_S = (12.0, 25.0)
-"""Age of lots that are forgotten, in seconds: no command is sent again so late."""
+"""Range of the age from which lots are deleted, in seconds; no command is repeated that late."""
 
-KILL_AFTER_S = (0.005, 0.4)
-"""When all replicas are killed after an answer, in seconds."""
+KILL_DELAY_S = (0.005, 0.4)
+"""Range of the delay before all replicas are killed, in seconds."""
 
 ItemKey = tuple[str, str]
 
 
-class RecordingLots(LotsStateMachine):
-    """Notes each committed command; every replica must be given the same at an index."""
+class RecordingStateMachine(LotsStateMachine):
+    """Records each committed command; asserts that all replicas apply the same at an index."""
 
     def __init__(self, log: dict[int, tuple[ApplyContext, bytes]]) -> None:
         super().__init__()
@@ -63,7 +63,19 @@
 
 
 class LotsSimulation(Simulation):
-    """Voters and spare machines; ``act`` does one random thing."""
+    """A group with voters and spare machines; ``step_randomly`` performs one random action.
+
+    Attributes:
+        log: Committed commands by index, with their contexts.
+        sent: Commands sent, with the time of sending in seconds.
+        events: Number of events of each item.
+        lots: Ids of the submitted lots.
+        read_results: Longest list of results that a read has returned, by lot.
+        lost_disks: Addresses whose disk was lost and not repaired yet.
+        max_lost_disks: Number of disks that the group can lose at once.
+        target: Addresses of the machines that should be voters.
+        spares: Addresses of the empty machines.
+    """
 
     chunk_bytes = 300
 
@@ -72,9 +84,9 @@
         self.sent: list[tuple[float, bytes]] = []
         self.events: dict[ItemKey, int] = {}
         self.lots: list[str] = []
-        self.shown: dict[str, tuple[ItemResult, ...]] = {}
-        self.lost: set[str] = set()
-        self.most_lost = (size - 1) // 2
+        self.read_results: dict[str, tuple[ItemResult, ...]] = {}
+        self.lost_disks: set[str] = set()
+        self.max_lost_disks = (size - 1) // 2
         self._lot_numbers = itertools.count()
         super().__init__(seed, size)
         self.target = set(self.addresses)
@@ -83,7 +95,7 @@
             self.nodes[address] = Node(address)
 
     def make_machine(self, address: str) -> StateMachine:
-        return RecordingLots(self.log)
+        return RecordingStateMachine(self.log)
 
     def leader(self) -> Node | None:
         """Return the leader of the highest term."""
@@ -94,20 +106,20 @@
         ]
         return self.nodes[max(leaders)[1]] if leaders else None
 
-    def act(self) -> None:
-        """Let a client, an operator or a fault act."""
-        self._take_away()
+    def step_randomly(self) -> None:
+        """Perform one random action of a client or an operator, or cause a fault."""
+        self._remove_old_machines()
         actions: list[tuple[float, Callable[[], None]]] = [
-            (0.16, self._submit),
-            (0.40, self._record),
-            (0.10, self._repeat),
-            (0.03, self._end),
-            (0.02, self._forget),
-            (0.10, self._read_results),
+            (0.16, self._submit_lot),
+            (0.40, self._record_runs),
+            (0.10, self._repeat_command),
+            (0.03, self._end_lot),
+            (0.02, self._forget_lots),
+            (0.10, self._query_results),
             (0.04, self._crash_one),
             (0.03, self._lose_disk),
-            (0.03, self._cut),
-            (0.03, self._change_machines),
+            (0.03, self._partition),
+            (0.03, self._replace_machine),
             (0.02, self._kill_all_soon),
             (0.04, lambda: None),
         ]
@@ -132,7 +144,7 @@
         if self.nodes[address].engine is not None:
             self.put(address, self._expect(address, answered), body)
 
-    def _submit(self) -> None:
+    def _submit_lot(self) -> None:
         lot_id = f"lot-{next(self._lot_numbers)}"
         items = [f"i{number}" for number in range(self.random.randint(1, 8))]
         for item in items:
@@ -159,8 +171,8 @@
             )
         )
 
-    def _record(self) -> None:
-        """Record what runs of open items brought, mostly going on from what the leader has."""
+    def _record_runs(self) -> None:
+        """Record output of open items, mostly continuing the events that the leader has."""
         leader = self.leader()
         if leader is None or leader.connection is None:
             return
@@ -208,33 +220,33 @@
             count=end - start,
         )
 
-    def _repeat(self) -> None:
-        """Send a command again, as after an outcome that was not known."""
-        self.sent = [sent for sent in self.sent if self.now_s - sent[0] < REPEATED_WITHIN_S]
+    def _repeat_command(self) -> None:
+        """Send a recent command again, as a client does after an unknown outcome."""
+        self.sent = [sent for sent in self.sent if self.now_s - sent[0] < REPEAT_WINDOW_S]
         if self.sent:
             self._send_bytes(self.random.choice(self.sent)[1])
 
-    def _end(self) -> None:
+    def _end_lot(self) -> None:
         if self.lots:
             self._send(EndLot(self.random.choice(self.lots)))
 
-    def _forget(self) -> None:
+    def _forget_lots(self) -> None:
         age_s = self.random.uniform(*FORGET_AGE_S)
         self._send(ForgetLots(before_ms=int((self.now_s - age_s) * 1000)))
 
-    def _read_results(self) -> None:
-        """Read at the leader; what a read showed earlier must still be there."""
+    def _query_results(self) -> None:
+        """Read results at the leader; assert that earlier results are still there."""
         leader = self.leader()
         if leader is None or leader.engine is None or not self.lots:
             return
         lot = self.random.choice(self.lots)
-        before = self.shown.get(lot, ())
+        before = self.read_results.get(lot, ())
 
         def answered(result: bytes | Failure) -> None:
             page = decode_reply(result, ResultsPage) if isinstance(result, bytes) else result
             if not isinstance(page, Failure):
-                assert page.results[: len(before)] == before, "a read showed an older state"
-                self.shown[lot] = max(page.results, self.shown.get(lot, ()), key=len)
+                assert page.results[: len(before)] == before, "a read returned an older state"
+                self.read_results[lot] = max(page.results, self.read_results.get(lot, ()), key=len)
                 self.faults.count("read answered")
 
         request_id = self._expect(leader.address, answered)
@@ -245,68 +257,72 @@
     def _crash_one(self) -> None:
         address = self.random.choice(sorted(self.target))
         self.crash(address)
-        self.at(self.random.uniform(0.0, 2.0), lambda: self._start_again(address))
+        self.at(self.random.uniform(0.0, 2.0), lambda: self._restart(address))
 
-    def _start_again(self, address: str) -> None:
-        """Start a machine that was not taken away; a voter that is to go runs until then."""
+    def _restart(self, address: str) -> None:
+        """Start a machine unless it is a spare; voters to be removed run until they are spares."""
         if address not in self.spares:
             self.start(address)
 
     def _kill_all_soon(self) -> None:
-        """Kill every process a moment after what was last acknowledged."""
-        self.at(self.random.uniform(*KILL_AFTER_S), self.kill_all)
+        """Kill every process after a short random delay."""
+        self.at(self.random.uniform(*KILL_DELAY_S), self.kill_all)
 
     def kill_all(self) -> None:
-        """Kill every process at once; the disks stay."""
+        """Kill every process at once; the disks are kept."""
         self.faults.count("all killed")
         for address in sorted(self.nodes):
             if self.nodes[address].engine is not None:
                 self.crash(address)
-                self.at(self.random.uniform(0.0, 1.5), lambda a=address: self._start_again(a))
+                self.at(self.random.uniform(0.0, 1.5), lambda a=address: self._restart(a))
 
     def _lose_disk(self) -> None:
-        """Lose up to as many disks at once as the group bears."""
+        """Lose the disk of a healthy voter, if the group can tolerate one more lost disk."""
         leader = self.leader()
         if leader is None or leader.engine is None or not self.acked:
             return
         voters = {m.address for m in leader.engine.core.configuration.members if m.voter}
-        healthy = sorted((self.target & voters) - self.lost)
-        if len(self.lost) < self.most_lost and len(voters) == len(self.founders) and healthy:
+        healthy = sorted((self.target & voters) - self.lost_disks)
+        if (
+            len(self.lost_disks) < self.max_lost_disks
+            and len(voters) == len(self.founders)
+            and healthy
+        ):
             address = self.random.choice(healthy)
-            self.lost.add(address)
+            self.lost_disks.add(address)
             self.crash(address)
             self.nodes[address].connection = None
             self.faults.count("disk lost")
-            self.at(self.random.uniform(0.05, 2.0), lambda: self._start_again(address))
+            self.at(self.random.uniform(0.05, 2.0), lambda: self._restart(address))
 
     def _repaired(self, repair: RepairDone) -> None:
-        """Note a repair; replicas that start again tell of old ones too."""
+        """Record a repair; replicas that restart also report earlier ones."""
         engine = self.nodes[repair.address].engine
         if engine is not None and engine.core.replica_id == repair.new_id:
-            self.lost.discard(repair.address)
+            self.lost_disks.discard(repair.address)
         if repair not in self.repairs:
             self.repairs.append(repair)
 
-    def _cut(self) -> None:
+    def _partition(self) -> None:
         self.partitioned = set(self.random.sample(sorted(self.nodes), self.random.randint(1, 2)))
         self.at(self.random.uniform(0.1, 3.0), self.partitioned.clear)
 
-    def _change_machines(self) -> None:
-        """Replace a voter's machine by a spare one."""
+    def _replace_machine(self) -> None:
+        """Replace the machine of a random voter by a spare."""
         leader = self.leader()
-        if leader is None or leader.engine is None or self.lost or not self.spares:
+        if leader is None or leader.engine is None or self.lost_disks or not self.spares:
             return
         if {m.address for m in leader.engine.core.configuration.members} != self.target:
             return
-        gone = self.random.choice(sorted(self.target))
-        fresh = self.spares.pop(0)
-        self.target = (self.target - {gone}) | {fresh}
-        self.nodes[fresh] = Node(fresh)
-        self.start(fresh)
+        removed = self.random.choice(sorted(self.target))
+        added = self.spares.pop(0)
+        self.target = (self.target - {removed}) | {added}
+        self.nodes[added] = Node(added)
+        self.start(added)
         self.faults.count("machine replaced")
-        self._ask_target()
+        self._request_target()
 
-    def _ask_target(self) -> None:
+    def _request_target(self) -> None:
         leader = self.leader()
         if leader is None or leader.engine is None:
             return
@@ -318,9 +334,9 @@
             )
             self.step(leader.address, [change])
 
-    def _take_away(self) -> None:
-        """Ask again for the wanted machines; empty those that the group has let go."""
-        self._ask_target()
+    def _remove_old_machines(self) -> None:
+        """Repeat the request for the target machines; wipe those that the group has removed."""
+        self._request_target()
         leader = self.leader()
         if leader is None or leader.engine is None:
             return
@@ -337,21 +353,21 @@
             self.nodes[address].connection = None
             self.spares.append(address)
 
-    def calm(self) -> None:
-        """End all faults and let the group settle; then check what must hold."""
-        kept = self.faults
-        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, struck=kept.struck)
-        until_s = self.now_s + CALM_AT_MOST_S
+    def recover(self) -> None:
+        """End all faults, wait until the group has settled, and check its state."""
+        previous_faults = self.faults
+        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, struck=previous_faults.struck)
+        until_s = self.now_s + RECOVERY_TIMEOUT_S
         while self.now_s < until_s:
             self.partitioned.clear()
             for address in sorted(self.nodes):
-                self._start_again(address)
-            self._take_away()
-            self.run(self.now_s + CALM_STEP_S)
+                self._restart(address)
+            self._remove_old_machines()
+            self.run(self.now_s + RECOVERY_STEP_S)
             if self._is_settled():
                 break
         self.check()
-        self.faults = kept
+        self.faults = previous_faults
 
     def _is_settled(self) -> bool:
         leader = self.leader()
@@ -367,7 +383,7 @@
         return all(engine is not None and engine.applied_index == last for engine in engines)
 
     def check(self) -> None:
-        """Check that all replicas hold what the committed commands say."""
+        """Assert that all replicas have the state that results from the committed commands."""
         assert self._is_settled(), "the group did not settle"
         expected = self._replayed()
         for address in sorted(self.target):
@@ -376,7 +392,7 @@
             assert tables_of(connection) == expected, f"{address} differs from the log"
         committed = {command for _, command in self.log.values()}
         assert self.acked <= committed, "an acknowledged command is lost"
-        self._check_lots(expected)
+        self._check_invariants(expected)
 
     def _replayed(self) -> Rows:
         connection = sqlite3.connect(":memory:", isolation_level=None)
@@ -388,33 +404,45 @@
         connection.close()
         return tables
 
-    def _check_lots(self, tables: Rows) -> None:
+    def _check_invariants(self, tables: Rows) -> None:
         open_items = {(row[0], row[1]) for row in tables["sm_lot_item"]}
         assert open_items == {(row[0], row[1]) for row in tables["sm_lot_body"]}
         assert {(row[0], row[1]) for row in tables["sm_lot_part"]} <= open_items
         for lot, *_, ended, total, listed in tables["sm_lot"]:
             results = [row for row in tables["sm_lot_result"] if row[0] == lot]
             assert [row[1] for row in results] == list(range(listed)), "positions are not dense"
-            assert len({row[2] for row in results}) == listed, "an item is listed twice"
-            waiting = sum(1 for key in open_items if key[0] == lot)
-            assert waiting == 0 if ended else waiting + listed == total
+            assert len({row[2] for row in results}) == listed, "an item has two results"
+            open_count = sum(1 for key in open_items if key[0] == lot)
+            assert open_count == 0 if ended else open_count + listed == total
             for _, _, item, state, text in results:
                 if state == ItemState.DONE.value:
-                    assert text == _text(0, self.events[lot, item]), "pieces do not fit"
-        known = {row[0] for row in tables["sm_lot"]}
-        assert {row[0] for table in tables.values() for row in table} <= known
+                    assert text == _text(0, self.events[lot, item]), (
+                        "the text is not the item's output"
+                    )
+        lots = {row[0] for row in tables["sm_lot"]}
+        assert {row[0] for table in tables.values() for row in table} <= lots
+
+
+def simulate(seed: int, size: int, rounds: int, steps: int) -> LotsSimulation:
+    """Run rounds of random actions and faults, with a recovery and a check after each round.
 
+    Args:
+        seed: Seed of all random choices.
+        size: Number of voters.
+        rounds: Number of rounds.
+        steps: Number of actions in each round.
 
-def play(seed: int, size: int, rounds: int, steps: int) -> LotsSimulation:
-    """Let clients, operators and faults act, with a calm and a check after each round."""
+    Returns:
+        The simulation, with the counts of the faults that occurred.
+    """
     simulation = LotsSimulation(seed, size)
     simulation.run(simulation.now_s + 5.0)
     pauses = Random(seed)
     for _ in range(rounds):
         for _ in range(steps):
-            simulation.act()
+            simulation.step_randomly()
             simulation.run(simulation.now_s + pauses.uniform(0.0, 0.15))
-        simulation.calm()
+        simulation.recover()
     return simulation
 
 
--- a/tests/unit/test_lots_conserved.py
+++ b/tests/unit/test_lots_conserved.py
@@ -1,9 +1,9 @@
-"""Work is conserved: after any faults of group, back ends and lead, all open items end in time.
+"""After random faults of the group, its leadership and the back ends, all open items end in time.
 
-Items stayed open for good, with back ends idle and a store that led: what they had in common is
-that an item's next step hung on one event that did not come. So here events are lost at random:
-proposals time out though committed, are lost, refused or late; reads fail; the lead comes and goes;
-back ends break their answers off, fail and leave. Then all is well, and nothing may be left lying.
+Guards against items that stay open for good while a store leads and back ends are idle, because an
+item's next step depends on one event that is lost. Faults are therefore random: proposals time out
+although they are committed, or are lost, refused or late; reads fail; leadership is lost and
+regained; back ends break off responses, fail and leave. When the faults end, every item must end.
 """
 
 from __future__ import annotations
@@ -40,26 +40,27 @@
 from testbed.routed import HOST, SERVICE, RunnerStandIn, make_route, make_table
 
 MAX_ATTEMPTS = 3
-TROUBLE_S = 5.0
-CALM_S = 15.0
-"""A wide bound for a busy machine: 70 plays took 0.2 to 4.4 s."""
+FAULTS_S = 5.0
+RECOVERY_TIMEOUT_S = 15.0
+"""Generous, for a loaded machine: 70 runs of this test recovered in 0.2 to 4.4 s."""
 
-BREAKS = ("stream cut in an event", "reset", "no answer", "not run", "fault", "fault", "stream")
+BEHAVIOURS = ("stream cut in an event", "reset", "no answer", "not run", "fault", "fault", "stream")
 DELAYS_S = (0.0, 0.0, 0.01, 0.3, 1.0, 1.7)
-WHOLE_TEXT = "\n".join(f"event {number}" for number in range(1, 6))
+FULL_TEXT = "\n".join(f"event {number}" for number in range(1, 6))
 
 
-class TroubledGroup:
-    """A group of one replica with a log; commands are applied in its order, some of them late.
+class FaultyGroup:
+    """A group of one replica with a log whose commands are applied in order, some with a delay.
 
     Attributes:
-        troubled: Whether calls fail at random.
-        role: What the replica takes itself for.
-        stalled_until_s: Nothing is applied before.
+        faulty: Whether calls fail at random.
+        role: Role that the replica reports.
+        stalled_until_s: Monotonic time before which no command is applied.
+        runner: The runner that is notified of changes.
     """
 
     def __init__(self, random: Random) -> None:
-        self.troubled = False
+        self.faulty = False
         self.role = "leader"
         self.stalled_until_s = 0.0
         self.runner: LotsRunner | None = None
@@ -72,7 +73,7 @@
         self._machine.create_tables(self._connection)
         self._index = 0
         self._log: deque[tuple[float, bytes, list[bytes]]] = deque()
-        self._grown = threading.Condition()
+        self._log_changed = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._apply_all, daemon=True)
         self._thread.start()
@@ -82,83 +83,89 @@
         self._thread.join()
 
     def propose(self, command: bytes, timeout_s: float) -> bytes | Failure:
-        if not self.troubled:
-            return self._wait(self.put(command), timeout_s)
+        if not self.faulty:
+            return self._wait(self.append(command), timeout_s)
         draw = self._random.random()
         if self.role != "leader" or draw < 0.1:
-            return _failed(FailureKind.NOT_LEADER, Execution.NOT_RUN)
+            return _injected_failure(FailureKind.NOT_LEADER, Execution.NOT_RUN)
         if draw < 0.25:
             if draw > 0.15:
-                self.put(command, self._random.uniform(0, 1))
-            return _failed(FailureKind.NO_QUORUM, Execution.UNKNOWN)
-        return self._wait(self.put(command, self._random.choice(DELAYS_S)), timeout_s)
+                self.append(command, self._random.uniform(0, 1))
+            return _injected_failure(FailureKind.NO_QUORUM, Execution.UNKNOWN)
+        return self._wait(self.append(command, self._random.choice(DELAYS_S)), timeout_s)
 
-    def put(self, command: bytes, delay_s: float = 0.0) -> list[bytes]:
-        """Add a command to the log; its reply is put into what is returned."""
+    def append(self, command: bytes, delay_s: float = 0.0) -> list[bytes]:
+        """Append a command to the log; return a list that receives its reply."""
         replies: list[bytes] = []
-        with self._grown:
+        with self._log_changed:
             self._log.append((time.monotonic() + delay_s, command, replies))
-            self._grown.notify_all()
+            self._log_changed.notify_all()
         return replies
 
     def query(self, query: bytes, timeout_s: float) -> bytes | Failure:
         return self.query_local(query)
 
     def query_local(self, query: bytes) -> bytes:
-        if self.troubled and self._random.random() < 0.08:
-            return encode_reply(_failed(FailureKind.INTERNAL, Execution.NOT_RUN))
-        return self.read(query)
+        if self.faulty and self._random.random() < 0.08:
+            return encode_reply(_injected_failure(FailureKind.INTERNAL, Execution.NOT_RUN))
+        return self.read_state(query)
 
-    def read(self, query: bytes) -> bytes:
-        """Read, whatever the trouble."""
+    def read_state(self, query: bytes) -> bytes:
+        """Run a query without injected faults."""
         with self._lock:
             return self._machine.query(self._connection, query)
 
     def status(self) -> GroupStatus:
         return status_as(self.role)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         if self.runner is not None and self._machine.open_items_changed:
             self.runner.changed()
             self._machine.open_items_changed = False
 
     def _wait(self, replies: list[bytes], timeout_s: float) -> bytes | Failure:
-        with self._grown:
-            if self._grown.wait_for(lambda: replies, timeout_s):
+        with self._log_changed:
+            if self._log_changed.wait_for(lambda: replies, timeout_s):
                 return replies[0]
-        return _failed(FailureKind.TIMEOUT, Execution.UNKNOWN)
+        return _injected_failure(FailureKind.TIMEOUT, Execution.UNKNOWN)
 
     def _apply_all(self) -> None:
         while not self._stopped:
-            with self._grown:
-                if not self._grown.wait_for(lambda: self._log, 0.1):
+            with self._log_changed:
+                if not self._log_changed.wait_for(lambda: self._log, 0.1):
                     continue
                 due_s, command, replies = self._log[0]
                 pause_s = max(due_s, self.stalled_until_s) - time.monotonic()
                 if pause_s > 0:
-                    self._grown.wait(min(pause_s, 0.05))
+                    self._log_changed.wait(min(pause_s, 0.05))
                     continue
                 self._log.popleft()
             with self._lock:
                 self._index += 1
                 context = ApplyContext(index=self._index, term=1, wall_ms=SystemClock().wall_ms())
                 reply = self._machine.apply(self._connection, context, command)
-                self._tell()
-            with self._grown:
+                self._notify()
+            with self._log_changed:
                 replies.append(reply)
-                self._grown.notify_all()
+                self._log_changed.notify_all()
 
 
-def _failed(kind: FailureKind, execution: Execution) -> Failure:
-    return Failure(kind=kind, reason="trouble", step=Step.PROPOSING, execution=execution)
+def _injected_failure(kind: FailureKind, execution: Execution) -> Failure:
+    return Failure(kind=kind, reason="injected fault", step=Step.PROPOSING, execution=execution)
 
 
-class Play:
-    """A store that runs items at two back ends."""
+class StoreUnderFaults:
+    """A runner at two back ends, with a group that can fail.
+
+    Attributes:
+        group: The group.
+        runner: The runner.
+        lots: Item ids of each submitted lot.
+    """
 
     def __init__(self, seed: int, back_ends: list[RunnerStandIn]) -> None:
         self._random = Random(seed)
-        self.group = TroubledGroup(Random(seed + 1))
+        self.group = FaultyGroup(Random(seed + 1))
         self._back_ends = back_ends
         self.runner = LotsRunner(
             self.group, "z", PlatformDialect(), SystemClock(), Random(seed + 2)
@@ -167,11 +174,11 @@
         self._table = make_table(make_route(RouteClass.BATCH, max_attempts=MAX_ATTEMPTS))
         self._revision = 0
         self.lots: dict[str, set[str]] = {}
-        self.show(back_ends)
+        self.set_back_ends(back_ends)
         self.runner.start()
 
-    def show(self, back_ends: list[RunnerStandIn]) -> None:
-        """Tell of the back ends that there are."""
+    def set_back_ends(self, back_ends: list[RunnerStandIn]) -> None:
+        """Give the runner a registry snapshot with these back ends."""
         self._revision += 1
         records = tuple(
             RunnerRecord(
@@ -198,10 +205,10 @@
             due_ms=20_000.0,
             items=items,
         )
-        self.group.put(encode_command(command))
+        self.group.append(encode_command(command))
 
-    def trouble(self) -> None:
-        """Bring one trouble about."""
+    def inject_fault(self) -> None:
+        """Cause one random fault, or submit a new lot."""
         draw = self._random.choice(("items", "stall", "lead", "fleet", "answers", "answers"))
         if draw == "items":
             self.submit(self._random.randrange(1, 6))
@@ -212,62 +219,62 @@
             time.sleep(self._random.uniform(0, 0.8))
             self.group.role = "leader"
         elif draw == "fleet":
-            self.show(self._random.choice((self._back_ends, self._back_ends[:1])))
+            self.set_back_ends(self._random.choice((self._back_ends, self._back_ends[:1])))
         else:
             for item in self._back_ends:
-                item.then(*self._random.choices(BREAKS, k=4))
+                item.then(*self._random.choices(BEHAVIOURS, k=4))
 
-    def calm(self) -> None:
-        """End all trouble."""
-        self.group.troubled = False
+    def end_faults(self) -> None:
+        """End all faults."""
+        self.group.faulty = False
         self.group.stalled_until_s = 0.0
-        self.show(self._back_ends)
+        self.set_back_ends(self._back_ends)
 
-    def listed(self) -> dict[str, tuple[str, str]]:
-        """State and text of all items that are listed; fails when one is listed twice."""
-        found: list[tuple[str, tuple[str, str]]] = []
+    def results(self) -> dict[str, tuple[str, str]]:
+        """Return state and text of all items with a result; assert that none has two results."""
+        pairs: list[tuple[str, tuple[str, str]]] = []
         for lot in self.lots:
-            raw = self.group.read(encode(ReadResults(lot, 0, 10**6)))
+            raw = self.group.read_state(encode(ReadResults(lot, 0, 10**6)))
             page = decode_reply(raw, ResultsPage)
             if isinstance(page, ResultsPage):
-                found += [(item.item_id, (item.state.value, item.text)) for item in page.results]
-        assert len(dict(found)) == len(found)
-        return dict(found)
+                pairs += [(item.item_id, (item.state.value, item.text)) for item in page.results]
+        assert len(dict(pairs)) == len(pairs)
+        return dict(pairs)
 
 
 @contextmanager
-def played(seed: int) -> Iterator[tuple[Play, list[RunnerStandIn]]]:
+def running_store(seed: int) -> Iterator[tuple[StoreUnderFaults, list[RunnerStandIn]]]:
     with ExitStack() as stack:
         back_ends = [
             stack.enter_context(RunnerStandIn(f"i-{number}", usual="stream")) for number in range(2)
         ]
-        play = Play(seed, back_ends)
-        stack.callback(play.group.stop)
-        stack.callback(play.runner.stop)
-        yield play, back_ends
+        store = StoreUnderFaults(seed, back_ends)
+        stack.callback(store.group.stop)
+        stack.callback(store.runner.stop)
+        yield store, back_ends
 
 
 @pytest.mark.parametrize("seed", [1, 2, 14])
-def test_all_items_end_once_the_trouble_is_over(seed: int) -> None:
+def test_all_items_end_after_the_faults(seed: int) -> None:
     random = Random(seed)
-    with played(seed) as (play, back_ends):
-        play.submit(12)
-        play.group.troubled = True
-        until_s = time.monotonic() + TROUBLE_S
+    with running_store(seed) as (store, back_ends):
+        store.submit(12)
+        store.group.faulty = True
+        until_s = time.monotonic() + FAULTS_S
         while time.monotonic() < until_s:
             time.sleep(random.uniform(0.05, 0.5))
-            play.trouble()
-        play.calm()
-        names = set[str]().union(*play.lots.values())
-        wait_until(lambda: play.listed().keys() == names, CALM_S)
+            store.inject_fault()
+        store.end_faults()
+        names = set[str]().union(*store.lots.values())
+        wait_until(lambda: store.results().keys() == names, RECOVERY_TIMEOUT_S)
         faults = Counter(
             run.headers["leverjunction-request-id"]
             for item in back_ends
             for run in item.seen
             if run.behaviour == "fault"
         )
-        for name, (state, text) in play.listed().items():
+        for name, (state, text) in store.results().items():
             if state == "dead":
                 assert faults[name] >= MAX_ATTEMPTS
             else:
-                assert text == WHOLE_TEXT
+                assert text == FULL_TEXT
--- a/tests/unit/test_lots_node_watch.py
+++ b/tests/unit/test_lots_node_watch.py
@@ -1,4 +1,4 @@
-"""A store tells when its own loop hangs or has ended, and when it hears of no control process."""
+"""A store logs when its runner loop hangs or has ended, and when no control process answers."""
 
 from __future__ import annotations
 
@@ -23,61 +23,69 @@
 
 
 @contextmanager
-def heard() -> Iterator[list[str]]:
-    """Give the plain lines that are written meanwhile."""
-    words: list[str] = []
-    handler = logger.add(lambda message: words.append(str(message)), format="{message}")
+def captured_logs() -> Iterator[list[str]]:
+    """Collect the messages that are logged in the context."""
+    messages: list[str] = []
+    handler = logger.add(lambda record: messages.append(str(record)), format="{message}")
     try:
-        yield words
+        yield messages
     finally:
         logger.remove(handler)
 
 
-def hear(tell: Callable[[], None]) -> list[str]:
-    with heard() as words:
-        tell()
-    return words
+def logs_of(call: Callable[[], None]) -> list[str]:
+    with captured_logs() as messages:
+        call()
+    return messages
 
 
-def test_a_loop_that_hangs_is_told_with_where_it_is() -> None:
-    """Nothing watched this thread: it could hang while the replica went on leading."""
+def test_hanging_loop_is_logged_with_its_stack() -> None:
+    """Guards against a runner thread that hangs unnoticed while the replica remains leader."""
     store = OneStore()
-    let_go = threading.Event()
-    hangs = threading.Event()
+    released = threading.Event()
+    hanging = threading.Event()
 
     def status() -> GroupStatus:
-        hangs.set()
-        let_go.wait(10.0)
+        hanging.set()
+        released.wait(10.0)
         return OneStore.status(store)
 
     store.status = status  # type: ignore[method-assign]
     runner = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
     runner.start()
-    assert hangs.wait(5.0)
+    assert hanging.wait(5.0)
     watch = NodeWatch(SystemClock())
     wait_until(lambda: runner.step_age_s() > 0.3)
-    (word,) = hear(lambda: watch.check_step_age(runner.step_age_s() + 3.0, runner.whereabouts))
-    assert word.startswith("the runner of lots has not taken a step for 3.")
-    assert "thread lots-runner is in" in word
-    assert "_step (runner.py:" in word
-    assert hear(lambda: watch.check_step_age(runner.step_age_s() + 3.5, runner.whereabouts)) == []
-    let_go.set()
+    (message,) = logs_of(
+        lambda: watch.check_step_age(runner.step_age_s() + 3.0, runner.whereabouts)
+    )
+    assert message.startswith("the runner of lots has not taken a step for 3.")
+    assert "thread lots-runner is in" in message
+    assert "_step (runner.py:" in message
+    assert (
+        logs_of(lambda: watch.check_step_age(runner.step_age_s() + 3.5, runner.whereabouts)) == []
+    )
+    released.set()
     wait_until(lambda: runner.step_age_s() < 0.3)
-    (over,) = hear(lambda: watch.check_step_age(runner.step_age_s(), runner.whereabouts))
-    assert over.startswith("the runner of lots has not taken a step: over, after ")
+    (recovery,) = logs_of(lambda: watch.check_step_age(runner.step_age_s(), runner.whereabouts))
+    assert recovery.startswith("the runner of lots has not taken a step: over, after ")
     runner.stop()
     assert runner.whereabouts() == "thread lots-runner has ended"
 
 
-def test_a_store_without_control_processes_tells_so(
+def test_store_logs_missing_control_processes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(node_watch, "REGISTRY_TIMEOUT_S", 0.5)
     fleet = SeededFleet(tmp_path)
-    with heard() as words:
+    with captured_logs() as messages:
         try:
             fleet.start_store(1)
-            wait_until(lambda: any("no control process has answered for" in word for word in words))
+            wait_until(
+                lambda: any(
+                    "no control process has answered for" in message for message in messages
+                )
+            )
         finally:
             fleet.stop()
     assert (REGISTRY.get_sample_value("lots_registry_age_seconds") or 0) > 0.5
--- a/tests/unit/test_lots_progress_spec.py
+++ b/tests/unit/test_lots_progress_spec.py
@@ -1,4 +1,8 @@
-"""The model of an item's progress holds, seeded bugs are found, and the real code follows it."""
+"""Checks the model of an item's progress, and the real code against the model.
+
+The model's invariants hold, bugs seeded into the model are found, and random walks of the model
+are replayed on the real state machine and streams.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +57,7 @@
 KEY = ("lot", "item")
 
 
-def test_model_holds_over_its_whole_state_space() -> None:
+def test_model_invariants_hold_over_the_whole_state_space() -> None:
     result = check(BOUNDS)
     assert result["exhaustive"]
     assert failed_invariants(result) == []
@@ -79,7 +83,7 @@
 
 
 class RealItem:
-    """The real state machine and one real stream for each store, driven by the model's labels."""
+    """The real state machine and one real stream per store, driven by steps of the model."""
 
     def __init__(self) -> None:
         self._connection = sqlite3.connect(":memory:", isolation_level=None)
@@ -100,8 +104,14 @@
         )
         self._streams = {number: ItemStream() for number in STORES}
 
-    def follow(self, label: str, before: State, after: State) -> None:
-        """Take a step of the model."""
+    def execute(self, label: str, before: State, after: State) -> None:
+        """Execute a step of the model on the real code.
+
+        Args:
+            label: Label of the step: an action, a store or command number, and further arguments.
+            before: State of the model before the step.
+            after: State of the model after the step.
+        """
         action, number, *rest = label.split()
         if action == "read":
             self._streams[int(number)] = ItemStream(int(rest[0]), rest[0])
@@ -117,11 +127,11 @@
         elif action == "answer":
             self._answer(before.commands[int(number)])
 
-    def compare(self, state: State) -> None:
-        """Fail unless the real state is the model's."""
-        known = self._ask(ReadProgress(*KEY), RecordedProgress)
+    def assert_equals(self, state: State) -> None:
+        """Assert that the real state equals the model's."""
+        known = self._query(ReadProgress(*KEY), RecordedProgress)
         assert known.count == len(state.parts)
-        page = self._ask(ReadResults(KEY[0], 0, 10**6), ResultsPage)
+        page = self._query(ReadResults(KEY[0], 0, 10**6), ResultsPage)
         listed = [result.text for result in page.results]
         expected = [] if state.result is None else ["\n".join(map(text_of, state.result))]
         assert listed == expected
@@ -174,7 +184,7 @@
         assert not isinstance(reply, Failure)
         return reply
 
-    def _ask(self, query: msgspec.Struct, kind: type[T]) -> T:
+    def _query(self, query: msgspec.Struct, kind: type[T]) -> T:
         reply = decode_reply(self._machine.query(self._connection, encode(query)), kind)
         assert not isinstance(reply, Failure)
         return reply
@@ -190,14 +200,14 @@
             steps = model.transitions(state)
             if not steps:
                 break
-            # Progress is what is to be seen: losses come less often.
+            # Losses are drawn less often, so that walks get far enough to record results.
             weights = [
                 1 if label.startswith(("depose", "lose", "break")) else 6 for label, _ in steps
             ]
             label, after = generator.choices(steps, weights)[0]
-            real.follow(label, state, after)
+            real.execute(label, state, after)
             state = after
-            real.compare(state)
+            real.assert_equals(state)
         rejected += sum(command.outcome is False for command in state.commands)
         results += state.result is not None
     assert rejected > WALKS / 10
--- a/tests/unit/test_lots_recent_reads.py
+++ b/tests/unit/test_lots_recent_reads.py
@@ -1,4 +1,4 @@
-"""Reads that a store answers without asking the leader."""
+"""Bounded-staleness reads, which a store answers without asking the leader."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from leverjunction.lots.recent_reads import MAX_STALENESS_S, answer_recent
 from leverjunction.wire.codec import decode_reply, encode_reply
 
-HERE = ItemBody(b"\x00here")
+PRESENT = ItemBody(b"\x00present")
 MISSING = Failure(kind=FailureKind.NOT_FOUND, reason="there is no lot x", step=Step.QUERYING)
 
 
 class Replica:
-    """A replica with a role, the age of its state, and an answer."""
+    """Test double for a replica with a given role, age of its state and reply to every query."""
 
     def __init__(self, role: str, age_s: float, answer: bytes) -> None:
         self._status = GroupStatus(
@@ -45,24 +45,24 @@
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
-def test_a_recent_state_answers(role: str) -> None:
-    assert ask(role, MAX_STALENESS_S / 2, encode_reply(HERE)) == HERE
+def test_recent_state_answers(role: str) -> None:
+    assert ask(role, MAX_STALENESS_S / 2, encode_reply(PRESENT)) == PRESENT
 
 
 @pytest.mark.parametrize(
     ("role", "age_s", "answer"),
     [
-        ("follower", MAX_STALENESS_S * 1.1, encode_reply(HERE)),
-        ("leader", MAX_STALENESS_S * 1.1, encode_reply(HERE)),
-        ("candidate", 0.0, encode_reply(HERE)),
-        ("learner", 0.0, encode_reply(HERE)),
-        ("blank", 0.0, encode_reply(HERE)),
+        ("follower", MAX_STALENESS_S * 1.1, encode_reply(PRESENT)),
+        ("leader", MAX_STALENESS_S * 1.1, encode_reply(PRESENT)),
+        ("candidate", 0.0, encode_reply(PRESENT)),
+        ("learner", 0.0, encode_reply(PRESENT)),
+        ("blank", 0.0, encode_reply(PRESENT)),
         ("follower", 0.0, encode_reply(MISSING)),
     ],
-    ids=["old", "without quorum", "election", "learner", "blank", "not there"],
+    ids=["stale", "without quorum", "election", "learner", "blank", "missing"],
 )
-def test_else_the_leader_is_to_be_asked(role: str, age_s: float, answer: bytes) -> None:
-    """What is not here may be newer than this state: only the leader may say that it is not."""
+def test_other_reads_are_redirected_to_the_leader(role: str, age_s: float, answer: bytes) -> None:
+    """An entry missing from this state may be newer: only the leader may report it as missing."""
     reply = ask(role, age_s, answer)
     assert isinstance(reply, Failure)
     assert (reply.kind, reply.detail) == (FailureKind.NOT_LEADER, "leader:1")
--- a/tests/unit/test_lots_replicas.py
+++ b/tests/unit/test_lots_replicas.py
@@ -1,12 +1,12 @@
-"""The group that keeps lots holds the same on every replica, whatever was lost meanwhile.
+"""All replicas of the lots group converge to the state of the committed commands, despite faults.
 
-Wider runs: ``play(seed, size, rounds, steps)`` with hundreds of seeds.
+For longer checks call ``simulate(seed, size, rounds, steps)`` with hundreds of seeds.
 """
 
 from __future__ import annotations
 
 import pytest
-from tests.unit.lots_simulation import play
+from tests.unit.lots_simulation import simulate
 
 ROUNDS = 3
 STEPS = 60
@@ -14,11 +14,11 @@
 
 
 @pytest.mark.parametrize(("size", "seeds"), [(3, range(6)), (5, range(3))])
-def test_every_replica_holds_what_the_committed_commands_say(size: int, seeds: range) -> None:
-    struck: set[str] = set()
+def test_every_replica_has_the_state_of_the_committed_commands(size: int, seeds: range) -> None:
+    occurred: set[str] = set()
     for seed in seeds:
-        struck |= set(play(seed, size, ROUNDS, STEPS).faults.struck)
-    assert struck >= {
+        occurred |= set(simulate(seed, size, ROUNDS, STEPS).faults.struck)
+    assert occurred >= {
         "acknowledged",
         "read answered",
         "disk lost",
@@ -27,6 +27,6 @@
     }
 
 
-def test_a_change_of_machines_falls_on_the_end_of_a_snapshot() -> None:
-    """The leader once met, at this seed, an entry of its log that it had not written yet."""
-    assert play(1051, 3, ROUNDS, 120).faults.struck["machine replaced"]
+def test_membership_change_at_the_end_of_a_snapshot() -> None:
+    """Guards against the leader reading a log entry that it has not written yet (at this seed)."""
+    assert simulate(1051, 3, ROUNDS, 120).faults.struck["machine replaced"]
