--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -117,7 +117,9 @@
         self._failures[run.key] = ItemFailure(lot_id=lot_id, item_id=item_id, failures=run.failures)
 
     async def record(self, runs: Iterable[ItemRun]) -> None:
-        """Send one command with what waits; results and failures not recorded stay for the next.
+        """Send a command with the waiting results and failures, and with progress that is due.
+
+        Whatever the group does not record is kept and sent again with the next command.
 
         Args:
             runs: All open items, whose progress is recorded too when it is due.
--- a/src/leverjunction/lots/recent_reads.py
+++ b/src/leverjunction/lots/recent_reads.py
@@ -54,7 +54,7 @@
     return encode_reply(
         Failure(
             kind=FailureKind.NOT_LEADER,
-            reason="this store's state may be old",
+            reason="this store's state may be stale",
             step=Step.QUERYING,
             detail=leader,
         )
--- a/tests/unit/test_lots_conserved.py
+++ b/tests/unit/test_lots_conserved.py
@@ -18,7 +18,7 @@
 
 import pytest
 from tests.unit.seeded_support import wait_until
-from tests.unit.test_lots_outbox import status_as
+from tests.unit.test_lots_outbox import status_with_role
 
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.api import ApplyContext, GroupStatus
@@ -116,7 +116,7 @@
             return self._machine.query(self._connection, query)
 
     def status(self) -> GroupStatus:
-        return status_as(self.role)
+        return status_with_role(self.role)
 
     def _notify(self) -> None:
         if self.runner is not None and self._machine.open_items_changed:
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -78,7 +78,7 @@
         return self._machine.query(self._connection, query)
 
     def status(self) -> GroupStatus:
-        return status_as("leader")
+        return status_with_role("leader")
 
     def results(self) -> dict[str, tuple[str, str]]:
         page = decode_reply(self.query_local(encode(ReadResults("lot", 0, 10**8))), ResultsPage)
@@ -101,7 +101,7 @@
         )
 
 
-def status_as(role: str) -> GroupStatus:
+def status_with_role(role: str) -> GroupStatus:
     """Return the status of a group's only replica."""
     return GroupStatus(
         group="jobs-0",
@@ -126,7 +126,7 @@
     )
 
 
-def submitted(count: int) -> SingleReplicaGroup:
+def group_with_lot(count: int) -> SingleReplicaGroup:
     group = SingleReplicaGroup()
     lot = SubmitLot(
         lot_id="lot",
@@ -144,7 +144,7 @@
     return group
 
 
-def feed(run: ItemRun, first: int, last: int) -> None:
+def feed_events(run: ItemRun, first: int, last: int) -> None:
     """Feed events ``first`` to ``last`` into the stream of a run."""
     for number in range(first, last + 1):
         run.stream.feed(b"id: %d\ndata: event %d\n\n" % (number, number))
@@ -168,20 +168,20 @@
     """
 
     async def scenario() -> None:
-        group = submitted(3)
+        group = group_with_lot(3)
         runs = group.runs()
         outbox = Outbox(group)
         for run in runs:
-            feed(run, 1, 2)
+            feed_events(run, 1, 2)
         await record(outbox, runs)
         assert group.progress() == RecordedProgress(2, "2")
         group.times_out = True
         for run in runs:
-            feed(run, 3, 4)
+            feed_events(run, 3, 4)
         await record(outbox, runs)
         assert group.progress() == RecordedProgress(4, "4")
         for run in runs:
-            feed(run, 5, EVENTS)
+            feed_events(run, 5, EVENTS)
             outbox.complete(run)
         await record(outbox, runs)
         assert group.results() == {f"item-{n}": ("done", FULL_TEXT) for n in range(3)}
@@ -200,7 +200,7 @@
     """
 
     async def scenario() -> None:
-        group = submitted(1)
+        group = group_with_lot(1)
         (run,) = group.runs()
         outbox = Outbox(group)
         run.failures += 1
@@ -230,11 +230,11 @@
     monkeypatch.setattr(progress_rows, "full_output", fail_at_one)
 
     async def scenario() -> None:
-        group = submitted(3)
+        group = group_with_lot(3)
         runs = group.runs()
         outbox = Outbox(group)
         for run in runs:
-            feed(run, 1, EVENTS)
+            feed_events(run, 1, EVENTS)
             outbox.complete(run)
         await outbox.record(runs)
         assert group.results() == {f"item-{n}": ("done", FULL_TEXT) for n in (0, 2)}
@@ -249,7 +249,7 @@
     size_bytes = COMMAND_TEXT_BYTES // 2
 
     async def scenario() -> None:
-        group = submitted(9)
+        group = group_with_lot(9)
         runs = group.runs()
         outbox = Outbox(group)
         for number, run in enumerate(runs):
@@ -271,12 +271,12 @@
     """Guards against sending recorded results again in every command when replies are lost."""
 
     async def scenario() -> None:
-        group = submitted(2)
+        group = group_with_lot(2)
         runs = group.runs()
         outbox = Outbox(group)
         group.times_out = True
         for run in runs:
-            feed(run, 1, EVENTS)
+            feed_events(run, 1, EVENTS)
             run.failures += 1
             outbox.add_failure(run)
         outbox.complete(runs[0])
--- a/tests/unit/test_lots_outbox_refused.py
+++ b/tests/unit/test_lots_outbox_refused.py
@@ -11,7 +11,7 @@
 
 import asyncio
 
-from tests.unit.test_lots_outbox import EVENTS, feed, record, submitted
+from tests.unit.test_lots_outbox import EVENTS, feed_events, group_with_lot, record
 
 from leverjunction.lots.commands import (
     ItemProgress,
@@ -27,10 +27,10 @@
 
 def test_item_with_rejected_result_is_run_again_while_commits_time_out() -> None:
     async def scenario() -> None:
-        group = submitted(1)
+        group = group_with_lot(1)
         (run,) = group.runs()
         outbox = Outbox(group)
-        feed(run, 1, 2)
+        feed_events(run, 1, 2)
         await record(outbox, [run])
         # The last command of the previous leader, applied only now; its run produced another text.
         late_progress = ItemProgress(
@@ -39,7 +39,7 @@
         group.propose(encode_command(RecordRuns(progress=(late_progress,), repeats=True)), 1.0)
         assert group.progress() == RecordedProgress(3, "3")
         group.times_out = True
-        feed(run, 3, EVENTS)
+        feed_events(run, 3, EVENTS)
         outbox.complete(run)
         for _ in range(5):
             await record(outbox, [run])
