--- a/src/leverjunction/lots/client.py
+++ b/src/leverjunction/lots/client.py
@@ -2,7 +2,8 @@
 
 A lot is a batch job of opaque items. Stores do not forward these calls: a store that is not the
 leader replies at once with the leader's address, or that it knows none. A partitioned store would
-delay a call that it had to forward, and forwarding would send a lot's bodies between stores twice.
+delay a call that it had to forward, and forwarding would transfer a lot's bodies between stores one
+more time.
 """
 
 from __future__ import annotations
--- a/src/leverjunction/lots/commands.py
+++ b/src/leverjunction/lots/commands.py
@@ -213,7 +213,7 @@
     """Reply to ``RecordRuns`` and ``ForgetLots``.
 
     Attributes:
-        count: Number of parts (results, failures, progress) or lots that changed the state.
+        count: Number of parts (results, failures, progress) accepted, or of lots deleted.
         rejected: Keys (lot id and item id) of the items whose part was rejected.
     """
 
--- a/src/leverjunction/lots/gateway_loads.py
+++ b/src/leverjunction/lots/gateway_loads.py
@@ -16,8 +16,8 @@
 """
 
 UPDATES_PER_S = 1000.0
-"""Rate of updates from all gateways together; it costs the leader a tenth of a core. The more
-gateways there are, the longer each of them pauses between two updates.
+"""Highest rate of updates from all gateways together; it costs the leader a tenth of a core. The
+more gateways there are, the longer each of them pauses between two updates.
 """
 
 
--- a/src/leverjunction/lots/load_listener.py
+++ b/src/leverjunction/lots/load_listener.py
@@ -80,7 +80,7 @@
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; cast, since the loop's class need not extend DatagramTransport."""
+        """Store the transport; its class need not derive from ``DatagramTransport``."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -217,7 +217,7 @@
             self._results.pop((result.lot_id, result.item_id), None)
 
     def _restart_ended(self, results: tuple[ItemResult, ...], refused: frozenset[ItemKey]) -> None:
-        """Run the items whose results were rejected again."""
+        """Discard rejected results and run their items again."""
         for result in results:
             key = (result.lot_id, result.item_id)
             if key in refused and key in self._results:
