--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -10,10 +10,10 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.lots.commands import (
     ItemBody,
-    KnownProgress,
     OpenItem,
     ReadBody,
     ReadProgress,
+    RecordedProgress,
 )
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.item_stream import ItemStream
@@ -109,7 +109,7 @@
         finally:
             # Also when it is parked: a later run continues after the last whole event.
             if broken is not None:
-                run.stream.broken()
+                run.stream.discard_partial()
         if broken is not None:
             self._note_end(run, seat, request, broken)
             return False
@@ -165,19 +165,19 @@
         """Note what a whole answer means for the item; return whether it has ended."""
         run.trace.judged(status, run.stream.is_between_events)
         if status == OK and run.stream.is_between_events:
-            self._outbox.done(run)
+            self._outbox.complete(run)
             return True
-        run.stream.broken()
+        run.stream.discard_partial()
         if status == UNPROCESSABLE:
-            self._outbox.dead(run, "it can never be done")
+            self._outbox.give_up(run, "it can never be done")
             return True
         if status != SERVER_ERROR:
             return False
         run.failures += 1
-        self._outbox.failed(run)
+        self._outbox.add_failure(run)
         if run.failures < max(1, run.item.max_attempts):
             return False
-        self._outbox.dead(run, f"{run.failures} runs failed")
+        self._outbox.give_up(run, f"{run.failures} runs failed")
         return True
 
     def _follow(self, run: ItemRun) -> bool:
@@ -185,7 +185,7 @@
         if run.follows:
             return True
         raw = self._group.query_local(encode(ReadProgress(*run.key)))
-        progress = decode_reply(raw, KnownProgress)
+        progress = decode_reply(raw, RecordedProgress)
         if isinstance(progress, Failure):
             return False
         run.stream = ItemStream(progress.count, progress.last_id)
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -31,7 +31,7 @@
 from leverjunction.lots.item_run import ItemKey, ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
-from leverjunction.lots.node_watch import stack_of
+from leverjunction.lots.node_watch import format_thread_stack
 from leverjunction.lots.outbox import Outbox
 from leverjunction.lots.pulse import Pulse
 from leverjunction.lots.room import TakenSlot
@@ -159,7 +159,7 @@
 
     def whereabouts(self) -> str:
         """Return where the loop's thread is, for a person."""
-        return stack_of(self._thread)
+        return format_thread_stack(self._thread)
 
     def fault(self) -> Failure | None:
         """Return why no items are run any more, None while they are; to be asked regularly."""
@@ -233,7 +233,7 @@
             runs=self._board.runs,
             service=self._loads.sight,
             has_result=self._outbox.has_result,
-            waiting=self._outbox.waiting,
+            waiting=self._outbox.pending_results,
             open_keys=self._open_keys,
         )
 
@@ -336,7 +336,7 @@
         keys = frozenset(opened.keys)
         for run in self._board.keep(keys):
             run.stop()
-        self._outbox.keep(keys)
+        self._outbox.retain(keys)
         whole = True
         for lot_id in self._board.unknown_lots(opened.keys):
             items = self._query(ReadOpenItems(lot_id), OpenItems)
@@ -380,7 +380,7 @@
             return
         for run in self._board.runs.values():
             if run.task is None and self._is_over(run.item) and not self._outbox.has_result(run):
-                self._outbox.dead(run, "its time is over")
+                self._outbox.give_up(run, "its time is over")
 
     def _start_runs(self, index: RouteIndex) -> None:
         """Start what is most urgent, as long as there is room for it."""
