--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -26,7 +26,7 @@
 from leverjunction.proxy.dispatch import Dispatch, OpenedAnswer, Patience
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
 from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.quarantine.verdicts import ran_on
 from leverjunction.wire.codec import decode_reply, encode
 
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -13,7 +13,7 @@
 from leverjunction.lots.told_loads import ToldLoads
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 
 READ_INTERVAL_S = 0.1
 """Pause between two readings of a back end: how soon batch learns that it has to give way."""
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -42,7 +42,7 @@
 from leverjunction.proxy.dialect import Dialect
 from leverjunction.proxy.quarantine import EvidenceTaker, Quarantine
 from leverjunction.proxy.runner_connection import RunnerPool
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.quarantine.verdicts import Standing
 from leverjunction.registry.cluster import CLUSTER_KEY
 from leverjunction.registry.follower import Snapshot
--- a/src/leverjunction/proxy/attempt.py
+++ b/src/leverjunction/proxy/attempt.py
@@ -22,7 +22,7 @@
     RunnerConnection,
     RunnerPool,
 )
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 
 CONNECT_TIMEOUT_S = 0.4
 REPEATABLE_IDLE_SHARE = 0.8
--- a/src/leverjunction/proxy/balancer.py
+++ b/src/leverjunction/proxy/balancer.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from leverjunction.proxy.admission import Prospect
-from leverjunction.proxy.homes import home_of, readers_of
+from leverjunction.proxy.affinity import home_of, readers_of
 from leverjunction.proxy.load_row import BackEndOrder
 from leverjunction.proxy.prompt import READ_TOKENS_PER_MS, Prompt
-from leverjunction.proxy.runner_seat import RunnerSeat
 from leverjunction.proxy.spread import Place, Steps, draw, shares
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.records import RunnerRecord, RunnerState
 
 BUSY_COST_MS = 6.0
--- a/src/leverjunction/proxy/dispatch.py
+++ b/src/leverjunction/proxy/dispatch.py
@@ -8,7 +8,7 @@
 from leverjunction.proxy.caller_connection import CallerRequest
 from leverjunction.proxy.dialect import AnswerFacts, RequestFacts
 from leverjunction.proxy.runner_connection import AnswerHead, RunnerConnection
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 
 
 class Patience:
--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -17,17 +17,17 @@
     status_of,
     unsure_of_route,
 )
-from leverjunction.proxy.asking import Asker
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
 from leverjunction.proxy.dialect import Dialect, RequestFacts
 from leverjunction.proxy.dispatch import OpenedAnswer
-from leverjunction.proxy.doubt import Doubt
 from leverjunction.proxy.events import EventSplitter
+from leverjunction.proxy.freshness import Doubt
 from leverjunction.proxy.headers import end_to_end, find
 from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
+from leverjunction.proxy.retrying_sender import Asker
 from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
 from leverjunction.proxy.work import Work
 from leverjunction.routes.matching import RouteIndex, draw_service
--- a/src/leverjunction/proxy/load_port.py
+++ b/src/leverjunction/proxy/load_socket.py
@@ -16,7 +16,7 @@
     LoadTeller,
     OnlineLoads,
 )
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.records import JOBS_GROUP
 from leverjunction.wire.codec import decode, encode
 from leverjunction.wire.envelope import Envelope, MessageKind, decode_envelope, encode_envelope
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -25,7 +25,7 @@
 from leverjunction.proxy.dialect import Dialect
 from leverjunction.proxy.forwarding import Forwarder, LocalHandler
 from leverjunction.proxy.journal import ProxyJournal
-from leverjunction.proxy.load_port import LoadPort
+from leverjunction.proxy.load_socket import LoadPort
 from leverjunction.proxy.quarantine import Quarantine
 from leverjunction.proxy.registry_intake import RegistryIntake
 from leverjunction.proxy.runner_connection import RunnerPool
--- a/src/leverjunction/proxy/runner_connection.py
+++ b/src/leverjunction/proxy/runner_connection.py
@@ -9,7 +9,7 @@
 
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.proxy.dialect import RawHeaders
-from leverjunction.proxy.probes import probe
+from leverjunction.proxy.keepalive import probe
 
 MAX_HEAD_BYTES = 64 * 1024
 PAUSE_BYTES = 256 * 1024
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -15,7 +15,7 @@
 from leverjunction.lots.runner import IDLE_STEP_S, STEP_S
 from leverjunction.lots.urgency import RunTimes, Urgency
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.records import RunnerRecord
 from testbed.placement.back_ends import BackEnd
 from testbed.placement.gateway import CLUSTER_KEY, WAY_S, LoadReader
--- a/src/testbed/placement/gateway.py
+++ b/src/testbed/placement/gateway.py
@@ -10,10 +10,10 @@
 from leverjunction.proxy.admission_gate import AdmissionGate
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.dialect import EngineLoad
-from leverjunction.proxy.load_port import LoadPort
-from leverjunction.proxy.patience import HeadTimes
+from leverjunction.proxy.hedge_delay import HeadTimes
+from leverjunction.proxy.load_socket import LoadPort
 from leverjunction.proxy.prompt import Prompt
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.records import RunnerRecord
 from testbed.placement.back_ends import BackEnd
 from testbed.placement.loads import SERVICE, OnlineKind
--- a/tests/unit/test_load_datagrams.py
+++ b/tests/unit/test_load_datagrams.py
@@ -10,10 +10,10 @@
 from loguru import logger
 
 from leverjunction.lots.load_listener import LoadListener
-from leverjunction.proxy.load_port import LoadPort
 from leverjunction.proxy.load_row import BackEndOrder
+from leverjunction.proxy.load_socket import LoadPort
 from leverjunction.proxy.online_loads import LEAST_INTERVAL_S
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.records import RunnerRecord
 
 HOST = f"127.{20 + os.getpid() % 200}.251.1"
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -40,7 +40,7 @@
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.proxy.online_loads import OnlineLoads
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.cluster import CLUSTER_KEY
 from leverjunction.registry.follower import Snapshot
 from leverjunction.registry.records import FleetView, RunnerRecord
--- a/tests/unit/test_proxy_admission_gate.py
+++ b/tests/unit/test_proxy_admission_gate.py
@@ -16,7 +16,7 @@
 from leverjunction.proxy.admission_gate import READS_AT_ONCE, AdmissionGate
 from leverjunction.proxy.balancer import KNOWN_S, Balancer
 from leverjunction.proxy.dialect import EngineLoad
-from leverjunction.proxy.runner_seat import RunnerSeat
+from leverjunction.proxy.tracked_runner import RunnerSeat
 from leverjunction.registry.records import RunnerRecord
 from leverjunction.routes import RouteClass
 from testbed.routed import SERVICE, RunnerStandIn, make_route, make_table
--- a/tests/unit/test_proxy_patience.py
+++ b/tests/unit/test_proxy_hedge_delay.py
@@ -7,7 +7,7 @@
 import pytest
 
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.patience import FEW_HEADS, HeadTimes
+from leverjunction.proxy.hedge_delay import FEW_HEADS, HeadTimes
 from leverjunction.proxy.prompt import Prompt
 from leverjunction.registry import RunnerRecord
 
--- a/tests/unit/test_proxy_runner_connection.py
+++ b/tests/unit/test_proxy_runner_connection.py
@@ -9,7 +9,7 @@
 import pytest
 
 from leverjunction.errors import Failure
-from leverjunction.proxy.probes import PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES
+from leverjunction.proxy.keepalive import PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES
 from leverjunction.proxy.runner_connection import (
     AnswerEnd,
     AnswerHead,
