--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -23,10 +23,10 @@
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.caller_connection import CallerRequest
 from leverjunction.proxy.dialect import Dialect
-from leverjunction.proxy.dispatch import Dispatch, OpenedAnswer, Patience
+from leverjunction.proxy.dispatch import Dispatch, HeadTimeouts, OpenedAnswer
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
 from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.quarantine.verdicts import ran_on
 from leverjunction.wire.codec import decode_reply, encode
 
@@ -65,40 +65,42 @@
         self._outbox = outbox
         self._quarantine = quarantine
 
-    async def attempt(self, run: ItemRun, seat: RunnerSeat) -> bool:
+    async def attempt(self, run: ItemRun, runner: TrackedRunner) -> bool:
         """Run an item once; return whether it has ended."""
         request = self._request(run.item)
         if request is None or not self._follow(run):
             run.trace.over(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
             return False
         run.suspect_key = self._quarantine.find(request)
-        if not self._quarantine.may_begin(run.suspect_key, seat.record.start):
+        if not self._quarantine.may_run(run.suspect_key, runner.record.start):
             run.trace.over(RunEnd.QUARANTINED)
             return False
-        with self._quarantine.trial(run.suspect_key, seat.record.start):
-            return await self._run(run, seat, request)
+        with self._quarantine.trial(run.suspect_key, runner.record.start):
+            return await self._run(run, runner, request)
 
-    async def _run(self, run: ItemRun, seat: RunnerSeat, request: CallerRequest) -> bool:
+    async def _run(self, run: ItemRun, runner: TrackedRunner, request: CallerRequest) -> bool:
         """Send an item's request and take its answer; return whether the item has ended."""
         loop = asyncio.get_running_loop()
         if run.silent:
             # A path that goes silent may concern kept connections to other back ends as well.
-            self._sender.distrust(seat)
+            self._sender.distrust(runner)
         run.was_sent(loop.time())
         answer = await self._sender.send(
             Dispatch(
                 request,
                 self._dialect.read_request(request.headers),
-                seat,
+                runner,
                 repeatable=True,
                 last_event_id=run.stream.last_id,
                 until_s=loop.time() + RUN_TIMEOUT_S,
-                patience=Patience.until(loop.time() + silence_s(run.item.due_ms, run.silent)),
+                head_timeouts=HeadTimeouts.without_hedge(
+                    loop.time() + silence_s(run.item.due_ms, run.silent)
+                ),
             )
         )
         if isinstance(answer, Failure):
             run.trace.not_answered(answer)
-            self._note_end(run, seat, request, answer)
+            self._note_end(run, runner, request, answer)
             if answer.kind is FailureKind.DEADLINE_EXCEEDED:
                 _silent(run, loop.time())
             return False
@@ -111,7 +113,7 @@
             if broken is not None:
                 run.stream.broken()
         if broken is not None:
-            self._note_end(run, seat, request, broken)
+            self._note_end(run, runner, request, broken)
             return False
         run.suspect_key = run.suspect_key or self._quarantine.find(request)
         if run.suspect_key:
@@ -119,17 +121,17 @@
         return self._judge(run, answer.head.status)
 
     def _note_end(
-        self, run: ItemRun, seat: RunnerSeat, request: CallerRequest, failure: Failure
+        self, run: ItemRun, runner: TrackedRunner, request: CallerRequest, failure: Failure
     ) -> None:
         """Note what a failed run says of its back end, and of the item itself."""
         if failure.kind is FailureKind.NOT_LISTENING:
-            self._quarantine.not_listening(seat.record)
+            self._quarantine.not_listening(runner.record)
         if is_lost_run(failure):
-            self._quarantine.lost(
+            self._quarantine.run_lost(
                 request,
                 run.route_name,
                 run.item.item_id,
-                seat.record,
+                runner.record,
                 ran_on=ran_on(run.first_output_s, asyncio.get_running_loop().time()),
             )
 
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -13,7 +13,7 @@
 from leverjunction.lots.told_loads import ToldLoads
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 
 READ_INTERVAL_S = 0.1
 """Pause between two readings of a back end: how soon batch learns that it has to give way."""
@@ -72,7 +72,7 @@
         now_s = self._loop.time()
         for service in services:
             self._room(service).note(now_s)
-            seats = self._balancer.seats(service)
+            seats = self._balancer.available(service)
             pause_s = max(READ_INTERVAL_S, len(seats) / READS_PER_S)
             for seat in seats:
                 key = seat.record.start
@@ -95,18 +95,18 @@
         rooms = self._rooms.values()
         return {key: seat.online for room in rooms for key, seat in room.read(now_s)}
 
-    def room_at(self, seat: RunnerSeat) -> SeatRoom:
+    def room_at(self, seat: TrackedRunner) -> SeatRoom:
         """Return what is known of one back end."""
         return self._room(seat.record.service).seat(seat.record.start, seat.record.slots)
 
-    def free_seat(self, service: str) -> RunnerSeat | None:
+    def free_seat(self, service: str) -> TrackedRunner | None:
         """Return the back end with most room for batch; None while online requests need it all."""
         now_s = self._loop.time()
         if self._room(service).allowance(now_s) <= 0:
             return None
         free = [
             (self.room_at(seat).free(now_s), seat)
-            for seat in self._balancer.seats(service)
+            for seat in self._balancer.available(service)
             if seat.ejected_until_s <= now_s
         ]
         room, seat = max(free, key=self._preference, default=(0, None))
@@ -115,7 +115,7 @@
     def sight(self, service: str) -> ServiceSight:
         """Return what decides on the room of a service, for a person."""
         now_s = self._loop.time()
-        seats = self._balancer.seats(service)
+        seats = self._balancer.available(service)
         room = self._rooms.get(service)
         free = {key: seat.free(now_s) for key, seat in room.read(now_s)} if room else {}
         sound: list[int | None] = []
@@ -169,13 +169,13 @@
     def _room(self, service: str) -> ServiceRoom:
         return self._rooms.setdefault(service, ServiceRoom())
 
-    def _preference(self, candidate: tuple[int, RunnerSeat]) -> tuple[bool, int, str]:
+    def _preference(self, candidate: tuple[int, TrackedRunner]) -> tuple[bool, int, str]:
         """Rank back ends: with room in this zone, as bodies are large; then by room."""
         room, seat = candidate
         near = seat.record.zone == self._zone and room >= NEAR_ROOM
         return (near, room, seat.record.start)
 
-    async def _read(self, seat: RunnerSeat, pause_s: float) -> None:
+    async def _read(self, seat: TrackedRunner, pause_s: float) -> None:
         try:
             load = await self._sender.read_load(seat)
             if load is None:
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -40,9 +40,9 @@
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.dialect import Dialect
-from leverjunction.proxy.quarantine import EvidenceTaker, Quarantine
+from leverjunction.proxy.quarantine import EvidenceReporter, Quarantine
 from leverjunction.proxy.runner_connection import RunnerPool
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.quarantine.verdicts import Standing
 from leverjunction.registry.cluster import CLUSTER_KEY
 from leverjunction.registry.follower import Snapshot
@@ -85,7 +85,7 @@
         clock: Clock,
         random: Random,
         datagrams: str = "",
-        report: EvidenceTaker | None = None,
+        report: EvidenceReporter | None = None,
         is_in_doubt: Callable[[], bool] = lambda: False,
     ) -> None:
         """Prepare a runner.
@@ -410,7 +410,7 @@
         """
         return self._quarantine.standing(run.suspect_key) is Standing.REFUSED
 
-    def _start(self, run: ItemRun, seat: RunnerSeat) -> None:
+    def _start(self, run: ItemRun, seat: TrackedRunner) -> None:
         # Counted at once, so that the next item sees this one.
         slot = TakenSlot(self._loads.room_at(seat))
         run.begin_at(seat.record.start)
@@ -435,7 +435,7 @@
         age_s = (self._clock.wall_ms() - item.accepted_ms) / 1000
         return item.give_up_s > 0 and age_s > item.give_up_s + GIVE_UP_MARGIN_S
 
-    async def _run(self, run: ItemRun, seat: RunnerSeat, slot: TakenSlot) -> None:
+    async def _run(self, run: ItemRun, seat: TrackedRunner, slot: TakenSlot) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         ended = False
--- a/src/leverjunction/proxy/admission.py
+++ b/src/leverjunction/proxy/admission.py
@@ -63,21 +63,23 @@
         head_s: Time from its send to its head where nothing waits.
     """
 
-    __slots__ = ("aim_s", "arrived_s", "head_s", "last_s")
+    __slots__ = ("arrived_s", "deadline_s", "head_latency_s", "target_s")
 
-    def __init__(self, arrived_s: float, aim_s: float, last_s: float, head_s: float) -> None:
+    def __init__(
+        self, arrived_s: float, target_s: float, deadline_s: float, head_latency_s: float
+    ) -> None:
         self.arrived_s = arrived_s
-        self.aim_s = aim_s
-        self.last_s = last_s
-        self.head_s = head_s
+        self.target_s = target_s
+        self.deadline_s = deadline_s
+        self.head_latency_s = head_latency_s
 
     def is_in_time(self, prospect: Prospect, now_s: float) -> bool:
         """Return whether its head comes within its aim if it is sent now."""
-        return now_s + prospect.wait_s + self.head_s <= self.aim_s
+        return now_s + prospect.wait_s + self.head_latency_s <= self.target_s
 
     def is_over(self, now_s: float) -> bool:
         """Return whether its head can come too late only."""
-        return now_s + self.head_s > self.last_s - MARGIN_S
+        return now_s + self.head_latency_s > self.deadline_s - MARGIN_S
 
 
 class Verdict(Enum):
@@ -152,7 +154,7 @@
     def _take(self, tickets: list[Ticket]) -> Ticket | None:
         if not tickets:
             return None
-        first = min(tickets, key=lambda ticket: (ticket.aim_s, ticket.last_s))
+        first = min(tickets, key=lambda ticket: (ticket.target_s, ticket.deadline_s))
         self._held.remove(first)
         return first
 
@@ -164,7 +166,7 @@
 
     def _is_hopeless(self, ticket: Ticket, now_s: float) -> bool:
         """Return whether there was no lull for as long as this request could wait for one."""
-        return now_s - self._relief_s > ticket.last_s - ticket.arrived_s
+        return now_s - self._relief_s > ticket.deadline_s - ticket.arrived_s
 
 
 def retry_after_s(prospect: Prospect | None, held: int) -> float:
--- a/src/leverjunction/proxy/admission_gate.py
+++ b/src/leverjunction/proxy/admission_gate.py
@@ -130,9 +130,11 @@
             waiter.set_result(outcome)
 
     def _read_loads(self, service: str) -> None:
-        seats = sorted(self._balancer.seats(service), key=lambda seat: seat.told_s)
-        for seat in seats[:READS_AT_ONCE]:
-            reading = self._loop.create_task(self._sender.read_load(seat))
+        runners = sorted(
+            self._balancer.available(service), key=lambda runner: runner.load_updated_s
+        )
+        for runner in runners[:READS_AT_ONCE]:
+            reading = self._loop.create_task(self._sender.read_load(runner))
             self._readings.add(reading)
             reading.add_done_callback(self._readings.discard)
 
--- a/src/leverjunction/proxy/attempt.py
+++ b/src/leverjunction/proxy/attempt.py
@@ -15,14 +15,14 @@
 )
 from leverjunction.proxy.dispatch import Dispatch, LateHead, OpenedAnswer, late_failure
 from leverjunction.proxy.headers import end_to_end, find
-from leverjunction.proxy.prompt import READ_TOKENS_PER_MS
+from leverjunction.proxy.prompt import PREFILL_TOKENS_PER_MS
 from leverjunction.proxy.runner_connection import (
     AnswerEnd,
     AnswerHead,
     RunnerConnection,
     RunnerPool,
 )
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 
 CONNECT_TIMEOUT_S = 0.4
 REPEATABLE_IDLE_SHARE = 0.8
@@ -55,7 +55,7 @@
         pool: RunnerPool,
         balancer: Balancer,
         dialect: Dialect,
-        changed: Callable[[RunnerSeat], None] | None = None,
+        changed: Callable[[TrackedRunner], None] | None = None,
     ) -> None:
         self._pool = pool
         self._changed = changed
@@ -79,19 +79,19 @@
         Returns:
             As ``send``, or that the head is late.
         """
-        seat = dispatch.seat
-        read_ms = dispatch.facts.tokens_in / READ_TOKENS_PER_MS
-        self._count(seat, 1)
-        seat.reading_ms += read_ms
+        runner = dispatch.runner
+        prefill_ms = dispatch.facts.tokens_in / PREFILL_TOKENS_PER_MS
+        self._count(runner, 1)
+        runner.pending_prefill_ms += prefill_ms
         try:
             opened = await self._open(dispatch)
         except BaseException:
-            self._count(seat, -1)
+            self._count(runner, -1)
             raise
         finally:
-            seat.reading_ms -= read_ms
+            runner.pending_prefill_ms -= prefill_ms
         if isinstance(opened, Failure):
-            self._count(seat, -1)
+            self._count(runner, -1)
         return opened
 
     async def wait(self, late: LateHead) -> OpenedAnswer | Failure:
@@ -103,7 +103,7 @@
             self._drop(late)
             raise
         if isinstance(opened, Failure):
-            self._count(late.dispatch.seat, -1)
+            self._count(late.dispatch.runner, -1)
         return opened
 
     def abandon(self, late: LateHead) -> None:
@@ -114,28 +114,28 @@
 
     def _drop(self, late: LateHead) -> None:
         late.connection.close()
-        self._count(late.dispatch.seat, -1)
+        self._count(late.dispatch.runner, -1)
 
     def finish(self, answer: OpenedAnswer, whole: bool) -> None:
         """End the use of an answer; one that is not whole costs its connection."""
-        self._count(answer.seat, -1)
+        self._count(answer.runner, -1)
         self._pool.give_back(answer.connection, keep=whole and not answer.facts.closes)
 
-    def distrust(self, seat: RunnerSeat) -> None:
+    def distrust(self, runner: TrackedRunner) -> None:
         """Have the next requests to a back end take new connections."""
-        self._pool.distrust(seat.record.address)
+        self._pool.distrust(runner.record.address)
 
-    async def read_load(self, seat: RunnerSeat) -> EngineLoad | None:
+    async def read_load(self, runner: TrackedRunner) -> EngineLoad | None:
         """Ask a back end for its load; None when it does not tell it in time."""
         path, headers = self._dialect.load_request()
         try:
             async with asyncio.timeout(READ_LOAD_TIMEOUT_S):
-                body = await self.fetch(seat.record.address, path, headers)
+                body = await self.fetch(runner.record.address, path, headers)
         except TimeoutError:
             return None
         load = self._dialect.read_load(body) if isinstance(body, bytes) else None
         if load is not None:
-            seat.told(load, self._loop.time())
+            runner.report_load(load, self._loop.time())
         return load
 
     async def fetch(self, address: str, path: bytes, headers: RawHeaders) -> bytes | Failure:
@@ -159,23 +159,23 @@
         finally:
             self._pool.give_back(connection, keep=whole)
 
-    def _count(self, seat: RunnerSeat, change: int) -> None:
-        seat.own += change
+    def _count(self, runner: TrackedRunner, change: int) -> None:
+        runner.own_requests += change
         if self._changed is not None:
-            self._changed(seat)
+            self._changed(runner)
 
     async def _open(self, dispatch: Dispatch) -> OpenedAnswer | LateHead | Failure:
-        seat = dispatch.seat
+        runner = dispatch.runner
         idle_share = REPEATABLE_IDLE_SHARE if dispatch.repeatable else ONCE_IDLE_SHARE
-        connection = await self._pool.take(seat.record.address, idle_share, CONNECT_TIMEOUT_S)
+        connection = await self._pool.take(runner.record.address, idle_share, CONNECT_TIMEOUT_S)
         if isinstance(connection, Failure):
-            self._balancer.failed(seat, self._loop.time())
+            self._balancer.failed(runner, self._loop.time())
             return connection
         try:
             left_ms = (dispatch.until_s - self._loop.time()) * 1000
             if left_ms < 1:
                 connection.close()
-                return late_failure(seat, Execution.NOT_RUN)
+                return late_failure(runner, Execution.NOT_RUN)
             sent_s = self._write(connection, dispatch, left_ms)
             if await self._is_late(connection, dispatch, sent_s):
                 return LateHead(dispatch, connection, sent_s)
@@ -190,7 +190,7 @@
         headers = self._dialect.forwarded(
             end_to_end(request.headers),
             left_ms,
-            dispatch.seat.record.runner_id,
+            dispatch.runner.record.runner_id,
             dispatch.last_event_id,
         )
         connection.send(request.method, request.target, headers, request.body)
@@ -200,73 +200,73 @@
         self, connection: RunnerConnection, dispatch: Dispatch, sent_s: float
     ) -> bool:
         """Wait for a head until the soft limit; returns whether another back end may be asked."""
-        patience = dispatch.patience
-        if patience.soft_s >= patience.hard_s:
+        head_timeouts = dispatch.head_timeouts
+        if head_timeouts.soft_s >= head_timeouts.hard_s:
             return False
         try:
-            async with asyncio.timeout_at(patience.soft_s):
+            async with asyncio.timeout_at(head_timeouts.soft_s):
                 await connection.wait_event()
         except TimeoutError:
             self._note_delay(dispatch, sent_s)
-            return patience.may_hedge()
+            return head_timeouts.may_hedge()
         return False
 
     async def _head(
         self, connection: RunnerConnection, dispatch: Dispatch, sent_s: float
     ) -> OpenedAnswer | Failure:
-        seat = dispatch.seat
+        runner = dispatch.runner
         try:
-            async with asyncio.timeout_at(dispatch.patience.hard_s):
+            async with asyncio.timeout_at(dispatch.head_timeouts.hard_s):
                 head = await connection.next_event()
         except TimeoutError:
             connection.close()
-            return late_failure(seat, Execution.UNKNOWN)
+            return late_failure(runner, Execution.UNKNOWN)
         finally:
             self._note_delay(dispatch, sent_s)
         if not isinstance(head, AnswerHead):
-            self._balancer.failed(seat, self._loop.time())
+            self._balancer.failed(runner, self._loop.time())
             connection.close()
-            return head if isinstance(head, Failure) else _mismatch(seat, "no head")
+            return head if isinstance(head, Failure) else _mismatch(runner, "no head")
         answer = self._dialect.read_answer(head.headers)
         if answer.load is not None:
-            seat.told(answer.load, self._loop.time())
-        opened = OpenedAnswer(head, answer, connection, seat)
+            runner.report_load(answer.load, self._loop.time())
+        opened = OpenedAnswer(head, answer, connection, runner)
         refusal = await self._refusal(opened, dispatch.facts)
         if refusal is not None:
             return refusal
-        self._balancer.succeeded(seat, self._loop.time())
+        self._balancer.succeeded(runner, self._loop.time())
         return opened
 
     def _note_delay(self, dispatch: Dispatch, sent_s: float) -> None:
         now_s = self._loop.time()
-        dispatch.seat.answered(now_s - sent_s, dispatch.facts.tokens_in, now_s)
+        dispatch.runner.record_head(now_s - sent_s, dispatch.facts.tokens_in, now_s)
 
     async def _refusal(self, answer: OpenedAnswer, facts: RequestFacts) -> Failure | None:
         """Return a failure for an answer that is not the caller's, or says "not run"."""
-        seat = answer.seat
+        runner = answer.runner
         # First of all: a surplus answer says nothing of this request, not even "not run".
         if answer.facts.request_id and answer.facts.request_id != facts.request_id:
             answer.connection.close()
-            self._balancer.failed(seat, self._loop.time())
-            return _mismatch(seat, "it answers another request")
+            self._balancer.failed(runner, self._loop.time())
+            return _mismatch(runner, "it answers another request")
         if answer.facts.not_run or answer.head.status == MISDIRECTED:
             await self._drop_refusal(answer)
             if answer.head.status == MISDIRECTED:
                 # Its address has been given to another one: it is not there any more.
-                self._balancer.failed(seat, self._loop.time())
+                self._balancer.failed(runner, self._loop.time())
             return Failure(
                 kind=FailureKind.OVERLOADED,
-                reason=f"back end {seat.record.runner_id} refused: HTTP {answer.head.status}",
+                reason=f"back end {runner.record.runner_id} refused: HTTP {answer.head.status}",
                 step=Step.RESPONDING,
-                peer=seat.record.address,
+                peer=runner.record.address,
             )
         answer.connection.keep_alive_s = answer.facts.keep_alive_s
         unsigned = not answer.facts.signed or not answer.facts.request_id
         encoded = find(answer.head.headers, b"content-encoding") is not None
         if unsigned or encoded or answer.head.status in NOT_RUN_STATUSES:
             answer.connection.close()
-            self._balancer.failed(seat, self._loop.time())
-            return _mismatch(seat, f"HTTP {answer.head.status} is no answer of a back end")
+            self._balancer.failed(runner, self._loop.time())
+            return _mismatch(runner, f"HTTP {answer.head.status} is no answer of a back end")
         return None
 
     async def _drop_refusal(self, answer: OpenedAnswer) -> None:
@@ -283,11 +283,11 @@
         self._pool.give_back(connection, keep=not answer.facts.closes)
 
 
-def _mismatch(seat: RunnerSeat, reason: str) -> Failure:
+def _mismatch(runner: TrackedRunner, reason: str) -> Failure:
     return Failure(
         kind=FailureKind.BACKEND_MISMATCH,
         reason=reason,
         step=Step.RESPONDING,
-        peer=seat.record.address,
+        peer=runner.record.address,
         execution=Execution.UNKNOWN,
     )
--- a/src/leverjunction/proxy/balancer.py
+++ b/src/leverjunction/proxy/balancer.py
@@ -8,9 +8,9 @@
 from leverjunction.proxy.admission import Prospect
 from leverjunction.proxy.affinity import home_of, readers_of
 from leverjunction.proxy.load_row import BackEndOrder
-from leverjunction.proxy.prompt import READ_TOKENS_PER_MS, Prompt
+from leverjunction.proxy.prompt import PREFILL_TOKENS_PER_MS, Prompt
 from leverjunction.proxy.spread import Place, Steps, draw, shares
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord, RunnerState
 
 BUSY_COST_MS = 6.0
@@ -55,10 +55,10 @@
         candidates: Back ends that were weighed.
     """
 
-    __slots__ = ("candidates", "load", "seat")
+    __slots__ = ("candidates", "load", "runner")
 
-    def __init__(self, seat: RunnerSeat, load: float, candidates: int) -> None:
-        self.seat = seat
+    def __init__(self, runner: TrackedRunner, load: float, candidates: int) -> None:
+        self.runner = runner
         self.load = load
         self.candidates = candidates
 
@@ -81,7 +81,7 @@
         "_random",
         "_readers",
         "_run_s",
-        "_seats",
+        "_runners",
         "_spread",
         "_zone",
         "order",
@@ -91,24 +91,24 @@
         self._zone = zone
         self._spread = spread
         self._random = random
-        self._seats: dict[str, RunnerSeat] = {}
+        self._runners: dict[str, TrackedRunner] = {}
         self.order = BackEndOrder(())
-        self._by_service: dict[str, list[RunnerSeat]] = {}
+        self._by_service: dict[str, list[TrackedRunner]] = {}
         self._readers: frozenset[str] = frozenset()
         self._long_s: dict[str, float] = {}
         self._run_s: dict[str, float] = {}
 
     def replace(self, records: Iterable[RunnerRecord]) -> None:
         """Take the registry's records; only of starts that stay is kept what is known of them."""
-        seats: dict[str, RunnerSeat] = {}
-        by_service: dict[str, list[RunnerSeat]] = {}
+        runners: dict[str, TrackedRunner] = {}
+        by_service: dict[str, list[TrackedRunner]] = {}
         for record in records:
-            seat = self._seats.get(record.start) or RunnerSeat(record)
-            seat.record = record
-            seats[record.start] = seat
-            by_service.setdefault(record.service, []).append(seat)
-        self._seats = seats
-        self.order = BackEndOrder(seats)
+            runner = self._runners.get(record.start) or TrackedRunner(record)
+            runner.record = record
+            runners[record.start] = runner
+            by_service.setdefault(record.service, []).append(runner)
+        self._runners = runners
+        self.order = BackEndOrder(runners)
         self._by_service = by_service
         self._readers = frozenset(
             key
@@ -116,12 +116,12 @@
             for key in readers_of(service, _ids(members))
         )
 
-    def seats(self, service: str) -> list[RunnerSeat]:
+    def available(self, service: str) -> list[TrackedRunner]:
         """Return the back ends of a service that take new work."""
         known = self._by_service.get(service, [])
-        ready = [seat for seat in known if seat.record.state is RunnerState.READY]
+        ready = [runner for runner in known if runner.record.state is RunnerState.READY]
         # Silence may be a fault of the path to the control processes alone.
-        return ready or [seat for seat in known if seat.record.state is RunnerState.SILENT]
+        return ready or [runner for runner in known if runner.record.state is RunnerState.SILENT]
 
     def choose(
         self,
@@ -138,10 +138,12 @@
             avoided: Starts of back ends that were tried already.
             now_s: Monotonic time.
         """
-        seats = [seat for seat in self.seats(service) if seat.record.start not in avoided]
-        if not seats:
+        runners = [
+            runner for runner in self.available(service) if runner.record.start not in avoided
+        ]
+        if not runners:
             return None
-        sound = [seat for seat in seats if seat.ejected_until_s <= now_s] or seats
+        sound = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
         if prompt.is_long:
             self._long_s[service] = now_s
         home = home_of(prompt, _ids(sound), self._readers)
@@ -156,55 +158,59 @@
             avoided: Starts of back ends that are taken only if there is no other.
             now_s: Monotonic time.
         """
-        seats = self.seats(service)
-        sound = [seat for seat in seats if seat.ejected_until_s <= now_s] or seats
-        free = [seat for seat in sound if seat.record.start not in avoided] or sound
+        runners = self.available(service)
+        sound = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
+        free = [runner for runner in sound if runner.record.start not in avoided] or sound
         if not free:
             return None
-        best = min(free, key=lambda seat: (seat.load(now_s), self._random.random()))
+        best = min(free, key=lambda runner: (runner.load(now_s), self._random.random()))
         return Choice(best, best.load(now_s), len(free))
 
-    def _sample(self, seats: list[RunnerSeat], home: str) -> list[RunnerSeat]:
+    def _sample(self, runners: list[TrackedRunner], home: str) -> list[TrackedRunner]:
         """Return the back ends that are weighed: of very many some, and the prompt's own one."""
-        if len(seats) <= WEIGHED_MOST:
-            return seats
-        drawn = self._random.sample(seats, WEIGHED_MOST)
-        own = [seat for seat in seats if seat.record.runner_id == home and seat not in drawn]
+        if len(runners) <= WEIGHED_MOST:
+            return runners
+        drawn = self._random.sample(runners, WEIGHED_MOST)
+        own = [
+            runner for runner in runners if runner.record.runner_id == home and runner not in drawn
+        ]
         return drawn + own
 
-    def _draw(self, seats: list[RunnerSeat], home: str, prompt: Prompt, now_s: float) -> RunnerSeat:
+    def _draw(
+        self, runners: list[TrackedRunner], home: str, prompt: Prompt, now_s: float
+    ) -> TrackedRunner:
         """Return a back end: gateways that see the same loads must not all choose the same."""
-        unseen = self._unseen(seats, now_s)
+        unseen = self._unseen(runners, now_s)
         places = [
             Place(
-                self._cost_ms(seat, home, prompt, now_s),
-                seat.slots - seat.load(now_s),
+                self._cost_ms(runner, home, prompt, now_s),
+                runner.slots - runner.load(now_s),
             )
-            for seat in seats
+            for runner in runners
         ]
         if not self._spread:
-            return min(zip(seats, places, strict=True), key=lambda pair: pair[1].cost_ms)[0]
+            return min(zip(runners, places, strict=True), key=lambda pair: pair[1].cost_ms)[0]
         weights = shares(places, unseen, Steps(BUSY_COST_MS, QUEUED_COST_MS))
-        return seats[draw(weights, self._random)]
+        return runners[draw(weights, self._random)]
 
-    def _unseen(self, seats: list[RunnerSeat], now_s: float) -> float:
+    def _unseen(self, runners: list[TrackedRunner], now_s: float) -> float:
         """Return how many requests others have probably sent since the loads were true."""
-        run_s = self._run_s.get(seats[0].record.service) or FIRST_RUN_S
-        return sum(seat.unseen(now_s, run_s) for seat in seats)
+        run_s = self._run_s.get(runners[0].record.service) or FIRST_RUN_S
+        return sum(runner.unseen(now_s, run_s) for runner in runners)
 
-    def shared(self, others: Mapping[str, int], now_s: float, lag_s: float = 0.0) -> None:
+    def set_other_loads(self, others: Mapping[str, int], now_s: float, lag_s: float = 0.0) -> None:
         """Take the online requests of other gateways at all back ends that are named."""
         for start, online in others.items():
-            seat = self._seats.get(start)
-            if seat is not None:
-                seat.shared(online, now_s, lag_s)
+            runner = self._runners.get(start)
+            if runner is not None:
+                runner.set_other_load(online, now_s, lag_s)
 
-    def ran(self, service: str, run_s: float) -> None:
+    def record_run(self, service: str, run_s: float) -> None:
         """Take the time for which a request had a slot; waiting in a queue is not counted."""
         known_s = self._run_s.get(service, run_s)
         self._run_s[service] = known_s + (run_s - known_s) * RUN_WEIGHT
 
-    def run_s(self, service: str) -> float | None:
+    def mean_run_s(self, service: str) -> float | None:
         """Return the usual time for which a request has a slot; None before the first."""
         return self._run_s.get(service)
 
@@ -215,55 +221,55 @@
         has not told its load lately.
         """
         run_s = self._run_s.get(service)
-        seats = [seat for seat in self.seats(service) if seat.ejected_until_s <= now_s]
-        if run_s is None or not seats:
+        runners = [runner for runner in self.available(service) if runner.ejected_until_s <= now_s]
+        if run_s is None or not runners:
             return None
-        best = min(seats, key=lambda seat: seat.load(now_s) - seat.slots)
-        if now_s - best.told_s > KNOWN_S:
+        best = min(runners, key=lambda runner: runner.load(now_s) - runner.slots)
+        if now_s - best.load_updated_s > KNOWN_S:
             return None
         return Prospect(
             queue=best.load(now_s) + 1 - best.slots,
             slots=best.slots,
             run_s=run_s,
-            backlog=sum(max(0.0, seat.load(now_s) - seat.slots) for seat in seats),
-            capacity=sum(seat.slots for seat in seats),
+            backlog=sum(max(0.0, runner.load(now_s) - runner.slots) for runner in runners),
+            capacity=sum(runner.slots for runner in runners),
         )
 
-    def failed(self, seat: RunnerSeat, now_s: float) -> None:
+    def failed(self, runner: TrackedRunner, now_s: float) -> None:
         """Note that a back end did not do what it should."""
-        seat.failed(now_s)
+        runner.failed(now_s)
 
-    def succeeded(self, seat: RunnerSeat, now_s: float) -> None:
+    def succeeded(self, runner: TrackedRunner, now_s: float) -> None:
         """Note that a back end answered."""
-        seat.succeeded(now_s)
+        runner.succeeded(now_s)
 
     def _cost_ms(
         self,
-        seat: RunnerSeat,
+        runner: TrackedRunner,
         home: str,
         prompt: Prompt,
         now_s: float,
     ) -> float:
-        load = seat.load(now_s)
-        cost_ms = load * BUSY_COST_MS + max(0.0, load + 1 - seat.slots) * QUEUED_COST_MS
-        if seat.record.zone != self._zone:
+        load = runner.load(now_s)
+        cost_ms = load * BUSY_COST_MS + max(0.0, load + 1 - runner.slots) * QUEUED_COST_MS
+        if runner.record.zone != self._zone:
             cost_ms += OTHER_ZONE_COST_MS
-        if home and seat.record.runner_id != home:
-            cost_ms += prompt.shared_tokens / READ_TOKENS_PER_MS
-        cost_ms += seat.reading_ms
-        reads = seat.record.runner_id in self._readers
+        if home and runner.record.runner_id != home:
+            cost_ms += prompt.shared_tokens / PREFILL_TOKENS_PER_MS
+        cost_ms += runner.pending_prefill_ms
+        reads = runner.record.runner_id in self._readers
         if prompt.is_long and not reads:
             # What comes after it there waits until it is read.
-            cost_ms += prompt.read_ms
-        elif reads and not prompt.is_long and self._reads_long(seat.record.service, now_s):
+            cost_ms += prompt.prefill_ms
+        elif reads and not prompt.is_long and self._reads_long(runner.record.service, now_s):
             cost_ms += READER_COST_MS
-        cost_ms += seat.delay_ms(now_s) * DELAY_COST
-        return cost_ms + seat.suspicion(now_s) * SUSPECT_COST_MS
+        cost_ms += runner.delay_ms(now_s) * DELAY_COST
+        return cost_ms + runner.suspicion(now_s) * SUSPECT_COST_MS
 
     def _reads_long(self, service: str, now_s: float) -> bool:
         """Return whether a service has had long prompts lately; others need no readers."""
         return now_s - self._long_s.get(service, float("-inf")) <= LONG_SEEN_S
 
 
-def _ids(seats: list[RunnerSeat]) -> list[str]:
-    return [seat.record.runner_id for seat in seats]
+def _ids(runners: list[TrackedRunner]) -> list[str]:
+    return [runner.record.runner_id for runner in runners]
--- a/src/leverjunction/proxy/dispatch.py
+++ b/src/leverjunction/proxy/dispatch.py
@@ -8,10 +8,10 @@
 from leverjunction.proxy.caller_connection import CallerRequest
 from leverjunction.proxy.dialect import AnswerFacts, RequestFacts
 from leverjunction.proxy.runner_connection import AnswerHead, RunnerConnection
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 
 
-class Patience:
+class HeadTimeouts:
     """How long to wait for the head of an answer.
 
     Attributes:
@@ -28,7 +28,7 @@
         self.may_hedge = may_hedge
 
     @classmethod
-    def until(cls, hard_s: float) -> Patience:
+    def without_hedge(cls, hard_s: float) -> HeadTimeouts:
         """Return the patience of a request that nobody else may run."""
         return cls(hard_s, hard_s, lambda: True)
 
@@ -48,11 +48,11 @@
 
     __slots__ = (
         "facts",
+        "head_timeouts",
         "last_event_id",
-        "patience",
         "repeatable",
         "request",
-        "seat",
+        "runner",
         "until_s",
     )
 
@@ -60,20 +60,20 @@
         self,
         request: CallerRequest,
         facts: RequestFacts,
-        seat: RunnerSeat,
+        runner: TrackedRunner,
         *,
         repeatable: bool,
         last_event_id: str,
         until_s: float,
-        patience: Patience,
+        head_timeouts: HeadTimeouts,
     ) -> None:
         self.request = request
         self.facts = facts
-        self.seat = seat
+        self.runner = runner
         self.repeatable = repeatable
         self.last_event_id = last_event_id
         self.until_s = until_s
-        self.patience = patience
+        self.head_timeouts = head_timeouts
 
 
 class OpenedAnswer:
@@ -86,19 +86,19 @@
         seat: The back end.
     """
 
-    __slots__ = ("connection", "facts", "head", "seat")
+    __slots__ = ("connection", "facts", "head", "runner")
 
     def __init__(
         self,
         head: AnswerHead,
         facts: AnswerFacts,
         connection: RunnerConnection,
-        seat: RunnerSeat,
+        runner: TrackedRunner,
     ) -> None:
         self.head = head
         self.facts = facts
         self.connection = connection
-        self.seat = seat
+        self.runner = runner
 
 
 class LateHead:
@@ -125,18 +125,18 @@
     @property
     def failure(self) -> Failure:
         """What the send has come to if nothing more comes of it."""
-        return late_failure(self.dispatch.seat, Execution.UNKNOWN)
+        return late_failure(self.dispatch.runner, Execution.UNKNOWN)
 
 
-def late_failure(seat: RunnerSeat, execution: Execution) -> Failure:
+def late_failure(runner: TrackedRunner, execution: Execution) -> Failure:
     """Return that a back end gave no head in time."""
     return Failure(
         kind=FailureKind.DEADLINE_EXCEEDED,
         reason="no answer in time",
         step=Step.RESPONDING,
-        peer=seat.record.address,
+        peer=runner.record.address,
         execution=execution,
     )
 
 
-__all__ = ["Dispatch", "LateHead", "OpenedAnswer", "Patience", "late_failure"]
+__all__ = ["Dispatch", "HeadTimeouts", "LateHead", "OpenedAnswer", "late_failure"]
--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -23,11 +23,11 @@
 from leverjunction.proxy.dialect import Dialect, RequestFacts
 from leverjunction.proxy.dispatch import OpenedAnswer
 from leverjunction.proxy.events import EventSplitter
-from leverjunction.proxy.freshness import Doubt
+from leverjunction.proxy.freshness import FreshnessGate
 from leverjunction.proxy.headers import end_to_end, find
 from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
-from leverjunction.proxy.retrying_sender import Asker
+from leverjunction.proxy.retrying_sender import RetryingSender
 from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
 from leverjunction.proxy.work import Work
 from leverjunction.routes.matching import RouteIndex, draw_service
@@ -93,8 +93,10 @@
         self._index: RouteIndex | None = None
         self._gate = gate
         self._quarantine = quarantine or Quarantine()
-        self._doubt = Doubt(is_in_doubt)
-        self._asker = Asker(sender, balancer, journal, self._quarantine, self._doubt)
+        self._freshness = FreshnessGate(is_in_doubt)
+        self._retrying_sender = RetryingSender(
+            sender, balancer, journal, self._quarantine, self._freshness
+        )
         self._table_age_s = table_age_s
         self._in_force_s = in_force_s
 
@@ -105,7 +107,9 @@
     async def handle(self, request: CallerRequest, responder: Responder) -> None:
         """Answer one request."""
         facts = self._dialect.read_request(request.headers)
-        await self._doubt.over(request.arrived_s + (facts.deadline_ms or DEFAULT_TIMEOUT_MS) / 1000)
+        await self._freshness.wait(
+            request.arrived_s + (facts.deadline_ms or DEFAULT_TIMEOUT_MS) / 1000
+        )
         index = self._index
         if index is None:
             self._refuse(request, facts, responder, no_table())
@@ -121,7 +125,7 @@
         until_s = request.arrived_s + timeout_ms / 1000
         service = draw_service(route, self._random)
         work = Work(request, facts, route, service, index.table.version, until_s)
-        self._asker.admitted(work)
+        self._retrying_sender.record_admission(work)
         try:
             await self._forward(work, responder)
         except asyncio.CancelledError:
@@ -129,7 +133,7 @@
             raise
         finally:
             for start in work.trials:
-                self._quarantine.over(work.key, start)
+                self._quarantine.trial_ended(work.key, start)
 
     def _no_route(self, host: str, path: str) -> Failure:
         """Return "not found" only while the table is known to be the one in force."""
@@ -139,11 +143,11 @@
         return no_route(host, path)
 
     async def _forward(self, work: Work, responder: Responder) -> None:
-        refusal = self._asker.held_back(work) or await self._admit(work)
+        refusal = self._retrying_sender.quarantine_refusal(work) or await self._admit(work)
         if refusal is not None:
             self._refuse(work.request, work.facts, responder, refusal)
             return
-        answer = await self._asker.answer(work, "")
+        answer = await self._retrying_sender.send(work, "")
         while not isinstance(answer, Failure):
             headed_s = self._loop.time()
             streams = work.route.kind is RouteClass.STREAM and answer.head.status == 200
@@ -153,7 +157,7 @@
                 else self._pass_whole(work, answer, responder)
             )
             if is_lost_run(passed) and not streams:
-                await self._asker.lost(work, answer.seat, passed)
+                await self._retrying_sender.run_lost(work, answer.runner, passed)
             if passed is None:
                 self._clear(work)
                 self._note_run(work, headed_s)
@@ -162,7 +166,7 @@
             if responder.started or not work.may_run_again:
                 answer = passed
                 break
-            answer = await self._asker.answer(work, "")
+            answer = await self._retrying_sender.send(work, "")
         if responder.started:
             self._journal.ended(work, "broken_off", answer.reason, self._loop.time())
             responder.break_off()
@@ -188,21 +192,21 @@
 
     def _ticket(self, work: Work) -> Ticket:
         route, arrived_s = work.route, work.request.arrived_s
-        last_s = work.until_s - (self._balancer.run_s(work.service) or 0.0)
+        deadline_s = work.until_s - (self._balancer.mean_run_s(work.service) or 0.0)
         if route.head_within_ms:
-            last_s = min(last_s, arrived_s + route.head_within_ms / 1000)
+            deadline_s = min(deadline_s, arrived_s + route.head_within_ms / 1000)
         return Ticket(
             arrived_s=arrived_s,
-            aim_s=arrived_s + route.target_ms / 1000,
-            last_s=last_s,
-            head_s=self._asker.times_of(route).unqueued_s() or 0.0,
+            target_s=arrived_s + route.target_ms / 1000,
+            deadline_s=deadline_s,
+            head_latency_s=self._retrying_sender.head_latencies(route).unqueued_s() or 0.0,
         )
 
     def _note_run(self, work: Work, headed_s: float) -> None:
         """Learn from an answer that came whole for how long a slot was taken."""
-        unqueued_s = self._asker.times_of(work.route).unqueued_s()
+        unqueued_s = self._retrying_sender.head_latencies(work.route).unqueued_s()
         if unqueued_s is not None and work.runs == 1:
-            self._balancer.ran(work.service, self._loop.time() - headed_s + unqueued_s)
+            self._balancer.record_run(work.service, self._loop.time() - headed_s + unqueued_s)
 
     async def _pass_whole(
         self, work: Work, answer: OpenedAnswer, responder: Responder
@@ -256,12 +260,12 @@
                 responder.end()
                 return None
             if is_lost_run(broken):
-                await self._asker.lost(work, answer.seat, broken)
+                await self._retrying_sender.run_lost(work, answer.runner, broken)
             again = work.may_run_again and splitter.can_continue
             if not again or self._loop.time() >= work.until_s:
                 return broken
-            self._balancer.failed(answer.seat, self._loop.time())
-            continued = await self._asker.answer(work, splitter.last_id)
+            self._balancer.failed(answer.runner, self._loop.time())
+            continued = await self._retrying_sender.send(work, splitter.last_id)
             if isinstance(continued, Failure):
                 return broken
             if continued.head.status != 200:
@@ -336,6 +340,6 @@
         kind=FailureKind.BACKEND_MISMATCH,
         reason="the answer did not end where it should",
         step=Step.RELAYING,
-        peer=answer.seat.record.address,
+        peer=answer.runner.record.address,
         execution=Execution.UNKNOWN,
     )
--- a/src/leverjunction/proxy/freshness.py
+++ b/src/leverjunction/proxy/freshness.py
@@ -9,7 +9,7 @@
 """Interval at which a waiting request looks whether the word has come."""
 
 
-class Doubt:
+class FreshnessGate:
     """Holds requests after a standstill of this process; used by one event loop.
 
     Args:
@@ -23,7 +23,7 @@
         self._is_in_doubt = is_in_doubt
         self._loop = asyncio.get_running_loop()
 
-    async def over(self, until_s: float) -> None:
+    async def wait(self, until_s: float) -> None:
         """Return once there is no doubt, or at a moment of the loop's time."""
         if not self._is_in_doubt():
             return
@@ -33,4 +33,4 @@
         await asyncio.sleep(0)
 
 
-__all__ = ["Doubt"]
+__all__ = ["FreshnessGate"]
--- a/src/leverjunction/proxy/hedge_delay.py
+++ b/src/leverjunction/proxy/hedge_delay.py
@@ -35,7 +35,7 @@
 """
 
 
-class HeadTimes:
+class HeadLatencies:
     """Times from send to head of one route's latest answers."""
 
     __slots__ = ("_heads_s",)
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self._heads_s: deque[float] = deque(maxlen=KEPT_HEADS)
 
-    def note(self, head_s: float) -> None:
+    def record(self, head_s: float) -> None:
         """Take one answer's time."""
         self._heads_s.append(head_s)
 
--- a/src/leverjunction/proxy/journal.py
+++ b/src/leverjunction/proxy/journal.py
@@ -124,7 +124,7 @@
             waited_s = now_s - work.request.arrived_s
             self._counters.head_s.labels(work.route.kind.value).observe(waited_s)
             return
-        told_s = choice.seat.told_s
+        load_updated_s = choice.runner.load_updated_s
         self._counters.sends.labels(answer.kind.value).inc()
         self._put(
             DecisionLine(
@@ -136,9 +136,9 @@
                 service=work.service,
                 waited_ms=_ms(now_s - work.request.arrived_s),
                 allowed_ms=_ms(work.until_s - work.request.arrived_s),
-                runner_id=choice.seat.record.start,
+                runner_id=choice.runner.record.start,
                 load=round(choice.load, 2),
-                load_age_ms=_ms(now_s - told_s) if told_s else None,
+                load_age_ms=_ms(now_s - load_updated_s) if load_updated_s else None,
                 candidates=choice.candidates,
                 execution=answer.execution.value,
                 step=answer.step.value,
--- a/src/leverjunction/proxy/keepalive.py
+++ b/src/leverjunction/proxy/keepalive.py
@@ -20,11 +20,11 @@
 PROBE_INTERVAL_S = 1
 """Seconds between probes, the least that TCP has."""
 
-PROBES = 2
+PROBE_COUNT = 2
 """Unanswered probes that end a connection, 4 s after its last byte: one may be lost."""
 
 
-def probe(transport: asyncio.BaseTransport) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport) -> None:
     """Have a connection probed while it is silent."""
     connection = transport.get_extra_info("socket")
     if connection is None:
@@ -33,7 +33,7 @@
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
     except OSError as error:
         # It has broken already, which its protocol is told as well.
         logger.debug("a connection is not probed: {}", error)
--- a/src/leverjunction/proxy/load_socket.py
+++ b/src/leverjunction/proxy/load_socket.py
@@ -16,7 +16,7 @@
     LoadTeller,
     OnlineLoads,
 )
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import JOBS_GROUP
 from leverjunction.wire.codec import decode, encode
 from leverjunction.wire.envelope import Envelope, MessageKind, decode_envelope, encode_envelope
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 
 
-class LoadPort(asyncio.DatagramProtocol):
+class LoadSocket(asyncio.DatagramProtocol):
     """Used by one event loop.
 
     Args:
@@ -75,9 +75,9 @@
         if self._transport is not None:
             self._transport.close()
 
-    def runner_changed(self, seat: RunnerSeat) -> None:
+    def runner_changed(self, runner: TrackedRunner) -> None:
         """Take the count of a back end at which a request of this gateway began or ended."""
-        self._teller.runner_changed(seat.record.start, seat.own)
+        self._teller.runner_changed(runner.record.start, runner.own_requests)
         self._schedule()
 
     def held_changed(self, service: str, count: int) -> None:
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -25,7 +25,7 @@
 from leverjunction.proxy.dialect import Dialect
 from leverjunction.proxy.forwarding import Forwarder, LocalHandler
 from leverjunction.proxy.journal import ProxyJournal
-from leverjunction.proxy.load_socket import LoadPort
+from leverjunction.proxy.load_socket import LoadSocket
 from leverjunction.proxy.quarantine import Quarantine
 from leverjunction.proxy.registry_intake import RegistryIntake
 from leverjunction.proxy.runner_connection import RunnerPool
@@ -75,7 +75,7 @@
         self._follower = RegistryFollower(
             self._rpc, config.seed_addresses(), "", clock, self._random, self._on_registry
         )
-        self._loads = LoadPort(
+        self._loads = LoadSocket(
             config.name,
             CLUSTER_KEY,
             clock.wall_ms(),
@@ -180,7 +180,7 @@
         return snapshot.view.voters(JOBS_GROUP) if snapshot is not None else ()
 
     def _others_told(self, others: dict[str, int], lag_s: float) -> None:
-        self._balancer.shared(others, self._loop.time(), lag_s)
+        self._balancer.set_other_loads(others, self._loop.time(), lag_s)
 
     def _on_registry(self, snapshot: Snapshot) -> None:
         """Take a newer registry (follower's thread)."""
--- a/src/leverjunction/proxy/prompt.py
+++ b/src/leverjunction/proxy/prompt.py
@@ -4,7 +4,7 @@
 
 from leverjunction.proxy.dialect import PromptPart
 
-READ_TOKENS_PER_MS = 80.0
+PREFILL_TOKENS_PER_MS = 80.0
 """Speed at which an engine reads a prompt: what a part that it holds already saves."""
 
 LONG_READ_MS = 200.0
@@ -26,14 +26,14 @@
         self.tokens = tokens
 
     @property
-    def read_ms(self) -> float:
+    def prefill_ms(self) -> float:
         """Time to read it whole."""
-        return self.tokens / READ_TOKENS_PER_MS
+        return self.tokens / PREFILL_TOKENS_PER_MS
 
     @property
     def is_long(self) -> bool:
         """Whether requests behind it would be late."""
-        return self.read_ms >= LONG_READ_MS
+        return self.prefill_ms >= LONG_READ_MS
 
     @property
     def shared_tokens(self) -> int:
--- a/src/leverjunction/proxy/quarantine.py
+++ b/src/leverjunction/proxy/quarantine.py
@@ -40,7 +40,7 @@
     )
 
 
-class EvidenceTaker(Protocol):
+class EvidenceReporter(Protocol):
     """Tells the registry (``registry.run_reporter``)."""
 
     def ended(self, run: EndedRun) -> None:
@@ -76,7 +76,7 @@
         "ended_runs",
     )
 
-    def __init__(self, report: EvidenceTaker | None = None) -> None:
+    def __init__(self, report: EvidenceReporter | None = None) -> None:
         self._report = report
         self._suspects = Suspects()
         self._watch = EndWatch()
@@ -108,11 +108,11 @@
         """Return whether a suspect is run from here at the moment."""
         return self._under_way[key] > 0
 
-    def taken_places(self) -> set[str]:
+    def occupied_starts(self) -> set[str]:
         """Return the starts of back ends that run a suspect of this process."""
         return {start for start, count in self._places.items() if count > 0}
 
-    def may_begin(self, key: str, start: str) -> bool:
+    def may_run(self, key: str, start: str) -> bool:
         """Return whether a request may run at a back end now, by what is known of it."""
         standing = self.standing(key)
         if standing is Standing.SOUND:
@@ -121,12 +121,12 @@
             return False
         return standing is not Standing.CAREFUL or not self.is_under_way(key)
 
-    def began(self, key: str, start: str) -> None:
+    def trial_started(self, key: str, start: str) -> None:
         """Note that a suspect is sent to a back end."""
         self._under_way[key] += 1
         self._places[start] += 1
 
-    def over(self, key: str, start: str) -> None:
+    def trial_ended(self, key: str, start: str) -> None:
         """Note that such a run is over, however it ended."""
         self._under_way -= Counter({key: 1})
         self._places -= Counter({start: 1})
@@ -137,11 +137,11 @@
         if not key:
             yield
             return
-        self.began(key, start)
+        self.trial_started(key, start)
         try:
             yield
         finally:
-            self.over(key, start)
+            self.trial_ended(key, start)
 
     def replace(self, runners: Iterable[RunnerRecord], suspects: SuspectList) -> None:
         """Take a newer registry: it may prove the end of back ends."""
@@ -150,7 +150,7 @@
         for start in self._watch.pending():
             self._judge(start)
 
-    def lost(
+    def run_lost(
         self,
         request: CallerRequest,
         route: str,
@@ -191,7 +191,7 @@
         if self._report is not None:
             self._report.answered(key)
 
-    async def settle(self, at: RunnerRecord) -> None:
+    async def wait_for_probe(self, at: RunnerRecord) -> None:
         """Wait shortly until it is known whether a back end that broke a run off has ended."""
         probe = self._probes.get(at.start)
         if probe is not None:
@@ -257,4 +257,4 @@
         self._records = {key: at for key, at in self._records.items() if key in waited_for}
 
 
-__all__ = ["EvidenceTaker", "Quarantine", "is_lost_run"]
+__all__ = ["EvidenceReporter", "Quarantine", "is_lost_run"]
--- a/src/leverjunction/proxy/retrying_sender.py
+++ b/src/leverjunction/proxy/retrying_sender.py
@@ -9,13 +9,13 @@
 from leverjunction.proxy.answers import harmful, no_runner, out_of_time, suspect_under_way
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer, Choice
-from leverjunction.proxy.dispatch import Dispatch, LateHead, OpenedAnswer, Patience
-from leverjunction.proxy.freshness import Doubt
-from leverjunction.proxy.hedge_delay import HEDGE_RATIO, HeadTimes
+from leverjunction.proxy.dispatch import Dispatch, HeadTimeouts, LateHead, OpenedAnswer
+from leverjunction.proxy.freshness import FreshnessGate
+from leverjunction.proxy.hedge_delay import HEDGE_RATIO, HeadLatencies
 from leverjunction.proxy.hedging import first_opened
 from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.proxy.work import Work
 from leverjunction.quarantine.verdicts import Standing, ran_on
 from leverjunction.routes.types import Route
@@ -28,7 +28,7 @@
 """A back end says so at the request's own deadline, which tells nothing of the back end."""
 
 
-class Asker:
+class RetryingSender:
     """Chooses back ends, sends, and repeats where that is allowed; used by one event loop.
 
     Args:
@@ -45,30 +45,30 @@
         balancer: Balancer,
         journal: ProxyJournal,
         quarantine: Quarantine,
-        doubt: Doubt,
+        doubt: FreshnessGate,
     ) -> None:
-        self._doubt = doubt
+        self._freshness = doubt
         self._sender = sender
         self._balancer = balancer
         self._journal = journal
         self._quarantine = quarantine
         self._loop = asyncio.get_running_loop()
-        self._head_times: dict[str, HeadTimes] = {}
+        self._head_times: dict[str, HeadLatencies] = {}
         self._budget = RetryBudget()
 
-    def admitted(self, work: Work) -> None:
+    def record_admission(self, work: Work) -> None:
         """Note a request that is about to be sent: it earns a share of a second send."""
         self._budget.request(work.service, HEDGE_RATIO, self._loop.time())
 
-    async def answer(self, work: Work, last_event_id: str) -> OpenedAnswer | Failure:
+    async def send(self, work: Work, last_event_id: str) -> OpenedAnswer | Failure:
         """Return the first head that a back end gives."""
         declined = 0
         while True:
-            await self._doubt.over(work.until_s)
+            await self._freshness.wait(work.until_s)
             now_s = self._loop.time()
             if now_s >= work.until_s:
                 return out_of_time(work.execution)
-            held_back = self.held_back(work)
+            held_back = self.quarantine_refusal(work)
             if held_back is not None:
                 return held_back
             choice = self._choose(work, now_s)
@@ -94,19 +94,19 @@
         self, work: Work, choice: Choice, last_event_id: str
     ) -> OpenedAnswer | LateHead | Failure:
         """Send a request to a back end and note what comes of it."""
-        seat = choice.seat
-        work.tried.add(seat.record.start)
+        runner = choice.runner
+        work.tried.add(runner.record.start)
         work.first_output_s = None
         sent_s = self._loop.time()
         answer = await self._sender.begin(
             Dispatch(
                 work.request,
                 work.facts,
-                seat,
+                runner,
                 repeatable=work.route.repeatable,
                 last_event_id=last_event_id,
                 until_s=work.until_s,
-                patience=self._patience(work, sent_s),
+                head_timeouts=self._head_timeouts(work, sent_s),
             )
         )
         if isinstance(answer, LateHead):
@@ -122,21 +122,22 @@
         self, work: Work, choice: Choice, answer: OpenedAnswer | Failure, sent_s: float
     ) -> None:
         """Learn from the head of an answer, or from its failure."""
-        seat = choice.seat
+        runner = choice.runner
         self._journal.sent(work, choice, answer, self._loop.time())
         if not isinstance(answer, Failure):
-            self.times_of(work.route).note(self._loop.time() - sent_s)
+            self.head_latencies(work.route).record(self._loop.time() - sent_s)
             if _is_fault(answer.head.status):
-                self._balancer.failed(seat, self._loop.time())
+                self._balancer.failed(runner, self._loop.time())
             return
         if answer.kind is FailureKind.NOT_LISTENING:
-            self._quarantine.not_listening(seat.record)
+            self._quarantine.not_listening(runner.record)
         if answer.execution is not Execution.NOT_RUN and is_lost_run(answer):
-            await self.lost(work, seat, answer)
+            await self.run_lost(work, runner, answer)
 
     def _has_untried(self, work: Work) -> bool:
         return any(
-            seat.record.start not in work.tried for seat in self._balancer.seats(work.service)
+            runner.record.start not in work.tried
+            for runner in self._balancer.available(work.service)
         )
 
     async def _hedge(
@@ -149,7 +150,7 @@
         try:
             return await first_opened(
                 self._late_answer(work, choice, late),
-                self.answer(work, last_event_id),
+                self.send(work, last_event_id),
                 lambda answer: self._sender.finish(answer, whole=False),
             )
         finally:
@@ -163,7 +164,7 @@
         await self._note(work, choice, answer, late.sent_s)
         return answer
 
-    def held_back(self, work: Work) -> Failure | None:
+    def quarantine_refusal(self, work: Work) -> Failure | None:
         """Return the refusal of a request under which too many back ends ended."""
         key = work.key or self._quarantine.find(work.request)
         standing = self._quarantine.standing(key)
@@ -177,18 +178,18 @@
             return suspect_under_way(work.execution)
         return None
 
-    async def lost(self, work: Work, seat: RunnerSeat, failure: Failure) -> None:
+    async def run_lost(self, work: Work, runner: TrackedRunner, failure: Failure) -> None:
         """Note a run that its back end broke off; before another one, know why it did."""
-        self._journal.run_lost(work, seat.record.start, failure, self._loop.time())
-        self._quarantine.lost(
+        self._journal.run_lost(work, runner.record.start, failure, self._loop.time())
+        self._quarantine.run_lost(
             work.request,
             work.route.name,
             work.facts.request_id,
-            seat.record,
+            runner.record,
             ran_on=ran_on(work.first_output_s, self._loop.time()),
         )
         if work.may_run_again:
-            await self._quarantine.settle(seat.record)
+            await self._quarantine.wait_for_probe(runner.record)
 
     def _choose(self, work: Work, now_s: float) -> Choice | None:
         """Return the back end of the next send."""
@@ -197,30 +198,30 @@
                 work.service, work.prompt, work.tried, now_s
             ) or self._balancer.choose(work.service, work.prompt, (), now_s)
         # It may end its back end: where few others run, and no other suspect does.
-        avoided = work.tried | self._quarantine.taken_places()
+        avoided = work.tried | self._quarantine.occupied_starts()
         choice = self._balancer.choose_quiet(work.service, avoided, now_s)
         if choice is not None:
-            start = choice.seat.record.start
+            start = choice.runner.record.start
             work.trials.append(start)
-            self._quarantine.began(work.key, start)
+            self._quarantine.trial_started(work.key, start)
         return choice
 
-    def _patience(self, work: Work, now_s: float) -> Patience:
+    def _head_timeouts(self, work: Work, now_s: float) -> HeadTimeouts:
         """Return how long to wait for a head before another back end is asked too."""
         # A suspect is never asked of two back ends at once: each run may end one.
         last_run = work.runs + 1 >= max(1, work.route.max_attempts)
         if not work.route.repeatable or last_run or work.key:
-            return Patience.until(work.until_s)
-        patience_s = self.times_of(work.route).patience_s(work.route.target_ms)
-        soft_s = now_s + patience_s + work.prompt.read_ms / 1000
-        return Patience(work.until_s, soft_s, lambda: self._may_hedge(work))
+            return HeadTimeouts.without_hedge(work.until_s)
+        patience_s = self.head_latencies(work.route).patience_s(work.route.target_ms)
+        soft_s = now_s + patience_s + work.prompt.prefill_ms / 1000
+        return HeadTimeouts(work.until_s, soft_s, lambda: self._may_hedge(work))
 
     def _may_hedge(self, work: Work) -> bool:
         return self._budget.take(work.service, self._loop.time())
 
-    def times_of(self, route: Route) -> HeadTimes:
+    def head_latencies(self, route: Route) -> HeadLatencies:
         """Return the times to the heads of a route's latest answers."""
-        return self._head_times.setdefault(route.name, HeadTimes())
+        return self._head_times.setdefault(route.name, HeadLatencies())
 
 
 def _is_fault(status: int) -> bool:
@@ -231,4 +232,4 @@
     return status >= SERVER_ERROR and status != GATEWAY_TIMEOUT
 
 
-__all__ = ["Asker"]
+__all__ = ["RetryingSender"]
--- a/src/leverjunction/proxy/runner_connection.py
+++ b/src/leverjunction/proxy/runner_connection.py
@@ -9,7 +9,7 @@
 
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.proxy.dialect import RawHeaders
-from leverjunction.proxy.keepalive import probe
+from leverjunction.proxy.keepalive import enable_keepalive
 
 MAX_HEAD_BYTES = 64 * 1024
 PAUSE_BYTES = 256 * 1024
@@ -74,7 +74,7 @@
         """Take the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        probe(transport)
+        enable_keepalive(transport)
 
     def data_received(self, data: bytes) -> None:
         """Take a part of an answer; bytes without a request belong to none."""
--- a/src/leverjunction/proxy/tracked_runner.py
+++ b/src/leverjunction/proxy/tracked_runner.py
@@ -10,7 +10,7 @@
 import math
 
 from leverjunction.proxy.dialect import EngineLoad
-from leverjunction.proxy.prompt import READ_TOKENS_PER_MS
+from leverjunction.proxy.prompt import PREFILL_TOKENS_PER_MS
 from leverjunction.registry.records import RunnerRecord
 
 LOAD_FADES_S = 3.0
@@ -43,7 +43,7 @@
 EJECT_MOST_S = 8.0
 
 
-class RunnerSeat:
+class TrackedRunner:
     """What this gateway knows of one back end.
 
     Attributes:
@@ -64,20 +64,20 @@
         "_suspected_s",
         "_suspicion",
         "ejected_until_s",
-        "others",
-        "own",
-        "reading_ms",
+        "load_updated_s",
+        "other_requests",
+        "own_requests",
+        "pending_prefill_ms",
         "record",
         "slots",
-        "told_s",
     )
 
     def __init__(self, record: RunnerRecord) -> None:
         self.record = record
-        self.own = 0
-        self.reading_ms = 0.0
-        self.others = 0.0
-        self.told_s = 0.0
+        self.own_requests = 0
+        self.pending_prefill_ms = 0.0
+        self.other_requests = 0.0
+        self.load_updated_s = 0.0
         self.slots = max(1, record.slots)
         self.ejected_until_s = 0.0
         self._delay_ms = 0.0
@@ -92,16 +92,18 @@
 
         As many begin as end: in the time of a run, as many as it has, and more in a burst.
         """
-        age_s = min(now_s - self.told_s + self._lag_s, run_s)
-        return self.others * BURST_FACTOR * age_s / run_s
+        age_s = min(now_s - self.load_updated_s + self._lag_s, run_s)
+        return self.other_requests * BURST_FACTOR * age_s / run_s
 
     def load(self, now_s: float) -> float:
         """Return the requests that it probably has, running and waiting."""
-        return self.own + self.others * math.exp((self.told_s - now_s) / LOAD_FADES_S)
+        return self.own_requests + self.other_requests * math.exp(
+            (self.load_updated_s - now_s) / LOAD_FADES_S
+        )
 
-    def answered(self, head_s: float, tokens_in: int, now_s: float) -> None:
+    def record_head(self, head_s: float, tokens_in: int, now_s: float) -> None:
         """Take the time to an answer's head; reading the prompt is not counted as delay."""
-        delay_ms = max(0.0, head_s * 1000 - tokens_in / READ_TOKENS_PER_MS)
+        delay_ms = max(0.0, head_s * 1000 - tokens_in / PREFILL_TOKENS_PER_MS)
         known_ms = self.delay_ms(now_s)
         self._delay_ms = known_ms + (delay_ms - known_ms) * DELAY_WEIGHT
         self._delayed_s = now_s
@@ -127,18 +129,18 @@
             self._suspicion = self.suspicion(now_s) * TRUSTED_SHARE
             self._suspected_s = now_s
 
-    def told(self, load: EngineLoad, now_s: float) -> None:
+    def report_load(self, load: EngineLoad, now_s: float) -> None:
         """Take the load that came with an answer of a request that is still counted here."""
         if load.slots:
             self.slots = load.slots
         if now_s - self._shared_s <= SHARED_FOR_S:
             # What it tells counts batch work too, which gives way.
             return
-        self.others = max(0.0, load.running + load.waiting - self.own)
-        self.told_s = now_s
+        self.other_requests = max(0.0, load.running + load.waiting - self.own_requests)
+        self.load_updated_s = now_s
         self._lag_s = 0.0
 
-    def shared(self, online: int, now_s: float, lag_s: float = 0.0) -> None:
+    def set_other_load(self, online: int, now_s: float, lag_s: float = 0.0) -> None:
         """Take the online requests that other gateways have here, as the leader of batch tells.
 
         Args:
@@ -146,6 +148,6 @@
             now_s: Monotonic time.
             lag_s: How old what gateways have told the leader is on average.
         """
-        self.others = online
-        self.told_s = self._shared_s = now_s
+        self.other_requests = online
+        self.load_updated_s = self._shared_s = now_s
         self._lag_s = lag_s
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -15,7 +15,7 @@
 from leverjunction.lots.runner import IDLE_STEP_S, STEP_S
 from leverjunction.lots.urgency import RunTimes, Urgency
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord
 from testbed.placement.back_ends import BackEnd
 from testbed.placement.gateway import CLUSTER_KEY, WAY_S, LoadReader
@@ -103,11 +103,11 @@
         self._park()
         self._board.rank(self._loop.time(), self._urgency)
         for run in self._board.take():
-            seat = self._loads.free_seat(SERVICE)
-            if seat is None:
+            runner = self._loads.free_seat(SERVICE)
+            if runner is None:
                 self._board.put_back(run)
                 return
-            self._start(run, seat)
+            self._start(run, runner)
 
     def _park(self) -> None:
         parked = self._loads.to_park()
@@ -120,9 +120,9 @@
                 self.cuts += 1
                 run.stop()
 
-    def _start(self, run: ItemRun, seat: RunnerSeat) -> None:
-        slot = TakenSlot(self._loads.room_at(seat))
-        run.begin_at(seat.record.runner_id)
+    def _start(self, run: ItemRun, runner: TrackedRunner) -> None:
+        slot = TakenSlot(self._loads.room_at(runner))
+        run.begin_at(runner.record.runner_id)
         self.runs += 1
         run.task = self._loop.create_task(self._run(run, slot))
         run.task.add_done_callback(lambda _task: self._ended(run, slot))
--- a/src/testbed/placement/gateway.py
+++ b/src/testbed/placement/gateway.py
@@ -10,10 +10,10 @@
 from leverjunction.proxy.admission_gate import AdmissionGate
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.dialect import EngineLoad
-from leverjunction.proxy.hedge_delay import HeadTimes
-from leverjunction.proxy.load_socket import LoadPort
+from leverjunction.proxy.hedge_delay import HeadLatencies
+from leverjunction.proxy.load_socket import LoadSocket
 from leverjunction.proxy.prompt import Prompt
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord
 from testbed.placement.back_ends import BackEnd
 from testbed.placement.loads import SERVICE, OnlineKind
@@ -53,15 +53,15 @@
         self._back_ends = back_ends
         self._loop = asyncio.get_running_loop()
 
-    async def read_load(self, seat: RunnerSeat) -> EngineLoad | None:
+    async def read_load(self, runner: TrackedRunner) -> EngineLoad | None:
         """Return what a back end reports."""
         await asyncio.sleep(WAY_S)
-        load = self._back_ends[seat.record.runner_id].report()
+        load = self._back_ends[runner.record.runner_id].report()
         await asyncio.sleep(WAY_S)
-        seat.told(load, self._loop.time())
+        runner.report_load(load, self._loop.time())
         return load
 
-    def distrust(self, seat: RunnerSeat) -> None:
+    def distrust(self, runner: TrackedRunner) -> None:
         """Do nothing: there are no connections."""
 
 
@@ -84,7 +84,7 @@
         self._address = address
         self._balancer = Balancer(zone, random, spread)
         self._balancer.replace(records)
-        self._port = LoadPort(
+        self._port = LoadSocket(
             name,
             CLUSTER_KEY,
             1,
@@ -97,7 +97,7 @@
             LoadReader(back_ends),  # type: ignore[arg-type]
             self._port.held_changed,
         )
-        self._heads: dict[str, HeadTimes] = {}
+        self._heads: dict[str, HeadLatencies] = {}
 
     async def start(self) -> None:
         """Open its port."""
@@ -113,20 +113,20 @@
         return outcome
 
     def _others_told(self, others: dict[str, int], lag_s: float) -> None:
-        self._balancer.shared(others, self._loop.time(), lag_s)
+        self._balancer.set_other_loads(others, self._loop.time(), lag_s)
 
     def _ticket(self, kind: OnlineKind, came_s: float) -> Ticket:
-        last_s = came_s + kind.deadline_s - (self._balancer.run_s(SERVICE) or 0.0)
+        last_s = came_s + kind.deadline_s - (self._balancer.mean_run_s(SERVICE) or 0.0)
         unqueued_s = self._heads_of(kind).unqueued_s() or 0.0
         return Ticket(came_s, came_s + kind.aim_s, last_s, unqueued_s)
 
     async def _send(self, kind: OnlineKind, run_s: float, outcome: Outcome) -> None:
         choice = self._balancer.choose(SERVICE, Prompt((), kind.tokens_in), (), self._loop.time())
         assert choice is not None
-        seat = choice.seat
-        back_end = self._back_ends[seat.record.runner_id]
+        runner = choice.runner
+        back_end = self._back_ends[runner.record.runner_id]
         sent_s = self._loop.time()
-        self._count(seat, 1)
+        self._count(runner, 1)
         await asyncio.sleep(WAY_S)
         self._look(back_end, outcome)
         run = back_end.come(is_batch=False)
@@ -136,18 +136,18 @@
         load = back_end.load()
         await asyncio.sleep(WAY_S)
         now_s = self._loop.time()
-        seat.told(load, now_s)
-        seat.answered(now_s - sent_s, kind.tokens_in, now_s)
-        self._balancer.succeeded(seat, now_s)
-        self._heads_of(kind).note(now_s - sent_s)
+        runner.report_load(load, now_s)
+        runner.record_head(now_s - sent_s, kind.tokens_in, now_s)
+        self._balancer.succeeded(runner, now_s)
+        self._heads_of(kind).record(now_s - sent_s)
         outcome.head_s = now_s - outcome.came_s
         await asyncio.sleep(run_s)
         back_end.leave(run)
         await asyncio.sleep(WAY_S)
-        self._count(seat, -1)
+        self._count(runner, -1)
         unqueued_s = self._heads_of(kind).unqueued_s()
         if unqueued_s is not None:
-            self._balancer.ran(SERVICE, self._loop.time() - now_s + unqueued_s)
+            self._balancer.record_run(SERVICE, self._loop.time() - now_s + unqueued_s)
 
     def _look(self, back_end: BackEnd, outcome: Outcome) -> None:
         """Note what a request meets that comes to wait."""
@@ -160,9 +160,9 @@
             if other is not back_end
         )
 
-    def _count(self, seat: RunnerSeat, change: int) -> None:
-        seat.own += change
-        self._port.runner_changed(seat)
+    def _count(self, runner: TrackedRunner, change: int) -> None:
+        runner.own_requests += change
+        self._port.runner_changed(runner)
 
-    def _heads_of(self, kind: OnlineKind) -> HeadTimes:
-        return self._heads.setdefault(kind.name, HeadTimes())
+    def _heads_of(self, kind: OnlineKind) -> HeadLatencies:
+        return self._heads.setdefault(kind.name, HeadLatencies())
--- a/tests/unit/test_load_datagrams.py
+++ b/tests/unit/test_load_datagrams.py
@@ -11,9 +11,9 @@
 
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.proxy.load_row import BackEndOrder
-from leverjunction.proxy.load_socket import LoadPort
+from leverjunction.proxy.load_socket import LoadSocket
 from leverjunction.proxy.online_loads import LEAST_INTERVAL_S
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord
 
 HOST = f"127.{20 + os.getpid() % 200}.251.1"
@@ -22,10 +22,10 @@
 KEY = b"key"
 
 
-def seat(own: int) -> RunnerSeat:
+def runner(own: int) -> TrackedRunner:
     record = RunnerRecord(runner_id="i1", service="s", address="a:1", zone="z", slots=8)
-    made = RunnerSeat(record)
-    made.own = own
+    made = TrackedRunner(record)
+    made.own_requests = own
     return made
 
 
@@ -58,7 +58,7 @@
             KEY, lambda: self.has_work, self._heard, lambda: self.totals, lambda: self.order
         )
         self.known = self.order
-        self.port = LoadPort(
+        self.port = LoadSocket(
             "g", gateway_key, 7, lambda: (STORE,), lambda: self.known, self._others_told
         )
 
@@ -86,12 +86,12 @@
             await until(lambda: pair.listener.loads.tellers == 1)
             await asyncio.sleep(0.05)
             started_s = asyncio.get_running_loop().time()
-            pair.port.runner_changed(seat(2))
+            pair.port.runner_changed(runner(2))
             pair.port.held_changed("s", 3)
             await until(lambda: pair.listener.loads.at_runner("i1") == 2)
             assert asyncio.get_running_loop().time() - started_s < 0.2
             await until(lambda: pair.listener.loads.held("s") == 3)
-            pair.port.runner_changed(seat(0))
+            pair.port.runner_changed(runner(0))
             await until(lambda: pair.listener.loads.at_runner("i1") == 0)
 
     asyncio.run(play())
@@ -102,7 +102,7 @@
         async with Pair() as pair:
             await until(lambda: pair.others == {"i1": 5})
             assert pair.lag_s == pytest.approx(LEAST_INTERVAL_S / 2, abs=LEAST_INTERVAL_S)
-            pair.port.runner_changed(seat(2))
+            pair.port.runner_changed(runner(2))
             await until(lambda: pair.others == {"i1": 3}, 0.5)
             pair.totals = {"i1": 9}
             await until(lambda: pair.others == {"i1": 7}, 0.5)
@@ -129,7 +129,7 @@
     async def play() -> None:
         async with Pair() as pair:
             pair.has_work = False
-            pair.port.runner_changed(seat(1))
+            pair.port.runner_changed(runner(1))
             await asyncio.sleep(0.2)
             assert pair.words == 0
             pair.has_work = True
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -36,7 +36,7 @@
     async def play() -> tuple[ServiceSight, bool]:
         watch, balancer = watch_over(3)
         now_s = asyncio.get_running_loop().time()
-        for number, seat in enumerate(balancer.seats(SERVICE)):
+        for number, seat in enumerate(balancer.available(SERVICE)):
             if number in read:
                 watch.room_at(seat).read(running, 0, now_s)
             if number in ejected:
@@ -77,7 +77,7 @@
     async def play() -> float:
         watch, balancer = watch_over(1200)
         now_s = asyncio.get_running_loop().time()
-        for seat in balancer.seats(SERVICE):
+        for seat in balancer.available(SERVICE):
             watch.room_at(seat).read(0, 0, now_s)
             seat.ejected_until_s = now_s + 5.0 * (seat.record.runner_id.endswith("1"))
         begun_s = time.thread_time()
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -40,7 +40,7 @@
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.proxy.online_loads import OnlineLoads
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.cluster import CLUSTER_KEY
 from leverjunction.registry.follower import Snapshot
 from leverjunction.registry.records import FleetView, RunnerRecord
@@ -345,7 +345,7 @@
     def __init__(self) -> None:
         self.room = SeatRoom(8)
 
-    def room_at(self, _seat: RunnerSeat) -> SeatRoom:
+    def room_at(self, _seat: TrackedRunner) -> SeatRoom:
         return self.room
 
 
@@ -363,7 +363,7 @@
         assert isinstance(opened, OpenItems)
         run = ItemRun(opened.items[0])
         record = RunnerRecord(runner_id="i-1", service=SERVICE, address="a:1", zone="z", slots=8)
-        made._start(run, RunnerSeat(record))
+        made._start(run, TrackedRunner(record))
         assert loads.room.own == 1
         run.stop()
         await asyncio.sleep(0.05)
--- a/tests/unit/test_proxy_admission.py
+++ b/tests/unit/test_proxy_admission.py
@@ -164,8 +164,8 @@
         while (item_or_none := admission.next(pool.prospect(), now_s)) is not None:
             pool.waiting.append(item_or_none)
     heads = [(item, pool.heads.get(item, float("inf"))) for item in asked]
-    in_time = sum(head <= item.aim_s for item, head in heads)
-    served = sum(head <= item.last_s for item, head in heads)
+    in_time = sum(head <= item.target_s for item, head in heads)
+    served = sum(head <= item.deadline_s for item, head in heads)
     return in_time / len(asked), served / len(asked)
 
 
--- a/tests/unit/test_proxy_admission_gate.py
+++ b/tests/unit/test_proxy_admission_gate.py
@@ -16,7 +16,7 @@
 from leverjunction.proxy.admission_gate import READS_AT_ONCE, AdmissionGate
 from leverjunction.proxy.balancer import KNOWN_S, Balancer
 from leverjunction.proxy.dialect import EngineLoad
-from leverjunction.proxy.tracked_runner import RunnerSeat
+from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord
 from leverjunction.routes import RouteClass
 from testbed.routed import SERVICE, RunnerStandIn, make_route, make_table
@@ -32,9 +32,9 @@
         self.load = EngineLoad(FULL, 0, SLOTS)
         self.reads = 0
 
-    async def read_load(self, seat: RunnerSeat) -> EngineLoad:
+    async def read_load(self, runner: TrackedRunner) -> EngineLoad:
         self.reads += 1
-        seat.told(self.load, asyncio.get_running_loop().time())
+        runner.report_load(self.load, asyncio.get_running_loop().time())
         return self.load
 
 
@@ -47,9 +47,9 @@
         for n in range(runners)
     )
     now_s = asyncio.get_running_loop().time()
-    balancer.ran(SERVICE, 0.4)
-    for seat in balancer.seats(SERVICE):
-        seat.told(loads.load, now_s)
+    balancer.record_run(SERVICE, 0.4)
+    for runner in balancer.available(SERVICE):
+        runner.report_load(loads.load, now_s)
     gate = AdmissionGate(balancer, loads, lambda *change: changes.append(change))  # type: ignore[arg-type]
     return gate, balancer
 
@@ -119,8 +119,8 @@
 def test_an_old_word_of_a_load_holds_nothing_back() -> None:
     async def play() -> None:
         gate, balancer = gate_over(Loads(), 1, [])
-        for seat in balancer.seats(SERVICE):
-            seat.told_s -= KNOWN_S + 0.1
+        for runner in balancer.available(SERVICE):
+            runner.load_updated_s -= KNOWN_S + 0.1
         assert await gate.enter(SERVICE, ticket()) is None
 
     asyncio.run(play())
@@ -162,9 +162,9 @@
 
 def busy(proxy: Proxy) -> None:
     def tell() -> None:
-        proxy.balancer.ran(SERVICE, 0.4)
-        for seat in proxy.balancer.seats(SERVICE):
-            seat.told(EngineLoad(SLOTS, 5, SLOTS), asyncio.get_running_loop().time())
+        proxy.balancer.record_run(SERVICE, 0.4)
+        for runner in proxy.balancer.available(SERVICE):
+            runner.report_load(EngineLoad(SLOTS, 5, SLOTS), asyncio.get_running_loop().time())
 
     proxy.call(tell)
 
--- a/tests/unit/test_proxy_balancer.py
+++ b/tests/unit/test_proxy_balancer.py
@@ -38,11 +38,11 @@
 def chosen(made: Balancer, prompt: Prompt, times: int = 60, now_s: float = 1.0) -> Counter[str]:
     """Choose without sending: all back ends stay as loaded as they are."""
     choices = [made.choose("s", prompt, (), now_s) for _ in range(times)]
-    return Counter(choice.seat.record.runner_id for choice in choices if choice is not None)
+    return Counter(choice.runner.record.runner_id for choice in choices if choice is not None)
 
 
 def long_prompt(key: str) -> Prompt:
-    return Prompt((PromptPart(key, 20_000), PromptPart("own", 4_000)), 24_000)
+    return Prompt((PromptPart(key, 20_000), PromptPart("own_requests", 4_000)), 24_000)
 
 
 def test_long_prompts_go_to_a_third_of_the_back_ends_and_others_stay_away() -> None:
@@ -76,15 +76,15 @@
 def test_readers_help_out_when_the_others_are_loaded() -> None:
     made = balancer(6)
     readers = {key for n in range(40) for key in chosen(made, long_prompt(f"part-{n}"), 3)}
-    for seat in made.seats("s"):
-        if seat.record.runner_id not in readers:
-            seat.told(EngineLoad(running=8, waiting=0, slots=8), 1.0)
+    for runner in made.available("s"):
+        if runner.record.runner_id not in readers:
+            runner.report_load(EngineLoad(running=8, waiting=0, slots=8), 1.0)
     assert set(chosen(made, SHORT)) <= readers
 
 
 def test_what_is_being_read_for_this_gateway_delays_what_comes_after_it() -> None:
     made = balancer(2)
-    made.seats("s")[0].reading_ms = 300.0
+    made.available("s")[0].pending_prefill_ms = 300.0
     assert set(chosen(made, SHORT)) == {"i1"}
 
 
@@ -102,31 +102,31 @@
 
 def test_a_back_end_that_failed_is_left_alone_for_a_while() -> None:
     made = balancer(2)
-    failing = made.seats("s")[0]
+    failing = made.available("s")[0]
     made.failed(failing, 1.0)
     assert set(chosen(made, SHORT, now_s=1.4)) == {"i1"}
-    made.failed(made.seats("s")[1], 1.0)
+    made.failed(made.available("s")[1], 1.0)
     assert len(chosen(made, SHORT, now_s=1.4)) == 2
 
 
 def test_what_is_known_of_a_back_end_outlives_a_change_of_the_registry() -> None:
     made = balancer(2)
-    made.seats("s")[0].own = 3
+    made.available("s")[0].own_requests = 3
     made.replace(records(3))
-    assert [seat.own for seat in made.seats("s")] == [3, 0, 0]
+    assert [runner.own_requests for runner in made.available("s")] == [3, 0, 0]
 
 
 def test_others_requests_fade_and_own_ones_do_not() -> None:
-    seat = balancer(1).seats("s")[0]
-    seat.own = 2
-    seat.told(EngineLoad(running=6, waiting=1, slots=8), 10.0)
-    assert seat.load(10.0) == 7
-    assert 2 < seat.load(15.0) < 4
+    runner = balancer(1).available("s")[0]
+    runner.own_requests = 2
+    runner.report_load(EngineLoad(running=6, waiting=1, slots=8), 10.0)
+    assert runner.load(10.0) == 7
+    assert 2 < runner.load(15.0) < 4
 
 
 def test_a_back_end_that_failed_once_is_tried_again_though_nobody_asked_it_since() -> None:
     made = balancer(3)
-    failing = made.seats("s")[0]
+    failing = made.available("s")[0]
     made.failed(failing, 1.0)
     assert "i0" not in chosen(made, SHORT, now_s=3.0)
     assert "i0" in chosen(made, SHORT, now_s=30.0)
@@ -134,7 +134,7 @@
 
 def test_a_late_answer_does_not_bring_a_back_end_back_that_failed_meanwhile() -> None:
     made = balancer(3)
-    failing = made.seats("s")[0]
+    failing = made.available("s")[0]
     made.failed(failing, 1.0)
     made.succeeded(failing, 1.1)
     assert failing.ejected_until_s > 1.1
@@ -143,7 +143,7 @@
 
 def test_a_back_end_that_fails_every_other_request_is_left_alone_longer_and_longer() -> None:
     made = balancer(3)
-    grey = made.seats("s")[0]
+    grey = made.available("s")[0]
     now_s = 1.0
     pauses_s = []
     for _ in range(5):
@@ -160,13 +160,13 @@
 def test_what_the_leader_of_batch_tells_goes_before_what_answers_tell() -> None:
     """A back end full of batch work, which gives way, looked as loaded as one full of requests."""
     made = balancer(2)
-    first, second = made.seats("s")
-    made.shared({"i0": 1, "i1": 8, "gone": 3}, 1.0)
-    first.told(EngineLoad(running=8, waiting=0, slots=8), 1.1)
-    second.told(EngineLoad(running=8, waiting=0, slots=8), 1.1)
+    first, second = made.available("s")
+    made.set_other_loads({"i0": 1, "i1": 8, "gone": 3}, 1.0)
+    first.report_load(EngineLoad(running=8, waiting=0, slots=8), 1.1)
+    second.report_load(EngineLoad(running=8, waiting=0, slots=8), 1.1)
     assert (first.load(1.1) < 2, second.load(1.1) > 7) == (True, True)
     assert set(chosen(made, SHORT, now_s=1.1)) == {"i0"}
-    first.told(EngineLoad(running=8, waiting=0, slots=8), 1.6)
+    first.report_load(EngineLoad(running=8, waiting=0, slots=8), 1.6)
     assert first.load(1.6) == 8
 
 
@@ -180,10 +180,10 @@
 ) -> None:
     made = balancer(2)
     assert made.prospect("s", 1.0) is None, "nothing has run yet"
-    made.ran("s", 0.8)
+    made.record_run("s", 0.8)
     assert made.prospect("s", 1.0) is None, "nobody has told a load"
-    for seat, load in zip(made.seats("s"), loads, strict=True):
-        seat.told(EngineLoad(running=load, waiting=0, slots=8), 1.0)
+    for runner, load in zip(made.available("s"), loads, strict=True):
+        runner.report_load(EngineLoad(running=load, waiting=0, slots=8), 1.0)
     prospect = made.prospect("s", 1.0)
     assert prospect is not None
     assert (prospect.queue, prospect.backlog) == (queue, backlog)
@@ -194,8 +194,8 @@
 def test_requests_of_others_that_cannot_be_seen_yet_are_allowed_for() -> None:
     """Of 165 gateways each sent to the back end that had been least loaded 0.2 s ago."""
     made = balancer(10)
-    made.ran("s", 0.7)
-    made.shared({f"i{number}": 4 + (number > 0) for number in range(10)}, 1.0, lag_s=0.1)
+    made.record_run("s", 0.7)
+    made.set_other_loads({f"i{number}": 4 + (number > 0) for number in range(10)}, 1.0, lag_s=0.1)
     fresh = chosen(made, SHORT, times=400, now_s=1.0)
     late = chosen(made, SHORT, times=400, now_s=1.2)
     assert late["i0"] < fresh["i0"] < 200
@@ -207,6 +207,6 @@
     choice = made.choose("s", SHORT, (), 1.0)
     assert choice is not None
     assert choice.candidates == 1200
-    prompt = Prompt((PromptPart("k", 6_000), PromptPart("own", 100)), 6_100)
+    prompt = Prompt((PromptPart("k", 6_000), PromptPart("own_requests", 100)), 6_100)
     homes = chosen(made, prompt, times=20)
     assert len(homes) == 1, "kept together, though a sample seldom holds it"
--- a/tests/unit/test_proxy_hedge_delay.py
+++ b/tests/unit/test_proxy_hedge_delay.py
@@ -7,15 +7,15 @@
 import pytest
 
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.hedge_delay import FEW_HEADS, HeadTimes
+from leverjunction.proxy.hedge_delay import FEW_HEADS, HeadLatencies
 from leverjunction.proxy.prompt import Prompt
 from leverjunction.registry import RunnerRecord
 
 
-def times(*heads_s: float) -> HeadTimes:
-    seen = HeadTimes()
+def times(*heads_s: float) -> HeadLatencies:
+    seen = HeadLatencies()
     for head_s in heads_s:
-        seen.note(head_s)
+        seen.record(head_s)
     return seen
 
 
@@ -56,16 +56,16 @@
 
 def test_a_back_end_whose_heads_come_late_is_avoided_for_a_while() -> None:
     made = balancer()
-    slow = made.seats("s")[0]
+    slow = made.available("s")[0]
     for _ in range(5):
-        slow.answered(0.5, tokens_in=0, now_s=10.0)
+        slow.record_head(0.5, tokens_in=0, now_s=10.0)
     chosen = [made.choose("s", SHORT, (), 10.0) for _ in range(20)]
-    assert all(choice is not None and choice.seat is not slow for choice in chosen)
+    assert all(choice is not None and choice.runner is not slow for choice in chosen)
     later = [made.choose("s", SHORT, (), 60.0) for _ in range(40)]
-    assert any(choice is not None and choice.seat is slow for choice in later)
+    assert any(choice is not None and choice.runner is slow for choice in later)
 
 
 def test_reading_a_long_prompt_does_not_count_as_slow() -> None:
-    seat = balancer(1).seats("s")[0]
-    seat.answered(0.2, tokens_in=16_000, now_s=1.0)
-    assert seat.delay_ms(1.0) == 0
+    runner = balancer(1).available("s")[0]
+    runner.record_head(0.2, tokens_in=16_000, now_s=1.0)
+    assert runner.delay_ms(1.0) == 0
--- a/tests/unit/test_proxy_hedging.py
+++ b/tests/unit/test_proxy_hedging.py
@@ -77,8 +77,8 @@
         _wait(lambda: len(first.seen) + len(second.seen) == served + 2)
         caller.close()
         _wait(lambda: not (first.held or second.held))
-        seats = proxy.balancer.seats(SERVICE)
-        _wait(lambda: [seat.own for seat in seats] == [0, 0])
+        runners = proxy.balancer.available(SERVICE)
+        _wait(lambda: [runner.own_requests for runner in runners] == [0, 0])
 
 
 def test_the_way_that_is_not_taken_is_left(first: RunnerStandIn, second: RunnerStandIn) -> None:
@@ -88,8 +88,8 @@
         for _ in range(6):
             assert proxy.ask(REPEATABLE).status == 200
         _wait(lambda: not first.held)
-        seats = proxy.balancer.seats(SERVICE)
-        _wait(lambda: [seat.own for seat in seats] == [0, 0])
+        runners = proxy.balancer.available(SERVICE)
+        _wait(lambda: [runner.own_requests for runner in runners] == [0, 0])
 
 
 def _table() -> RouteTable:
--- a/tests/unit/test_proxy_runner_connection.py
+++ b/tests/unit/test_proxy_runner_connection.py
@@ -9,7 +9,7 @@
 import pytest
 
 from leverjunction.errors import Failure
-from leverjunction.proxy.keepalive import PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES
+from leverjunction.proxy.keepalive import PROBE_COUNT, PROBE_IDLE_S, PROBE_INTERVAL_S
 from leverjunction.proxy.runner_connection import (
     AnswerEnd,
     AnswerHead,
@@ -161,7 +161,7 @@
         server.close()
         return figures
 
-    assert asyncio.run(play()) == [1, PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES]
+    assert asyncio.run(play()) == [1, PROBE_IDLE_S, PROBE_INTERVAL_S, PROBE_COUNT]
 
 
 def test_a_back_end_that_was_silent_is_sent_nothing_more_on_kept_connections() -> None:
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -316,8 +316,8 @@
         headers = [(b"Host", b"app.example")]
         request = CallerRequest(b"POST", b"/a/1", headers, b"ask", 0.0)
         quarantine.replace([placed(record) for record in listed], SuspectList())
-        quarantine.lost(request, "r", "id", placed(at), ran_on=False)
-        await quarantine.settle(placed(at))
+        quarantine.run_lost(request, "r", "id", placed(at), ran_on=False)
+        await quarantine.wait_for_probe(placed(at))
         quarantine.replace([placed(record) for record in listed], SuspectList())
         server.close()
         return quarantine.standing(quarantine.find(request))
--- a/tests/unit/test_registry_starts.py
+++ b/tests/unit/test_registry_starts.py
@@ -187,16 +187,16 @@
         runner_id="i-1", service="s", address="a:1", zone="z", slots=4, born_ms=1_000
     )
     balancer.replace([first])
-    seat = balancer.seats("s")[0]
+    seat = balancer.available("s")[0]
     for _ in range(5):
         balancer.failed(seat, 10.0)
-    balancer.shared({first.start: 4}, 10.0)
+    balancer.set_other_loads({first.start: 4}, 10.0)
     balancer.replace([msgspec.structs.replace(first, sequence=9)])
-    assert balancer.seats("s")[0] is seat
+    assert balancer.available("s")[0] is seat
     second = msgspec.structs.replace(first, born_ms=2_000)
     balancer.replace([second])
-    [fresh] = balancer.seats("s")
-    assert (fresh.suspicion(10.0), fresh.others, fresh.ejected_until_s) == (0.0, 0.0, 0.0)
+    [fresh] = balancer.available("s")
+    assert (fresh.suspicion(10.0), fresh.other_requests, fresh.ejected_until_s) == (0.0, 0.0, 0.0)
     # What a process that has not heard of the new start tells of the old one is not taken for it.
-    balancer.shared({first.start: 4}, 11.0)
-    assert fresh.others == 0.0
+    balancer.set_other_loads({first.start: 4}, 11.0)
+    assert fresh.other_requests == 0.0
