--- a/src/leverjunction/cli/suspects.py
+++ b/src/leverjunction/cli/suspects.py
@@ -18,7 +18,7 @@
 from leverjunction.clock import SystemClock
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.quarantine.records import SuspectList, SuspectRecord
-from leverjunction.quarantine.verdicts import kept_s, standing
+from leverjunction.quarantine.verdicts import retention_s, standing
 from leverjunction.registry.cluster import CLUSTER_KEY
 from leverjunction.registry.commands import Done, GetSuspects, ReviewSuspects
 from leverjunction.registry.records import REGISTRY_GROUP
@@ -104,7 +104,7 @@
     return (
         record.key,
         standing(record).value,
-        round(kept_s(record)),
+        round(retention_s(record)),
         len(record.starts) + len(record.late_starts),
         record.route,
         record.request_id,
--- a/src/leverjunction/proxy/balancer.py
+++ b/src/leverjunction/proxy/balancer.py
@@ -9,8 +9,8 @@
 from leverjunction.proxy.affinity import home_of, readers_of
 from leverjunction.proxy.load_row import BackEndOrder
 from leverjunction.proxy.prompt import PREFILL_TOKENS_PER_MS, Prompt
-from leverjunction.proxy.spread import Place, Steps, draw, shares
 from leverjunction.proxy.tracked_runner import TrackedRunner
+from leverjunction.proxy.water_filling import Place, Steps, draw, shares
 from leverjunction.registry.records import RunnerRecord, RunnerState
 
 BUSY_COST_MS = 6.0
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -27,8 +27,8 @@
 from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.load_socket import LoadSocket
 from leverjunction.proxy.quarantine import Quarantine
-from leverjunction.proxy.registry_intake import RegistryIntake
 from leverjunction.proxy.runner_connection import RunnerPool
+from leverjunction.proxy.snapshot_publisher import SnapshotPublisher
 from leverjunction.registry.cluster import CLUSTER_KEY
 from leverjunction.registry.follower import RegistryFollower, Snapshot
 from leverjunction.registry.records import JOBS_GROUP
@@ -100,7 +100,7 @@
             config.bounds.in_force_ms / 1000,
             self._follower.is_in_doubt,
         )
-        self._intake = RegistryIntake(
+        self._snapshot_publisher = SnapshotPublisher(
             {
                 "route table": self._take_table,
                 "back ends": self._take_back_ends,
@@ -145,7 +145,7 @@
             if server is not None:
                 server.close()
         self._follower.stop()
-        self._intake.close()
+        self._snapshot_publisher.close()
         self._reporter.stop()
         self._loads.stop()
         self._pool.close()
@@ -184,7 +184,7 @@
 
     def _on_registry(self, snapshot: Snapshot) -> None:
         """Take a newer registry (follower's thread)."""
-        self._loop.call_soon_threadsafe(self._intake.take, snapshot)
+        self._loop.call_soon_threadsafe(self._snapshot_publisher.publish, snapshot)
 
     def _take_table(self, snapshot: Snapshot) -> None:
         held = self._index.table.version if self._index is not None else 0
@@ -205,7 +205,7 @@
         self._counters.contact_age_s.set(self._follower.age_s())
         self._counters.table_age_s.set(self._follower.table_age_s())
         self._counters.standstills.set(self._follower.standstills)
-        self._counters.failing_receivers.set(self._intake.failing())
+        self._counters.failing_receivers.set(self._snapshot_publisher.failing())
         suspects, refused = self._quarantine.counts()
         self._counters.suspects.labels("suspect").set(suspects - refused)
         self._counters.suspects.labels("refused").set(refused)
--- a/src/leverjunction/proxy/quarantine.py
+++ b/src/leverjunction/proxy/quarantine.py
@@ -12,7 +12,7 @@
 
 from leverjunction.errors import Execution, Failure, FailureKind, is_failure
 from leverjunction.proxy.caller_connection import CallerRequest, content_of
-from leverjunction.quarantine.end_watch import EndWatch
+from leverjunction.quarantine.crash_detector import CrashDetector
 from leverjunction.quarantine.records import EndedRun, SuspectList
 from leverjunction.quarantine.request_key import request_key
 from leverjunction.quarantine.suspects import Suspects
@@ -79,7 +79,7 @@
     def __init__(self, report: EvidenceReporter | None = None) -> None:
         self._report = report
         self._suspects = Suspects()
-        self._watch = EndWatch()
+        self._watch = CrashDetector()
         self._records: dict[str, RunnerRecord] = {}
         self._runners: dict[str, RunnerRecord] = {}
         self._probes: dict[str, asyncio.Task[None]] = {}
--- a/src/leverjunction/proxy/registry_intake.py
+++ b/src/leverjunction/proxy/snapshot_publisher.py
@@ -14,7 +14,7 @@
 Receiver = Callable[[Snapshot], None]
 
 
-class RegistryIntake:
+class SnapshotPublisher:
     """Receivers by name; used by one event loop.
 
     A receiver that raises keeps no news from the others, and gets the newest state again until it
@@ -35,7 +35,7 @@
         """Return how many receivers did not take the newest state."""
         return len(self._failing)
 
-    def take(self, snapshot: Snapshot) -> None:
+    def publish(self, snapshot: Snapshot) -> None:
         """Pass a newer state on to all."""
         self._newest = snapshot
         for name in self._receivers:
--- a/src/leverjunction/quarantine/end_watch.py
+++ b/src/leverjunction/quarantine/crash_detector.py
@@ -33,7 +33,7 @@
         self.lost_s = lost_s
 
 
-class EndWatch:
+class CrashDetector:
     """Used by one thread."""
 
     __slots__ = ("_ended_s", "_pending")
@@ -83,4 +83,4 @@
             del self._ended_s[start]
 
 
-__all__ = ["EndWatch"]
+__all__ = ["CrashDetector"]
--- a/src/leverjunction/quarantine/verdicts.py
+++ b/src/leverjunction/quarantine/verdicts.py
@@ -94,7 +94,7 @@
     return standing_of(evidence_of(len(record.starts), len(record.late_starts)))
 
 
-def with_end(record: SuspectRecord | None, run: EndedRun) -> SuspectRecord:
+def with_ended_run(record: SuspectRecord | None, run: EndedRun) -> SuspectRecord:
     """Return a request's record with one more piece of evidence; told twice it changes nothing."""
     known = record or SuspectRecord(key=run.key)
     if run.start in known.starts or (run.ran_on and run.start in known.late_starts):
@@ -125,7 +125,7 @@
     return msgspec.structs.replace(record, starts=starts, late_starts=record.late_starts[:late])
 
 
-def kept_s(record: SuspectRecord) -> float:
+def retention_s(record: SuspectRecord) -> float:
     """Return how long a record stays as it is when no more is heard of its request."""
     if not record.verdicts:
         return SUSPECT_S
@@ -133,7 +133,7 @@
     return min(VERDICT_MOST_S, VERDICT_S * 2.0 ** (record.verdicts - 1))
 
 
-def weight(record: SuspectRecord) -> tuple[int, int]:
+def eviction_weight(record: SuspectRecord) -> tuple[int, int]:
     """Return what decides which record is given up first when there are too many."""
     return (record.verdicts, evidence_of(len(record.starts), len(record.late_starts)))
 
@@ -142,12 +142,12 @@
     "LATE_STARTS_EACH",
     "STARTS_OF_VERDICT",
     "Standing",
+    "eviction_weight",
     "evidence_of",
-    "kept_s",
     "on_trial",
     "ran_on",
+    "retention_s",
     "standing",
     "standing_of",
-    "weight",
-    "with_end",
+    "with_ended_run",
 ]
--- a/src/leverjunction/registry/state_machine.py
+++ b/src/leverjunction/registry/state_machine.py
@@ -22,7 +22,7 @@
 from leverjunction.consensus.schema import create_missing, not_decoded
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.quarantine.records import SuspectRecord
-from leverjunction.quarantine.verdicts import on_trial, with_end
+from leverjunction.quarantine.verdicts import on_trial, with_ended_run
 from leverjunction.registry import commands
 from leverjunction.registry.records import (
     REGISTRY_GROUP,
@@ -221,7 +221,7 @@
 def _note_runs(tables: RegistryTables, change: commands.NoteRuns) -> commands.Done:
     for run in change.ended:
         known = tables.record(SUSPECT, run.key, SuspectRecord)
-        tables.put(SUSPECT, run.key, with_end(known, run))
+        tables.put(SUSPECT, run.key, with_ended_run(known, run))
         tables.limit_suspects(run.route)
     for key in change.answered:
         if tables.record(SUSPECT, key, SuspectRecord) is not None:
--- a/src/leverjunction/registry/suspect_review.py
+++ b/src/leverjunction/registry/suspect_review.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from leverjunction.quarantine.records import SuspectList, SuspectRecord
-from leverjunction.quarantine.verdicts import Standing, kept_s, standing
+from leverjunction.quarantine.verdicts import Standing, retention_s, standing
 from leverjunction.registry.commands import RegistryCommand, ReviewSuspects
 
 
@@ -25,7 +25,9 @@
         """Return the changes that are due; verdicts that are new get a line."""
         self._meet(suspects, now_s)
         over = [
-            record for record, since_s in self._seen.values() if now_s - since_s >= kept_s(record)
+            record
+            for record, since_s in self._seen.values()
+            if now_s - since_s >= retention_s(record)
         ]
         if not over:
             return []
@@ -49,7 +51,7 @@
                     " (last attempt {})",
                     record.key,
                     record.route,
-                    kept_s(record),
+                    retention_s(record),
                     ", ".join([*record.starts, *record.late_starts]),
                     record.request_id,
                 )
--- a/src/leverjunction/registry/tables.py
+++ b/src/leverjunction/registry/tables.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from leverjunction.quarantine.records import SuspectList, SuspectRecord
-from leverjunction.quarantine.verdicts import weight
+from leverjunction.quarantine.verdicts import eviction_weight
 from leverjunction.registry import commands
 from leverjunction.registry.records import (
     FleetView,
@@ -97,7 +97,7 @@
 
     def suspects(self) -> SuspectList:
         """Return those that gateways are told: the most serious ones."""
-        records = sorted(self.records(SUSPECT, SuspectRecord), key=weight, reverse=True)
+        records = sorted(self.records(SUSPECT, SuspectRecord), key=eviction_weight, reverse=True)
         return SuspectList(
             revision=self._revision(_SUSPECTS_REVISION), suspects=tuple(records[:SUSPECTS_TOLD])
         )
@@ -110,9 +110,9 @@
         records = [msgspec.json.decode(row[0], type=SuspectRecord) for row in rows]
         own = [record for record in records if record.route == route]
         if len(own) > SUSPECTS_OF_ROUTE:
-            self.delete(SUSPECT, min(own, key=weight).key)
+            self.delete(SUSPECT, min(own, key=eviction_weight).key)
         elif len(records) > SUSPECTS_KEPT:
-            self.delete(SUSPECT, min(records, key=weight).key)
+            self.delete(SUSPECT, min(records, key=eviction_weight).key)
 
     def records(self, kind: str, record_type: type[R]) -> list[R]:
         """Return the records of a kind, by their names."""
--- a/tests/unit/test_proxy_registry_intake.py
+++ b/tests/unit/test_proxy_snapshot_publisher.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from leverjunction.proxy import registry_intake
-from leverjunction.proxy.registry_intake import RegistryIntake
+from leverjunction.proxy import snapshot_publisher
+from leverjunction.proxy.snapshot_publisher import SnapshotPublisher
 from leverjunction.registry.follower import Snapshot
 from leverjunction.registry.records import FleetView
 from leverjunction.routes.types import RouteTable
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def _soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registry_intake, "RETRY_S", 0.02)
+    monkeypatch.setattr(snapshot_publisher, "RETRY_S", 0.02)
 
 
 @pytest.mark.parametrize("broken", NAMES)
@@ -52,11 +52,11 @@
     parts = Parts(broken, failures=3)
 
     async def run() -> tuple[int, int]:
-        intake = RegistryIntake(parts.receivers())
-        intake.take(snapshot(5))
-        at_once = intake.failing()
+        publisher = SnapshotPublisher(parts.receivers())
+        publisher.publish(snapshot(5))
+        at_once = publisher.failing()
         await asyncio.sleep(0.3)
-        return at_once, intake.failing()
+        return at_once, publisher.failing()
 
     assert asyncio.run(run()) == (1, 0)
     assert parts.taken == {name: [5] for name in NAMES}
@@ -66,9 +66,9 @@
     parts = Parts("route table", failures=2)
 
     async def run() -> None:
-        intake = RegistryIntake(parts.receivers())
-        intake.take(snapshot(5))
-        intake.take(snapshot(6))
+        publisher = SnapshotPublisher(parts.receivers())
+        publisher.publish(snapshot(5))
+        publisher.publish(snapshot(6))
         await asyncio.sleep(0.2)
 
     asyncio.run(run())
--- a/tests/unit/test_proxy_spread.py
+++ b/tests/unit/test_proxy_water_filling.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverjunction.proxy.spread import Place, Steps, draw, shares
+from leverjunction.proxy.water_filling import Place, Steps, draw, shares
 
 STEPS = Steps(busy_ms=6.0, queued_ms=250.0)
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -10,7 +10,7 @@
 
 from leverjunction.proxy.caller_connection import CallerRequest, content_of
 from leverjunction.proxy.quarantine import Quarantine
-from leverjunction.quarantine.end_watch import PENDING_MOST, PROOF_S, EndWatch
+from leverjunction.quarantine.crash_detector import PENDING_MOST, PROOF_S, CrashDetector
 from leverjunction.quarantine.records import EndedRun, SuspectList, SuspectRecord
 from leverjunction.quarantine.request_key import RequestContent, path_part, request_key
 from leverjunction.quarantine.suspects import OWN_KEPT_S, OWN_MOST, Suspects
@@ -20,11 +20,11 @@
     VERDICT_MOST_S,
     VERDICT_S,
     Standing,
-    kept_s,
     on_trial,
     ran_on,
+    retention_s,
     standing,
-    with_end,
+    with_ended_run,
 )
 from leverjunction.registry.records import RunnerRecord, RunnerState
 from leverjunction.registry.suspect_review import SuspectReview
@@ -52,7 +52,7 @@
 def record_of(*starts: str) -> SuspectRecord:
     record: SuspectRecord | None = None
     for start in starts:
-        record = with_end(record, ended(start))
+        record = with_ended_run(record, ended(start))
     assert record is not None
     return record
 
@@ -124,7 +124,7 @@
     record: SuspectRecord | None = None
     for run in runs:
         suspects.ended(run, 0.0)
-        record = with_end(record, run)
+        record = with_ended_run(record, run)
     assert suspects.standing("k") is expected
     assert (standing(record) if record else Standing.SOUND) is expected
     assert record is None or len(record.starts) + len(record.late_starts) <= 24
@@ -190,22 +190,22 @@
 
 def test_a_verdict_ends_and_comes_again_for_longer() -> None:
     record = record_of("a", "b", "c")
-    lengths = [kept_s(record)]
+    lengths = [retention_s(record)]
     for number in range(12):
         record = on_trial(record)
         assert standing(record) is Standing.CAREFUL
-        record = with_end(record, ended(f"later-{number}"))
+        record = with_ended_run(record, ended(f"later-{number}"))
         assert standing(record) is Standing.REFUSED
-        lengths.append(kept_s(record))
+        lengths.append(retention_s(record))
     assert lengths[:3] == [VERDICT_S, 2 * VERDICT_S, 4 * VERDICT_S]
     assert lengths[-1] == VERDICT_MOST_S
-    assert kept_s(record_of("a", "b")) == SUSPECT_S
+    assert retention_s(record_of("a", "b")) == SUSPECT_S
 
 
 def test_a_verdict_by_ends_of_runs_that_had_gone_on_ends_too() -> None:
     record: SuspectRecord | None = None
     for number in range(9):
-        record = with_end(record, late(f"i-{number}"))
+        record = with_ended_run(record, late(f"i-{number}"))
     assert record is not None
     assert record.verdicts == 1
     assert standing(on_trial(record)) is Standing.CAREFUL
@@ -213,7 +213,7 @@
 
 def test_the_leader_ends_what_is_old() -> None:
     review = SuspectReview()
-    refused, suspect = record_of("a", "b", "c"), with_end(None, ended("a", "other"))
+    refused, suspect = record_of("a", "b", "c"), with_ended_run(None, ended("a", "other"))
     told = SuspectList(revision=1, suspects=(refused, suspect))
     assert review.due(told, 0.0) == []
     assert review.due(told, min(VERDICT_S, SUSPECT_S) - 1.0) == []
@@ -228,7 +228,7 @@
     assert ran_on(first_output_s, 10.0) is expected
 
 
-Proof = Callable[[EndWatch], list[EndedRun]]
+Proof = Callable[[CrashDetector], list[EndedRun]]
 PROOFS: dict[str, tuple[Proof, int]] = {
     "nobody listens": (lambda watch: watch.ended("a", 0.1), 1),
     "told twice": (lambda watch: watch.ended("a", 0.1) + watch.ended("a", 0.2), 1),
@@ -241,13 +241,13 @@
 @pytest.mark.parametrize("name", PROOFS)
 def test_what_proves_that_a_start_ended(name: str) -> None:
     prove, expected = PROOFS[name]
-    watch = EndWatch()
+    watch = CrashDetector()
     assert watch.lost(ended("a"), 0.0) == []
     assert len(prove(watch)) == expected
 
 
 def test_all_runs_of_an_ended_start_are_evidence_also_those_noticed_later() -> None:
-    watch = EndWatch()
+    watch = CrashDetector()
     for number in range(12):
         watch.lost(ended("a", f"k{number}"), 0.0)
     assert len(watch.ended("a", 0.1)) == 12
@@ -255,7 +255,7 @@
 
 
 def test_runs_without_proof_are_bounded() -> None:
-    watch = EndWatch()
+    watch = CrashDetector()
     for number in range(PENDING_MOST + 100):
         watch.lost(ended(f"i-{number}"), 0.0)
     assert len(list(watch.pending())) <= PENDING_MOST
