--- a/src/leverjunction/proxy/admission.py
+++ b/src/leverjunction/proxy/admission.py
@@ -1,35 +1,42 @@
-"""Which requests are sent at once, which wait at the gateway, and which are refused. Pure.
+"""Admission control: which requests are sent at once, held at the gateway, or refused.
 
-A back end lets requests in as they come. Once more come than its slots can take, first come first
-served makes all of them late. So only those are sent that can still be in time; the others wait
-here for the next lull, where they delay nobody. What can surely not be served is refused at once.
+A back end accepts requests in order of arrival. Once more arrive than its slots can serve, first
+come, first served makes all of them late. Therefore only requests that can still meet their target
+are sent. The others are held at the gateway, where they delay nobody, until the next lull. A
+request that certainly can't be served is refused at once.
+
+Performs no I/O: the time is passed in.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-LATE_QUEUE = 1.0
-"""A request that is late already goes where at most so many wait before it. It must be above zero:
-batch work fills the free slots of a lull, and gives way only to what a back end reports as waiting.
+MAX_LATE_QUEUE = 1.0
+"""Longest queue that a request joins which misses its target anyway. It must be above zero: batch
+work fills the free slots during a lull, and yields only to requests that a back end reports as
+waiting.
 """
 
-MARGIN_S = 0.1
-"""Before the latest useful moment of an answer's head: time to send, and to be refused in time."""
+SEND_MARGIN_S = 0.1
+"""Time before a request's deadline at which it is given up: enough to send it, or to refuse it
+before the caller gives up.
+"""
 
-RETRY_LEAST_S = 0.2
-"""Sooner than this a caller that was refused finds the same."""
+MIN_RETRY_AFTER_S = 0.2
+"""Minimum delay before a refused caller retries: an earlier retry would be refused again."""
 
 
-class Prospect:
-    """What a service's back ends would do with one more request now.
+class LoadEstimate:
+    """Estimated load that one more request to a service would meet.
 
     Attributes:
-        queue: Requests that must end at the best back end before one more begins there.
-        slots: Requests that it works on at a time.
-        run_s: Time for which a slot is taken by a request.
-        backlog: Requests that wait at all back ends.
-        capacity: Slots of all back ends.
+        queue: Number of requests that must finish at the least loaded back end before one more
+            starts there; negative if it has free slots.
+        slots: Number of slots of that back end.
+        run_s: Average time in seconds for which a request occupies a slot.
+        backlog: Number of requests that wait at all back ends.
+        capacity: Number of slots of all back ends.
     """
 
     __slots__ = ("backlog", "capacity", "queue", "run_s", "slots")
@@ -45,22 +52,26 @@
 
     @property
     def wait_s(self) -> float:
-        """Time in the best back end's queue."""
+        """Estimated time in the queue of the least loaded back end, in seconds."""
         return max(0.0, self.queue) * self.run_s / self.slots
 
     def drain_s(self, held: int) -> float:
-        """Return the time in which all that waits now, here and there, can have begun."""
+        """Return the seconds until all requests that wait now can have started.
+
+        Args:
+            held: Number of requests held at this gateway.
+        """
         return (self.backlog + held) * self.run_s / max(1, self.capacity)
 
 
 class Ticket:
-    """One request's place.
+    """Deadlines of one request, in monotonic seconds.
 
     Attributes:
-        arrived_s: When it arrived, monotonic seconds.
-        aim_s: When its head is aimed at.
-        last_s: When its head is of use at the latest.
-        head_s: Time from its send to its head where nothing waits.
+        arrived_s: When the request arrived.
+        target_s: When its response head should be there.
+        deadline_s: When its response head must be there to be of use.
+        head_latency_s: Seconds from sending it to its response head without queueing.
     """
 
     __slots__ = ("arrived_s", "deadline_s", "head_latency_s", "target_s")
@@ -73,17 +84,17 @@
         self.deadline_s = deadline_s
         self.head_latency_s = head_latency_s
 
-    def is_in_time(self, prospect: Prospect, now_s: float) -> bool:
-        """Return whether its head comes within its aim if it is sent now."""
-        return now_s + prospect.wait_s + self.head_latency_s <= self.target_s
+    def meets_target(self, estimate: LoadEstimate, now_s: float) -> bool:
+        """Return whether the request would meet its target if it were sent now."""
+        return now_s + estimate.wait_s + self.head_latency_s <= self.target_s
 
-    def is_over(self, now_s: float) -> bool:
-        """Return whether its head can come too late only."""
-        return now_s + self.head_latency_s > self.deadline_s - MARGIN_S
+    def is_expired(self, now_s: float) -> bool:
+        """Return whether the request can no longer meet its deadline."""
+        return now_s + self.head_latency_s > self.deadline_s - SEND_MARGIN_S
 
 
-class Verdict(Enum):
-    """What becomes of a request."""
+class Decision(Enum):
+    """Admission decision about a request."""
 
     SEND = "send"
     HOLD = "hold"
@@ -91,86 +102,96 @@
 
 
 class AdmissionQueue:
-    """Requests of one service that wait at this gateway."""
+    """Requests of one service that are held at this gateway."""
 
-    __slots__ = ("_held", "_relief_s")
+    __slots__ = ("_held", "_last_lull_s")
 
     def __init__(self, now_s: float) -> None:
         self._held: list[Ticket] = []
-        self._relief_s = now_s
+        self._last_lull_s = now_s
 
     @property
     def held(self) -> int:
-        """Number of requests that wait."""
+        """Number of held requests."""
         return len(self._held)
 
-    def oldest_s(self, now_s: float) -> float:
-        """Return for how long the request that came first has been here; 0 when none waits."""
+    def oldest_age_s(self, now_s: float) -> float:
+        """Return the age in seconds of the oldest held request; 0 if none is held."""
         return max((now_s - ticket.arrived_s for ticket in self._held), default=0.0)
 
-    def arrive(self, ticket: Ticket, prospect: Prospect | None, now_s: float) -> Verdict:
-        """Decide on a request that has just come; one that is held is in the queue then.
+    def admit(self, ticket: Ticket, estimate: LoadEstimate | None, now_s: float) -> Decision:
+        """Decide about a request that has just arrived; a held one is added to the queue.
 
         Args:
             ticket: The request.
-            prospect: None while it is not known: then it is sent, and its answer tells.
-            now_s: Monotonic time.
+            estimate: Load of the service; None if unknown. The request is then sent, since its
+                response reports the load.
+            now_s: Monotonic time in seconds.
         """
-        if prospect is None or self._may_go(ticket, prospect, now_s):
-            return Verdict.SEND
-        if ticket.is_over(now_s + prospect.drain_s(self.held)) or self._is_hopeless(ticket, now_s):
-            return Verdict.REFUSE
+        if estimate is None or self._can_send(ticket, estimate, now_s):
+            return Decision.SEND
+        if ticket.is_expired(now_s + estimate.drain_s(self.held)) or self._cannot_be_served(
+            ticket, now_s
+        ):
+            return Decision.REFUSE
         self._held.append(ticket)
-        return Verdict.HOLD
+        return Decision.HOLD
 
-    def over(self, now_s: float) -> list[Ticket]:
-        """Take out those that it is too late for."""
-        gone = [ticket for ticket in self._held if ticket.is_over(now_s)]
-        for ticket in gone:
+    def pop_expired(self, now_s: float) -> list[Ticket]:
+        """Remove and return the requests that can no longer meet their deadline."""
+        expired = [ticket for ticket in self._held if ticket.is_expired(now_s)]
+        for ticket in expired:
             self._held.remove(ticket)
-        return gone
+        return expired
 
-    def next(self, prospect: Prospect | None, now_s: float) -> Ticket | None:
-        """Take out the request that is sent next, None while none may go.
+    def pop_next(self, estimate: LoadEstimate | None, now_s: float) -> Ticket | None:
+        """Remove and return the request to send next; None if none may be sent now.
 
-        Those that can still be in time go first, of them the one with least time; then those whose
-        callers leave first.
+        Requests that can still meet their target go first, in the order of their targets. If there
+        are none, late requests follow in the same order during a lull.
         """
-        if prospect is None:
-            return self._take(self._held)
-        in_time = [ticket for ticket in self._held if ticket.is_in_time(prospect, now_s)]
+        if estimate is None:
+            return self._pop_first(self._held)
+        in_time = [ticket for ticket in self._held if ticket.meets_target(estimate, now_s)]
         if in_time:
-            return self._take(in_time)
-        if prospect.queue > LATE_QUEUE:
+            return self._pop_first(in_time)
+        if estimate.queue > MAX_LATE_QUEUE:
             return None
-        self._relief_s = now_s
-        return self._take(self._held)
+        self._last_lull_s = now_s
+        return self._pop_first(self._held)
 
-    def drop(self, ticket: Ticket) -> None:
-        """Take out a request whose caller has left."""
+    def discard(self, ticket: Ticket) -> None:
+        """Remove a request whose caller has disconnected, if it is held."""
         if ticket in self._held:
             self._held.remove(ticket)
 
-    def _take(self, tickets: list[Ticket]) -> Ticket | None:
+    def _pop_first(self, tickets: list[Ticket]) -> Ticket | None:
         if not tickets:
             return None
         first = min(tickets, key=lambda ticket: (ticket.target_s, ticket.deadline_s))
         self._held.remove(first)
         return first
 
-    def _may_go(self, ticket: Ticket, prospect: Prospect, now_s: float) -> bool:
-        if prospect.queue <= LATE_QUEUE:
-            self._relief_s = now_s
+    def _can_send(self, ticket: Ticket, estimate: LoadEstimate, now_s: float) -> bool:
+        if estimate.queue <= MAX_LATE_QUEUE:
+            self._last_lull_s = now_s
             return True
-        return ticket.is_in_time(prospect, now_s)
+        return ticket.meets_target(estimate, now_s)
+
+    def _cannot_be_served(self, ticket: Ticket, now_s: float) -> bool:
+        """Return whether the last lull is longer ago than this request could wait for one."""
+        return now_s - self._last_lull_s > ticket.deadline_s - ticket.arrived_s
 
-    def _is_hopeless(self, ticket: Ticket, now_s: float) -> bool:
-        """Return whether there was no lull for as long as this request could wait for one."""
-        return now_s - self._relief_s > ticket.deadline_s - ticket.arrived_s
 
+def retry_after_s(estimate: LoadEstimate | None, held: int) -> float:
+    """Return the seconds after which a refused caller should retry.
 
-def retry_after_s(prospect: Prospect | None, held: int) -> float:
-    """Return when a refused caller may come back: once what waits now can have begun."""
-    if prospect is None:
-        return RETRY_LEAST_S
-    return max(RETRY_LEAST_S, prospect.drain_s(held))
+    By then all requests that wait now can have started.
+
+    Args:
+        estimate: Load of the service; None if unknown.
+        held: Number of requests held at this gateway.
+    """
+    if estimate is None:
+        return MIN_RETRY_AFTER_S
+    return max(MIN_RETRY_AFTER_S, estimate.drain_s(held))
--- a/src/leverjunction/proxy/admission_gate.py
+++ b/src/leverjunction/proxy/admission_gate.py
@@ -1,4 +1,4 @@
-"""Thin shell of admission: holds requests on the event loop, and reads loads while it does."""
+"""Applies admission control on the event loop: holds requests, and reads loads meanwhile."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.proxy.admission import (
     AdmissionQueue,
-    Prospect,
+    Decision,
+    LoadEstimate,
     Ticket,
-    Verdict,
     retry_after_s,
 )
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.dialect import EngineLoad
 
-STEP_S = 0.02
-"""Between two looks at what is held: a slot is freed every 10 to 100 ms at a loaded back end."""
+RELEASE_INTERVAL_S = 0.02
+"""Interval of checking the held requests: a loaded back end frees a slot every 10 to 100 ms."""
 
-READ_INTERVAL_S = 0.1
-"""Between two readings of the back ends' load, while requests are held."""
+LOAD_READ_INTERVAL_S = 0.1
+"""Interval between readings of the back ends' loads while requests are held."""
 
-READS_AT_ONCE = 6
-"""Back ends that are read in one interval, those first that told longest ago: what is held costs
-60 readings a second and gateway, however many back ends there are.
+READS_PER_INTERVAL = 6
+"""Back ends whose load is read per interval, those with the oldest loads first. Held requests thus
+cost 60 readings per second and gateway, however many back ends there are.
 """
 
 
 class AdmissionGate:
-    """Used by one event loop.
+    """Admission control of all services; used by one event loop.
 
     Args:
-        balancer: Knows the back ends' load.
+        balancer: Provides the load of the back ends.
         sender: Reads it.
-        changed: Called with a service and how many of its requests are held now.
+        on_change: Called with a service and the number of its held requests when that changes.
     """
 
     __slots__ = (
         "_balancer",
-        "_changed",
         "_loop",
+        "_on_change",
         "_queues",
         "_readings",
         "_sender",
@@ -53,10 +53,10 @@
         self,
         balancer: Balancer,
         sender: Sender,
-        changed: Callable[[str, int], None] | None = None,
+        on_change: Callable[[str, int], None] | None = None,
     ) -> None:
         self._balancer = balancer
-        self._changed = changed
+        self._on_change = on_change
         self._sender = sender
         self._loop = asyncio.get_running_loop()
         self._queues: dict[str, AdmissionQueue] = {}
@@ -65,66 +65,77 @@
         self._readings: set[asyncio.Task[EngineLoad | None]] = set()
 
     async def enter(self, service: str, ticket: Ticket) -> Failure | None:
-        """Return once the request is to be sent, or the refusal of one that has not run."""
+        """Wait until a request may be sent.
+
+        Returns:
+            None if the request may be sent, or the refusal of one that has not run.
+        """
         now_s = self._loop.time()
         queue = self._queues.setdefault(service, AdmissionQueue(now_s))
-        prospect = self._balancer.prospect(service, now_s)
-        verdict = queue.arrive(ticket, prospect, now_s)
-        if verdict is Verdict.SEND:
+        estimate = self._balancer.estimate_load(service, now_s)
+        decision = queue.admit(ticket, estimate, now_s)
+        if decision is Decision.SEND:
             return None
-        if verdict is Verdict.REFUSE:
-            return _refusal(service, prospect, queue.held)
+        if decision is Decision.REFUSE:
+            return _refusal(service, estimate, queue.held)
         waiter = self._waiters[ticket] = self._loop.create_future()
-        self._tell(service)
-        self._work(service)
+        self._notify(service)
+        self._ensure_worker(service)
         try:
             return await waiter
         finally:
             del self._waiters[ticket]
-            queue.drop(ticket)
-            self._tell(service)
+            queue.discard(ticket)
+            self._notify(service)
 
     def waiting(self) -> dict[str, tuple[int, float]]:
-        """Return, by service that ever held one, its held requests and the age of the oldest."""
+        """Return the number of held requests and the age in seconds of the oldest, by service.
+
+        Contains every service that has had a request.
+        """
         now_s = self._loop.time()
-        return {name: (queue.held, queue.oldest_s(now_s)) for name, queue in self._queues.items()}
+        return {
+            name: (queue.held, queue.oldest_age_s(now_s)) for name, queue in self._queues.items()
+        }
 
-    def _tell(self, service: str) -> None:
-        if self._changed is not None:
-            self._changed(service, self._queues[service].held)
+    def _notify(self, service: str) -> None:
+        if self._on_change is not None:
+            self._on_change(service, self._queues[service].held)
 
-    def _work(self, service: str) -> None:
+    def _ensure_worker(self, service: str) -> None:
         worker = self._workers.get(service)
         if worker is None or worker.done():
-            self._workers[service] = self._loop.create_task(self._serve(service))
+            self._workers[service] = self._loop.create_task(self._run_queue(service))
 
-    async def _serve(self, service: str) -> None:
-        """Let requests go or refuse them, until none is held."""
+    async def _run_queue(self, service: str) -> None:
+        """Release or refuse requests until none is held."""
         queue = self._queues[service]
-        read_s = float("-inf")
+        last_read_s = float("-inf")
         while queue.held:
             now_s = self._loop.time()
-            if now_s - read_s >= READ_INTERVAL_S:
-                read_s = now_s
+            if now_s - last_read_s >= LOAD_READ_INTERVAL_S:
+                last_read_s = now_s
                 self._read_loads(service)
-            for ticket in queue.over(now_s):
-                refusal = _refusal(service, self._balancer.prospect(service, now_s), queue.held)
-                self._settle(ticket, refusal)
-            await self._let_go(service, queue)
-            await asyncio.sleep(STEP_S)
-
-    async def _let_go(self, service: str, queue: AdmissionQueue) -> None:
+            for ticket in queue.pop_expired(now_s):
+                refusal = _refusal(
+                    service, self._balancer.estimate_load(service, now_s), queue.held
+                )
+                self._resolve(ticket, refusal)
+            await self._release_ready(service, queue)
+            await asyncio.sleep(RELEASE_INTERVAL_S)
+
+    async def _release_ready(self, service: str, queue: AdmissionQueue) -> None:
         while True:
             now_s = self._loop.time()
-            ticket = queue.next(self._balancer.prospect(service, now_s), now_s)
+            ticket = queue.pop_next(self._balancer.estimate_load(service, now_s), now_s)
             if ticket is None:
                 return
-            self._settle(ticket, None)
-            # It is counted at its back end before the next one is looked at.
+            self._resolve(ticket, None)
+            # Lets the request be counted at its back end before the next decision.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
-    def _settle(self, ticket: Ticket, outcome: Failure | None) -> None:
+    def _resolve(self, ticket: Ticket, outcome: Failure | None) -> None:
         waiter = self._waiters.get(ticket)
         if waiter is not None and not waiter.done():
             waiter.set_result(outcome)
@@ -133,17 +144,17 @@
         runners = sorted(
             self._balancer.available(service), key=lambda runner: runner.load_updated_s
         )
-        for runner in runners[:READS_AT_ONCE]:
+        for runner in runners[:READS_PER_INTERVAL]:
             reading = self._loop.create_task(self._sender.read_load(runner))
             self._readings.add(reading)
             reading.add_done_callback(self._readings.discard)
 
 
-def _refusal(service: str, prospect: Prospect | None, held: int) -> Failure:
+def _refusal(service: str, estimate: LoadEstimate | None, held: int) -> Failure:
     return Failure(
         kind=FailureKind.OVERLOADED,
-        reason=f"no back end of service {service} can answer in time, and {held} requests wait",
+        reason=f"no back end of service {service} can answer in time; {held} requests are held",
         step=Step.QUEUEING,
         execution=Execution.NOT_RUN,
-        retry_after_s=retry_after_s(prospect, held),
+        retry_after_s=retry_after_s(estimate, held),
     )
--- a/src/leverjunction/proxy/balancer.py
+++ b/src/leverjunction/proxy/balancer.py
@@ -1,58 +1,72 @@
-"""Chooses the back end of a request. Pure: the clock and the generator are passed in."""
+"""Load balancer: chooses the back end of a request by a cost estimate in milliseconds.
+
+Performs no I/O: the time and the random generator are passed in.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping
 from random import Random
 
-from leverjunction.proxy.admission import Prospect
-from leverjunction.proxy.affinity import home_of, readers_of
+from leverjunction.proxy.admission import LoadEstimate
+from leverjunction.proxy.affinity import affinity_runner, long_prompt_runners
 from leverjunction.proxy.load_row import BackEndOrder
 from leverjunction.proxy.prompt import PREFILL_TOKENS_PER_MS, Prompt
 from leverjunction.proxy.tracked_runner import TrackedRunner
-from leverjunction.proxy.water_filling import Place, Steps, draw, shares
+from leverjunction.proxy.water_filling import (
+    Candidate,
+    CostSteps,
+    expected_assignments,
+    weighted_choice,
+)
 from leverjunction.registry.records import RunnerRecord, RunnerState
 
-BUSY_COST_MS = 6.0
-"""Cost of each request that already runs at a back end."""
+RUNNING_REQUEST_COST_MS = 6.0
+"""Cost of each request that a back end already has."""
 
-QUEUED_COST_MS = 250.0
-"""Cost of each request beyond the back end's slots."""
+QUEUED_REQUEST_COST_MS = 250.0
+"""Additional cost of each request beyond the back end's slots."""
 
-DELAY_COST = 0.5
-"""Cost of each millisecond by which a back end's heads were late: slow ones get less."""
+DELAY_COST_FACTOR = 0.5
+"""Cost per millisecond of a back end's average response delay."""
 
-LONG_SEEN_S = 20.0
-READER_COST_MS = 30.0
-"""Cost of a reader for other requests, which may find it reading: five requests' worth."""
+LONG_PROMPT_MEMORY_S = 20.0
+"""Time after a service's last long prompt during which back ends stay reserved for long prompts."""
+
+LONG_PROMPT_RUNNER_COST_MS = 30.0
+"""Cost, for short prompts, of a back end that serves long prompts, since it may be busy prefilling
+one: as much as five running requests.
+"""
 
 OTHER_ZONE_COST_MS = 4.0
-SUSPECT_COST_MS = 400.0
-"""Cost of a back end that has just failed once."""
+SUSPICION_COST_MS = 400.0
+"""Cost of a back end right after a single failure."""
 
-WEIGHED_MOST = 64
-"""Back ends that are weighed for a request. With 1,200 a choice takes 1.0 ms of processor time, 6.1
-with all of them weighed (0.2 with 45). The best of so many is among the best 5 in 100 of all, but
-for one time in 27.
+MAX_CANDIDATES = 64
+"""Back ends compared per request. With 1,200 back ends a choice takes 1.0 ms of CPU time, against
+6.1 ms when all are compared (0.2 ms with 45 back ends). The best of 64 random ones is among the
+best 5 % of all, except for one time in 27.
 """
 
-KNOWN_S = 0.5
-"""A load that was told longer ago holds no request back: sending one tells what it is now."""
+MAX_LOAD_AGE_S = 0.5
+"""Maximum age of a load that admission relies on. With an older one the request is sent: the
+response reports the current load.
+"""
 
-FIRST_RUN_S = 1.0
-"""Time that a slot is taken, while no request has ended here."""
+DEFAULT_RUN_S = 1.0
+"""Assumed time for which a request occupies a slot, until the first request has finished."""
 
-RUN_WEIGHT = 0.1
-"""Of the newest request in the running average of the time that a slot is taken."""
+RUN_AVERAGE_WEIGHT = 0.1
+"""Weight of the newest request in the moving average of the run time."""
 
 
 class Choice:
-    """A chosen back end.
+    """The chosen back end and what the choice was based on.
 
     Attributes:
-        seat: The back end.
-        load: Requests that it probably had.
-        candidates: Back ends that were weighed.
+        runner: The back end.
+        load: Its estimated number of requests at the time of the choice.
+        candidates: Number of back ends to choose from.
     """
 
     __slots__ = ("candidates", "load", "runner")
@@ -64,23 +78,24 @@
 
 
 class Balancer:
-    """All back ends, by service. Used by one thread only.
+    """Tracks the back ends of all services and chooses among them. Not thread-safe.
 
     Args:
         zone: Zone of this process.
-        random: Draws.
-        spread: Whether to allow for what others have sent; else the cheapest back end is chosen.
+        random: Random generator for sampling, weighted choices and tie-breaking.
+        spread: Whether to allow for requests that other gateways have sent but that the known
+            loads don't contain yet. Otherwise the cheapest back end is always chosen.
 
     Attributes:
-        order: All of them, as rows of loads have them.
+        order: Order of all back ends in a load row.
     """
 
     __slots__ = (
         "_by_service",
-        "_long_s",
+        "_last_long_prompt_s",
+        "_long_prompt_ids",
+        "_mean_run_s",
         "_random",
-        "_readers",
-        "_run_s",
         "_runners",
         "_spread",
         "_zone",
@@ -94,12 +109,15 @@
         self._runners: dict[str, TrackedRunner] = {}
         self.order = BackEndOrder(())
         self._by_service: dict[str, list[TrackedRunner]] = {}
-        self._readers: frozenset[str] = frozenset()
-        self._long_s: dict[str, float] = {}
-        self._run_s: dict[str, float] = {}
+        self._long_prompt_ids: frozenset[str] = frozenset()
+        self._last_long_prompt_s: dict[str, float] = {}
+        self._mean_run_s: dict[str, float] = {}
 
     def replace(self, records: Iterable[RunnerRecord]) -> None:
-        """Take the registry's records; only of starts that stay is kept what is known of them."""
+        """Replace the back ends by the registry's records.
+
+        Loads and failures are kept for the starts (instances of a back end) that remain.
+        """
         runners: dict[str, TrackedRunner] = {}
         by_service: dict[str, list[TrackedRunner]] = {}
         for record in records:
@@ -110,17 +128,17 @@
         self._runners = runners
         self.order = BackEndOrder(runners)
         self._by_service = by_service
-        self._readers = frozenset(
+        self._long_prompt_ids = frozenset(
             key
             for service, members in by_service.items()
-            for key in readers_of(service, _ids(members))
+            for key in long_prompt_runners(service, _ids(members))
         )
 
     def available(self, service: str) -> list[TrackedRunner]:
-        """Return the back ends of a service that take new work."""
+        """Return the back ends of a service that accept new work."""
         known = self._by_service.get(service, [])
         ready = [runner for runner in known if runner.record.state is RunnerState.READY]
-        # Silence may be a fault of the path to the control processes alone.
+        # They may be silent only because they can't reach the control processes.
         return ready or [runner for runner in known if runner.record.state is RunnerState.SILENT]
 
     def choose(
@@ -130,104 +148,116 @@
         avoided: Collection[str],
         now_s: float,
     ) -> Choice | None:
-        """Draw a back end, mostly a cheap one; None when there is none.
+        """Choose a back end, with a preference for cheap ones; None if there is none.
 
         Args:
             service: Service of the request.
-            prompt: Its prompt.
-            avoided: Starts of back ends that were tried already.
-            now_s: Monotonic time.
+            prompt: Prompt of the request.
+            avoided: Starts of back ends that were already tried.
+            now_s: Monotonic time in seconds.
         """
         runners = [
             runner for runner in self.available(service) if runner.record.start not in avoided
         ]
         if not runners:
             return None
-        sound = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
+        healthy = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
         if prompt.is_long:
-            self._long_s[service] = now_s
-        home = home_of(prompt, _ids(sound), self._readers)
-        best = self._draw(self._sample(sound, home), home, prompt, now_s)
-        return Choice(best, best.load(now_s), len(sound))
+            self._last_long_prompt_s[service] = now_s
+        preferred_id = affinity_runner(prompt, _ids(healthy), self._long_prompt_ids)
+        best = self._pick(self._sample(healthy, preferred_id), preferred_id, prompt, now_s)
+        return Choice(best, best.load(now_s), len(healthy))
 
-    def choose_quiet(self, service: str, avoided: Collection[str], now_s: float) -> Choice | None:
-        """Return the back end with fewest requests, for one that may end it; None without any.
+    def choose_least_loaded(
+        self, service: str, avoided: Collection[str], now_s: float
+    ) -> Choice | None:
+        """Return the least loaded back end, for a request that may crash it; None if there is none.
 
         Args:
             service: Service of the request.
-            avoided: Starts of back ends that are taken only if there is no other.
-            now_s: Monotonic time.
+            avoided: Starts of back ends to use only if there is no other.
+            now_s: Monotonic time in seconds.
         """
         runners = self.available(service)
-        sound = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
-        free = [runner for runner in sound if runner.record.start not in avoided] or sound
-        if not free:
+        healthy = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
+        untried = [runner for runner in healthy if runner.record.start not in avoided] or healthy
+        if not untried:
             return None
-        best = min(free, key=lambda runner: (runner.load(now_s), self._random.random()))
-        return Choice(best, best.load(now_s), len(free))
+        best = min(untried, key=lambda runner: (runner.load(now_s), self._random.random()))
+        return Choice(best, best.load(now_s), len(untried))
 
-    def _sample(self, runners: list[TrackedRunner], home: str) -> list[TrackedRunner]:
-        """Return the back ends that are weighed: of very many some, and the prompt's own one."""
-        if len(runners) <= WEIGHED_MOST:
+    def _sample(self, runners: list[TrackedRunner], preferred_id: str) -> list[TrackedRunner]:
+        """Return the back ends to compare: a random sample, and always the preferred one."""
+        if len(runners) <= MAX_CANDIDATES:
             return runners
-        drawn = self._random.sample(runners, WEIGHED_MOST)
-        own = [
-            runner for runner in runners if runner.record.runner_id == home and runner not in drawn
+        drawn = self._random.sample(runners, MAX_CANDIDATES)
+        preferred = [
+            runner
+            for runner in runners
+            if runner.record.runner_id == preferred_id and runner not in drawn
         ]
-        return drawn + own
+        return drawn + preferred
 
-    def _draw(
-        self, runners: list[TrackedRunner], home: str, prompt: Prompt, now_s: float
+    def _pick(
+        self, runners: list[TrackedRunner], preferred_id: str, prompt: Prompt, now_s: float
     ) -> TrackedRunner:
-        """Return a back end: gateways that see the same loads must not all choose the same."""
-        unseen = self._unseen(runners, now_s)
-        places = [
-            Place(
-                self._cost_ms(runner, home, prompt, now_s),
+        """Choose by weighted random: gateways with the same loads must not all choose alike."""
+        unreported = self._unreported(runners, now_s)
+        candidates = [
+            Candidate(
+                self._cost_ms(runner, preferred_id, prompt, now_s),
                 runner.slots - runner.load(now_s),
             )
             for runner in runners
         ]
         if not self._spread:
-            return min(zip(runners, places, strict=True), key=lambda pair: pair[1].cost_ms)[0]
-        weights = shares(places, unseen, Steps(BUSY_COST_MS, QUEUED_COST_MS))
-        return runners[draw(weights, self._random)]
+            return min(zip(runners, candidates, strict=True), key=lambda pair: pair[1].cost_ms)[0]
+        weights = expected_assignments(
+            candidates, unreported, CostSteps(RUNNING_REQUEST_COST_MS, QUEUED_REQUEST_COST_MS)
+        )
+        return runners[weighted_choice(weights, self._random)]
 
-    def _unseen(self, runners: list[TrackedRunner], now_s: float) -> float:
-        """Return how many requests others have probably sent since the loads were true."""
-        run_s = self._run_s.get(runners[0].record.service) or FIRST_RUN_S
-        return sum(runner.unseen(now_s, run_s) for runner in runners)
+    def _unreported(self, runners: list[TrackedRunner], now_s: float) -> float:
+        """Estimate how many requests other gateways have sent since the loads were measured."""
+        run_s = self._mean_run_s.get(runners[0].record.service) or DEFAULT_RUN_S
+        return sum(runner.unreported(now_s, run_s) for runner in runners)
 
     def set_other_loads(self, others: Mapping[str, int], now_s: float, lag_s: float = 0.0) -> None:
-        """Take the online requests of other gateways at all back ends that are named."""
+        """Set the number of other gateways' online requests at the given back ends.
+
+        Args:
+            others: Number of requests by start of the back end.
+            now_s: Monotonic time in seconds.
+            lag_s: Average age of these numbers, in seconds.
+        """
         for start, online in others.items():
             runner = self._runners.get(start)
             if runner is not None:
                 runner.set_other_load(online, now_s, lag_s)
 
     def record_run(self, service: str, run_s: float) -> None:
-        """Take the time for which a request had a slot; waiting in a queue is not counted."""
-        known_s = self._run_s.get(service, run_s)
-        self._run_s[service] = known_s + (run_s - known_s) * RUN_WEIGHT
+        """Record for how many seconds a request occupied a slot, without its time in a queue."""
+        known_s = self._mean_run_s.get(service, run_s)
+        self._mean_run_s[service] = known_s + (run_s - known_s) * RUN_AVERAGE_WEIGHT
 
     def mean_run_s(self, service: str) -> float | None:
-        """Return the usual time for which a request has a slot; None before the first."""
-        return self._run_s.get(service)
+        """Return the average time in seconds for which a request occupies a slot, if known."""
+        return self._mean_run_s.get(service)
 
-    def prospect(self, service: str, now_s: float) -> Prospect | None:
-        """Return what one more request would meet; None while that is not known.
+    def estimate_load(self, service: str, now_s: float) -> LoadEstimate | None:
+        """Return the load that one more request would meet; None if it is unknown.
 
-        It is not while no request has ended yet, or when the back end that seems to have most room
-        has not told its load lately.
+        It is unknown until a first request has finished, and while the last known load of the
+        least loaded back end is too old.
         """
-        run_s = self._run_s.get(service)
+        run_s = self._mean_run_s.get(service)
         runners = [runner for runner in self.available(service) if runner.ejected_until_s <= now_s]
         if run_s is None or not runners:
             return None
         best = min(runners, key=lambda runner: runner.load(now_s) - runner.slots)
-        if now_s - best.load_updated_s > KNOWN_S:
+        if now_s - best.load_updated_s > MAX_LOAD_AGE_S:
             return None
-        return Prospect(
+        return LoadEstimate(
             queue=best.load(now_s) + 1 - best.slots,
             slots=best.slots,
             run_s=run_s,
@@ -236,39 +266,46 @@
         )
 
     def failed(self, runner: TrackedRunner, now_s: float) -> None:
-        """Note that a back end did not do what it should."""
+        """Record a failure of a back end."""
         runner.failed(now_s)
 
     def succeeded(self, runner: TrackedRunner, now_s: float) -> None:
-        """Note that a back end answered."""
+        """Record a response of a back end."""
         runner.succeeded(now_s)
 
     def _cost_ms(
         self,
         runner: TrackedRunner,
-        home: str,
+        preferred_id: str,
         prompt: Prompt,
         now_s: float,
     ) -> float:
         load = runner.load(now_s)
-        cost_ms = load * BUSY_COST_MS + max(0.0, load + 1 - runner.slots) * QUEUED_COST_MS
+        cost_ms = (
+            load * RUNNING_REQUEST_COST_MS
+            + max(0.0, load + 1 - runner.slots) * QUEUED_REQUEST_COST_MS
+        )
         if runner.record.zone != self._zone:
             cost_ms += OTHER_ZONE_COST_MS
-        if home and runner.record.runner_id != home:
+        if preferred_id and runner.record.runner_id != preferred_id:
             cost_ms += prompt.shared_tokens / PREFILL_TOKENS_PER_MS
         cost_ms += runner.pending_prefill_ms
-        reads = runner.record.runner_id in self._readers
-        if prompt.is_long and not reads:
-            # What comes after it there waits until it is read.
+        takes_long_prompts = runner.record.runner_id in self._long_prompt_ids
+        if prompt.is_long and not takes_long_prompts:
+            # Requests that arrive there later wait until its prefill is done.
             cost_ms += prompt.prefill_ms
-        elif reads and not prompt.is_long and self._reads_long(runner.record.service, now_s):
-            cost_ms += READER_COST_MS
-        cost_ms += runner.delay_ms(now_s) * DELAY_COST
-        return cost_ms + runner.suspicion(now_s) * SUSPECT_COST_MS
-
-    def _reads_long(self, service: str, now_s: float) -> bool:
-        """Return whether a service has had long prompts lately; others need no readers."""
-        return now_s - self._long_s.get(service, float("-inf")) <= LONG_SEEN_S
+        elif (
+            takes_long_prompts
+            and not prompt.is_long
+            and self._had_long_prompts(runner.record.service, now_s)
+        ):
+            cost_ms += LONG_PROMPT_RUNNER_COST_MS
+        cost_ms += runner.delay_ms(now_s) * DELAY_COST_FACTOR
+        return cost_ms + runner.suspicion(now_s) * SUSPICION_COST_MS
+
+    def _had_long_prompts(self, service: str, now_s: float) -> bool:
+        """Return whether a service has recently had long prompts."""
+        return now_s - self._last_long_prompt_s.get(service, float("-inf")) <= LONG_PROMPT_MEMORY_S
 
 
 def _ids(runners: list[TrackedRunner]) -> list[str]:
--- a/src/leverjunction/proxy/dispatch.py
+++ b/src/leverjunction/proxy/dispatch.py
@@ -1,4 +1,4 @@
-"""A send of a request to one back end, as plain data, and what it can come to."""
+"""Plain data types of sending a request to one back end, and of the possible outcomes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class HeadTimeouts:
-    """How long to wait for the head of an answer.
+    """Limits of waiting for a response head, in the loop's time.
 
     Attributes:
-        soft_s: From then on the head is late if ``may_hedge`` agrees.
-        hard_s: Then the request is given up in any case.
-        may_hedge: Asked once, when the soft limit is reached.
+        soft_s: When the head counts as late, if ``may_hedge`` returns True.
+        hard_s: When the request is given up in any case.
+        may_hedge: Called once, when the soft limit is reached.
     """
 
     __slots__ = ("hard_s", "may_hedge", "soft_s")
@@ -29,21 +29,21 @@
 
     @classmethod
     def without_hedge(cls, hard_s: float) -> HeadTimeouts:
-        """Return the patience of a request that nobody else may run."""
+        """Return the limits of a request that may not be sent to a second back end."""
         return cls(hard_s, hard_s, lambda: True)
 
 
 class Dispatch:
-    """One send.
+    """One attempt to send a request to a back end.
 
     Attributes:
         request: The caller's request.
-        facts: What its headers say.
-        seat: Back end that is asked.
-        repeatable: The request may run more than once.
-        last_event_id: Continue a stream after this event; empty for a whole one.
-        until_s: When the whole answer must be there.
-        patience: How long to wait for the head.
+        facts: Metadata from the request's headers.
+        runner: The back end.
+        repeatable: Whether the request may run more than once.
+        last_event_id: Event after which to continue a stream; empty for a whole stream.
+        until_s: When the whole response must be there, in the loop's time.
+        head_timeouts: Limits of waiting for the response head.
     """
 
     __slots__ = (
@@ -77,13 +77,13 @@
 
 
 class OpenedAnswer:
-    """A back end's answer whose head has come.
+    """A back end's response whose head has arrived.
 
     Attributes:
         head: Status and headers.
-        facts: What the headers say.
-        connection: Where its body comes.
-        seat: The back end.
+        facts: Metadata from the headers.
+        connection: Connection on which the body arrives.
+        runner: The back end.
     """
 
     __slots__ = ("connection", "facts", "head", "runner")
@@ -102,16 +102,16 @@
 
 
 class LateHead:
-    """A request that was sent and whose head has not come by the soft limit.
+    """A sent request whose response head has not arrived by the soft limit.
 
-    Its connection is open and it is counted at its back end until ``Sender.wait`` or
-    ``Sender.abandon``.
+    Its connection stays open, and it counts as a request at its back end, until ``Sender.wait`` or
+    ``Sender.abandon`` is called.
 
     Attributes:
-        dispatch: The send.
-        connection: Where its answer comes.
-        sent_s: When it was written, in the loop's seconds.
-        taken: Somebody waits for it, or it was abandoned.
+        dispatch: The attempt.
+        connection: Connection on which the response arrives.
+        sent_s: When the request was written, in the loop's time.
+        taken: Whether ``Sender.wait`` or ``Sender.abandon`` has been called.
     """
 
     __slots__ = ("connection", "dispatch", "sent_s", "taken")
@@ -124,15 +124,15 @@
 
     @property
     def failure(self) -> Failure:
-        """What the send has come to if nothing more comes of it."""
+        """Failure of the attempt if the head is not waited for any longer."""
         return late_failure(self.dispatch.runner, Execution.UNKNOWN)
 
 
 def late_failure(runner: TrackedRunner, execution: Execution) -> Failure:
-    """Return that a back end gave no head in time."""
+    """Return the failure of an attempt whose response head has not arrived in time."""
     return Failure(
         kind=FailureKind.DEADLINE_EXCEEDED,
-        reason="no answer in time",
+        reason="no response in time",
         step=Step.RESPONDING,
         peer=runner.record.address,
         execution=execution,
--- a/src/leverjunction/proxy/freshness.py
+++ b/src/leverjunction/proxy/freshness.py
@@ -1,20 +1,20 @@
-"""Waits for a control process's word before requests are decided on by what may be out of date."""
+"""Delays requests while the gateway's copy of the registry may be out of date."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-LOOK_S = 0.02
-"""Interval at which a waiting request looks whether the word has come."""
+POLL_INTERVAL_S = 0.02
+"""Interval at which a waiting request checks whether the registry's state is current again."""
 
 
 class FreshnessGate:
-    """Holds requests after a standstill of this process; used by one event loop.
+    """Holds requests after this process was suspended; used by one event loop.
 
     Args:
-        is_in_doubt: Returns whether the route table and the back ends may have changed unnoticed;
-            true for a bounded time only.
+        is_in_doubt: Returns whether the route table and the back ends may have changed unnoticed.
+            It must return True for a bounded time only.
     """
 
     __slots__ = ("_is_in_doubt", "_loop")
@@ -23,13 +23,13 @@
         self._is_in_doubt = is_in_doubt
         self._loop = asyncio.get_running_loop()
 
-    async def wait(self, until_s: float) -> None:
-        """Return once there is no doubt, or at a moment of the loop's time."""
+    async def wait(self, deadline_s: float) -> None:
+        """Wait until the state is known to be current, or until a deadline in the loop's time."""
         if not self._is_in_doubt():
             return
-        while self._is_in_doubt() and self._loop.time() < until_s:
-            await asyncio.sleep(LOOK_S)
-        # What the follower's thread was told is taken over by this loop, in its next turn.
+        while self._is_in_doubt() and self._loop.time() < deadline_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        # The follower's thread has scheduled the update on this loop; let it run first.
         await asyncio.sleep(0)
 
 
--- a/src/leverjunction/proxy/hedge_delay.py
+++ b/src/leverjunction/proxy/hedge_delay.py
@@ -1,62 +1,79 @@
-"""How long to wait for the head of an answer before another back end is asked too. Pure.
+"""How long to wait for a response head before sending a hedged request to another back end.
 
-Only for requests that may run again. A head that does not come is mostly lost: its back end died,
-hangs, or lost the answer. Waiting for it alone makes the answer late for certain; asking too early
-runs requests twice for nothing. So the patience follows the heads that came lately, a budget bounds
-how many requests are asked for again, and a head that was only late is still taken.
+Only requests that may run more than once are hedged. A head that is overdue is mostly lost: the
+back end has crashed or hangs, or the response was lost. Waiting for it alone makes the response
+late for certain, while hedging too early runs requests twice for nothing. The delay therefore
+follows the latencies of recent heads, a budget bounds the number of hedged requests, and a head
+that is merely late is still used.
+
+Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-KEPT_HEADS = 64
-FEW_HEADS = 16
-FEW_UNQUEUED = 4
-"""Heads from which on the least one is taken for one that met no queue. A gateway among hundreds
-has a request a second: with 16 of them it knew nothing for most of a minute.
+MAX_SAMPLES = 64
+"""Number of recent latencies that are kept."""
+
+MIN_SAMPLES = 16
+"""Number of latencies needed to derive the hedge delay from them."""
+
+MIN_UNQUEUED_SAMPLES = 4
+"""Number of latencies needed to estimate the one without queueing. A gateway among hundreds has
+one request per second: when this was 16, it had no estimate for most of a minute.
 """
 
-QUANTILE = 0.9
+HEDGE_QUANTILE = 0.9
+"""Quantile of the recent latencies from which the hedge delay is derived."""
+
 UNQUEUED_QUANTILE = 0.1
-"""Of the latest heads: those that met no queue, also while most do."""
+"""Quantile taken for the latency without queueing, even while most requests queue."""
 
-FACTOR = 2.5
-TARGET_SHARE = 0.5
-"""Of the route's target latency: never less patient than that."""
+HEDGE_FACTOR = 2.5
+"""Hedge delay as a multiple of that quantile."""
 
-UNKNOWN_TARGETS = 3.0
-UNKNOWN_MIN_S = 0.4
-"""Patience while few heads were seen: so many targets, and at least this."""
+MIN_TARGET_SHARE = 0.5
+"""Minimum hedge delay, as a share of the route's target latency."""
+
+DEFAULT_TARGET_FACTOR = 3.0
+"""Hedge delay with too few samples, as a multiple of the route's target latency."""
+
+MIN_DEFAULT_DELAY_S = 0.4
+"""Minimum hedge delay with too few samples."""
 
 HEDGE_RATIO = 0.05
-"""Requests that may be asked for again, as a share of all: under overload heads are late
-everywhere, and asking twice would only add load.
+"""Maximum share of requests that are hedged: under overload all responses are late, and hedging
+would only add load.
 """
 
 
 class HeadLatencies:
-    """Times from send to head of one route's latest answers."""
+    """Latencies of one route's recent response heads, measured from sending the request."""
 
-    __slots__ = ("_heads_s",)
+    __slots__ = ("_samples_s",)
 
     def __init__(self) -> None:
-        self._heads_s: deque[float] = deque(maxlen=KEPT_HEADS)
+        self._samples_s: deque[float] = deque(maxlen=MAX_SAMPLES)
 
-    def record(self, head_s: float) -> None:
-        """Take one answer's time."""
-        self._heads_s.append(head_s)
+    def record(self, latency_s: float) -> None:
+        """Record the latency of one response head, in seconds."""
+        self._samples_s.append(latency_s)
 
     def unqueued_s(self) -> float | None:
-        """Return the usual time to a head where nothing waits; None while few were seen."""
-        if len(self._heads_s) < FEW_UNQUEUED:
+        """Return the estimated latency without queueing, in seconds; None with too few samples."""
+        if len(self._samples_s) < MIN_UNQUEUED_SAMPLES:
             return None
-        return sorted(self._heads_s)[int(len(self._heads_s) * UNQUEUED_QUANTILE)]
-
-    def patience_s(self, target_ms: float) -> float:
-        """Return how long to wait for the next head."""
-        if len(self._heads_s) < FEW_HEADS:
-            return max(UNKNOWN_MIN_S, target_ms * UNKNOWN_TARGETS / 1000)
-        ranked = sorted(self._heads_s)
-        usual_s = ranked[int(len(ranked) * QUANTILE)]
-        return max(usual_s * FACTOR, target_ms * TARGET_SHARE / 1000)
+        return sorted(self._samples_s)[int(len(self._samples_s) * UNQUEUED_QUANTILE)]
+
+    def hedge_delay_s(self, target_ms: float) -> float:
+        """Return how many seconds to wait for the next head before hedging.
+
+        Args:
+            target_ms: Target latency of the route, in milliseconds.
+        """
+        if len(self._samples_s) < MIN_SAMPLES:
+            return max(MIN_DEFAULT_DELAY_S, target_ms * DEFAULT_TARGET_FACTOR / 1000)
+        ranked = sorted(self._samples_s)
+        quantile_s = ranked[int(len(ranked) * HEDGE_QUANTILE)]
+        return max(quantile_s * HEDGE_FACTOR, target_ms * MIN_TARGET_SHARE / 1000)
--- a/src/leverjunction/proxy/hedging.py
+++ b/src/leverjunction/proxy/hedging.py
@@ -1,4 +1,4 @@
-"""Races two ways to an answer: the first head that comes is taken, the other way is left."""
+"""Request hedging: races two attempts for a response head, and cancels the slower one."""
 
 from __future__ import annotations
 
@@ -12,45 +12,45 @@
 Outcome = OpenedAnswer | Failure
 
 
-async def first_opened(
-    late: Coroutine[Any, Any, Outcome],
-    other: Coroutine[Any, Any, Outcome],
-    let_go: Callable[[OpenedAnswer], None],
+async def first_response(
+    primary: Coroutine[Any, Any, Outcome],
+    hedge: Coroutine[Any, Any, Outcome],
+    discard: Callable[[OpenedAnswer], None],
 ) -> Outcome:
-    """Return the answer that opens first; a failure only when both have failed.
+    """Return the response whose head arrives first; a failure only if both attempts fail.
 
     Args:
-        late: Waits on for the head that is late.
-        other: Asks elsewhere.
-        let_go: Takes an answer that opened beside the one that is returned.
+        primary: Keeps waiting for the overdue head of the first attempt.
+        hedge: Sends the request to another back end.
+        discard: Called with a response that has opened but is not returned.
 
     Returns:
-        The first answer, or the failure of ``other``.
+        The first response, or the failure of ``hedge``.
     """
-    ways = [asyncio.ensure_future(way) for way in (late, other)]
-    taken: Outcome | None = None
+    tasks = [asyncio.ensure_future(task) for task in (primary, hedge)]
+    chosen: Outcome | None = None
     try:
-        for way in asyncio.as_completed(ways):
-            taken = await way
-            if not isinstance(taken, Failure):
-                return taken
-        return ways[1].result()
+        for task in asyncio.as_completed(tasks):
+            chosen = await task
+            if not isinstance(chosen, Failure):
+                return chosen
+        return tasks[1].result()
     finally:
-        for way in ways:
-            _leave(way, taken, let_go)
+        for task in tasks:
+            _discard_task(task, chosen, discard)
 
 
-def _leave(
-    way: asyncio.Future[Outcome], taken: Outcome | None, let_go: Callable[[OpenedAnswer], None]
+def _discard_task(
+    task: asyncio.Future[Outcome], chosen: Outcome | None, discard: Callable[[OpenedAnswer], None]
 ) -> None:
-    if not way.done():
-        way.cancel()
+    if not task.done():
+        task.cancel()
         return
-    if way.cancelled() or way.exception() is not None:
+    if task.cancelled() or task.exception() is not None:
         return
-    outcome = way.result()
-    if isinstance(outcome, OpenedAnswer) and outcome is not taken:
-        let_go(outcome)
+    outcome = task.result()
+    if isinstance(outcome, OpenedAnswer) and outcome is not chosen:
+        discard(outcome)
 
 
-__all__ = ["Outcome", "first_opened"]
+__all__ = ["Outcome", "first_response"]
--- a/src/leverjunction/proxy/keepalive.py
+++ b/src/leverjunction/proxy/keepalive.py
@@ -1,8 +1,8 @@
-"""Keep-alive probes: a connection whose path has gone silent for good ends as one that was reset.
+"""TCP keep-alive: a connection whose network path has failed ends as if it had been reset.
 
-There is no TCP_USER_TIMEOUT beside them. It would also end a connection on which a living back end
-leaves its window closed for that long, as one that reads a long body late, and it would take the
-place of the number of probes. Unacknowledged requests are bounded by their own limits.
+TCP_USER_TIMEOUT is not set in addition. It would also close a connection on which a healthy back
+end keeps its receive window closed for that long, for example while it is late to read a long body,
+and it would override the number of probes. Unacknowledged requests are bounded by their own limits.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from loguru import logger
 
 PROBE_IDLE_S = 2
-"""Seconds without a byte before the first probe: no usual pause between events lasts as long, so
-that probes cost next to nothing on streams, and one small packet in this time elsewhere.
+"""Idle seconds before the first probe. Pauses between events are normally shorter, so that streams
+cause almost no probes; other connections cost one small packet per such period.
 """
 
 PROBE_INTERVAL_S = 1
-"""Seconds between probes, the least that TCP has."""
+"""Seconds between probes; the minimum that TCP allows."""
 
 PROBE_COUNT = 2
-"""Unanswered probes that end a connection, 4 s after its last byte: one may be lost."""
+"""Unanswered probes that close a connection, 4 s after its last byte. With two, one may be lost."""
 
 
 def enable_keepalive(transport: asyncio.BaseTransport) -> None:
-    """Have a connection probed while it is silent."""
+    """Enable keep-alive probes on a connection; ignored if the connection has already broken."""
     connection = transport.get_extra_info("socket")
     if connection is None:
         return
@@ -35,5 +35,5 @@
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
     except OSError as error:
-        # It has broken already, which its protocol is told as well.
-        logger.debug("a connection is not probed: {}", error)
+        # The connection has already broken, which its protocol learns by itself.
+        logger.debug("cannot enable keep-alive on a connection: {}", error)
--- a/src/leverjunction/proxy/load_socket.py
+++ b/src/leverjunction/proxy/load_socket.py
@@ -1,4 +1,4 @@
-"""Datagram port of a gateway: tells leaders of batch work its online requests."""
+"""Datagram socket of a gateway that reports its online requests to the leader of batch work."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from leverjunction.errors import Failure
 from leverjunction.proxy.load_row import BackEndOrder
 from leverjunction.proxy.online_loads import (
-    WHOLE_INTERVAL_S,
+    FULL_REPORT_INTERVAL_S,
+    LoadReporter,
     LoadsWanted,
-    LoadTeller,
     OnlineLoads,
 )
 from leverjunction.proxy.tracked_runner import TrackedRunner
@@ -25,16 +25,16 @@
 
 
 class LoadSocket(asyncio.DatagramProtocol):
-    """Used by one event loop.
+    """Sends load reports, and receives the loads of other gateways. Used by one event loop.
 
     Args:
         gateway: Name of this gateway.
-        cluster_key: Signs the words.
+        cluster_key: Key that authenticates the datagrams.
         incarnation: Start time of this process, in milliseconds since the Unix epoch.
-        stores: Returns the addresses of the stores that may lead.
-        order: Returns the back ends that this gateway knows.
-        others_told: Takes the requests of other gateways at back ends, and how old they are on
-            average, in seconds.
+        stores: Returns the addresses of the stores that may be the leader.
+        order: Returns the order of the back ends that this gateway knows.
+        on_other_loads: Called with the number of other gateways' requests by start of the back
+            end, and the average age of these numbers in seconds.
     """
 
     def __init__(
@@ -44,108 +44,116 @@
         incarnation: int,
         stores: Callable[[], tuple[str, ...]],
         order: Callable[[], BackEndOrder],
-        others_told: Callable[[dict[str, int], float], None],
+        on_other_loads: Callable[[dict[str, int], float], None],
     ) -> None:
-        self._teller = LoadTeller(gateway)
+        self._reporter = LoadReporter(gateway)
         self._key = cluster_key
         self._incarnation = incarnation
         self._stores = stores
         self._order = order
-        self._others_told = others_told
+        self._on_other_loads = on_other_loads
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
         self._leader: Address | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self._ticks: asyncio.Task[None] | None = None
+        self._change_timer: asyncio.TimerHandle | None = None
+        self._report_task: asyncio.Task[None] | None = None
 
     async def start(self, address: str) -> None:
-        """Bind the port, and begin to tell; without it batch gives way by reports alone."""
+        """Bind the socket and start to report.
+
+        If the port can't be bound, batch work yields by the back ends' own load reports alone.
+
+        Args:
+            address: Host and port, separated by a colon.
+        """
         host, _, port = address.rpartition(":")
         try:
             await self._loop.create_datagram_endpoint(lambda: self, (host, int(port)))
         except OSError as error:
-            logger.warning("online requests are not told from {}: {}", address, error)
+            logger.warning("cannot bind {}, online requests are not reported: {}", address, error)
             return
-        self._ticks = self._loop.create_task(self._tick())
+        self._report_task = self._loop.create_task(self._report_loop())
 
     def stop(self) -> None:
-        """Close the port."""
-        if self._ticks is not None:
-            self._ticks.cancel()
+        """Stop reporting and close the socket."""
+        if self._report_task is not None:
+            self._report_task.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def runner_changed(self, runner: TrackedRunner) -> None:
-        """Take the count of a back end at which a request of this gateway began or ended."""
-        self._teller.runner_changed(runner.record.start, runner.own_requests)
+        """Report a new number of this gateway's requests at a back end."""
+        self._reporter.runner_changed(runner.record.start, runner.own_requests)
         self._schedule()
 
     def held_changed(self, service: str, count: int) -> None:
-        """Take the requests of a service that wait at this gateway."""
-        self._teller.held_changed(service, count)
+        """Report a new number of requests of a service that this gateway holds."""
+        self._reporter.held_changed(service, count)
         self._schedule()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; the event loop's class does not name its base."""
+        """Store the transport; the event loop's class doesn't derive from ``DatagramTransport``."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Take a leader's answer."""
+        """Process a message of the leader; others are ignored."""
         envelope = decode_envelope(data, self._key, addr[0])
         if isinstance(envelope, Failure) or envelope.kind is not MessageKind.LOADS_WANTED:
             return
-        word = decode(envelope.body, LoadsWanted, addr[0])
-        if isinstance(word, Failure):
-            logger.warning("a word of {} is not understood: {}", addr[0], word.reason)
+        message = decode(envelope.body, LoadsWanted, addr[0])
+        if isinstance(message, Failure):
+            logger.warning("invalid load message from {}: {}", addr[0], message.reason)
             return
         if self._leader != addr:
-            logger.info("telling online requests to {}", addr[0])
+            logger.info("reporting online requests to {}", addr[0])
         self._leader = addr
-        self._teller.wanted(word, self._loop.time())
-        self._take_row(word)
+        self._reporter.apply_request(message, self._loop.time())
+        self._apply_row(message)
         self._schedule()
 
-    def _take_row(self, word: LoadsWanted) -> None:
+    def _apply_row(self, message: LoadsWanted) -> None:
         order = self._order()
-        if word.order != order.key:
-            # One of the two knows of a back end that the other does not: for a moment only.
+        if message.order != order.key:
+            # One side knows a back end that the other doesn't know yet.
             return
-        self._others_told(self._teller.others(order.unpack(word.row)), word.interval_s / 2)
+        self._on_other_loads(
+            self._reporter.other_loads(order.unpack(message.row)), message.interval_s / 2
+        )
 
     def error_received(self, exc: Exception) -> None:
-        """Do nothing: a store that is down is told again with the next word."""
+        """Ignore the error: the next full report reaches a store that was down."""
 
     def _schedule(self) -> None:
-        due_s = self._teller.change_due_s(self._loop.time())
-        if due_s is not None and self._timer is None:
-            self._timer = self._loop.call_later(due_s, self._tell_change)
+        due_s = self._reporter.change_due_s(self._loop.time())
+        if due_s is not None and self._change_timer is None:
+            self._change_timer = self._loop.call_later(due_s, self._send_change)
 
-    def _tell_change(self) -> None:
-        self._timer = None
-        if self._leader is not None and self._teller.change_due_s(self._loop.time()) is not None:
-            self._send(self._teller.change(self._loop.time()), [self._leader])
+    def _send_change(self) -> None:
+        self._change_timer = None
+        if self._leader is not None and self._reporter.change_due_s(self._loop.time()) is not None:
+            self._send(self._reporter.change_report(self._loop.time()), [self._leader])
 
-    async def _tick(self) -> None:
+    async def _report_loop(self) -> None:
         while True:
             now_s = self._loop.time()
-            word = self._teller.whole(now_s)
-            if word is not None:
-                known = self._leader if self._teller.is_wanted(now_s) else None
-                self._send(word, [known] if known else self._store_addresses())
-            await asyncio.sleep(WHOLE_INTERVAL_S)
+            message = self._reporter.full_report(now_s)
+            if message is not None:
+                leader = self._leader if self._reporter.is_requested(now_s) else None
+                self._send(message, [leader] if leader else self._store_addresses())
+            await asyncio.sleep(FULL_REPORT_INTERVAL_S)
 
     def _store_addresses(self) -> list[Address]:
         parts = [store.rpartition(":") for store in self._stores()]
         return [(host, int(port)) for host, _, port in parts]
 
-    def _send(self, word: OnlineLoads, receivers: list[Address]) -> None:
+    def _send(self, message: OnlineLoads, receivers: list[Address]) -> None:
         if self._transport is None:
             return
         envelope = Envelope(
             kind=MessageKind.ONLINE_LOADS,
             group=JOBS_GROUP,
             incarnation=self._incarnation,
-            body=encode(word),
+            body=encode(message),
         )
         data = encode_envelope(envelope, self._key)
         for receiver in receivers:
--- a/src/leverjunction/proxy/online_loads.py
+++ b/src/leverjunction/proxy/online_loads.py
@@ -1,10 +1,12 @@
-"""What a gateway tells a leader of batch work: its online requests at each back end. Pure.
+"""Load reports of a gateway to the leader of batch work: its online requests at each back end.
 
-Batch work gives way to what a back end reports, and a report is a tenth of a second old. A gateway
-knows at once what it sends where. Told of it, the leader parks the run in the way before the
-request begins to wait, so only a few slots have to stay free for the next arrivals.
+Batch work yields according to the load that a back end reports, which is a tenth of a second old.
+A gateway knows at once which requests it sends where. With its reports, the leader parks a batch
+run before an online request has to wait, so that only a few slots must stay free for new arrivals.
 
-Words are datagrams: one that is lost is made good by the next whole word.
+Reports are datagrams: a lost one is made up for by the next full report.
+
+Performs no I/O: the time is passed in.
 """
 
 from __future__ import annotations
@@ -13,30 +15,30 @@
 
 import msgspec
 
-WHOLE_INTERVAL_S = 0.5
-"""Between two words that tell all counts: a lost change is wrong for so long at most."""
-
-HELLO_INTERVAL_S = 1.0
-"""Between two words to stores that have not asked for any: how soon a new leader is heard."""
+FULL_REPORT_INTERVAL_S = 0.5
+"""Interval of full reports: the longest time for which a lost change stays unknown."""
 
-LEAST_INTERVAL_S = 0.005
-"""Changes that come within it are told together."""
+DISCOVERY_INTERVAL_S = 1.0
+"""Interval of full reports to stores that have requested none: how soon a new leader gets one."""
 
+MIN_REPORT_INTERVAL_S = 0.005
+"""Minimum interval between reports; changes within it are reported together."""
 
-WORDS_AHEAD = 3
-"""Words that may come before their time, as long as no more come on average than the leader takes:
-of a gateway among hundreds a few requests begin and end in a second, mostly one by one.
+MAX_REPORTS_AHEAD = 3
+"""Number of reports that may be sent early, as long as their average rate stays within what the
+leader accepts: at one gateway among hundreds a few requests start and finish per second, mostly
+one at a time.
 """
 
 
 class OnlineLoads(msgspec.Struct, frozen=True, kw_only=True):
-    """Word of a gateway to a store.
+    """Load report of a gateway to a store.
 
     Attributes:
         gateway: Name of the gateway.
-        whole: True when back ends that are not named have none of its requests.
-        runners: Requests of this gateway at back ends, by their ids.
-        held: Requests that wait at this gateway, by service.
+        whole: True in a full report: back ends that are not listed have none of its requests.
+        runners: Number of the gateway's requests by start of the back end.
+        held: Number of requests held at the gateway, by service.
     """
 
     gateway: str
@@ -46,13 +48,14 @@
 
 
 class LoadsWanted(msgspec.Struct, frozen=True, kw_only=True):
-    """Word of a leader that runs batch work.
+    """Request for load reports, from a leader that runs batch work.
 
     Attributes:
-        interval_s: Least pause between two words of one gateway.
-        for_s: How long it wants them.
+        interval_s: Minimum average interval between two reports of one gateway, in seconds.
+        for_s: For how many seconds the leader wants reports of changes.
         order: Key of the order of ``row``.
-        row: Online requests of all gateways at back ends. Batch work is not counted: it gives way.
+        row: Number of online requests of all gateways at each back end. Batch work is not counted,
+            since it yields to online requests.
     """
 
     interval_s: float
@@ -61,8 +64,8 @@
     row: bytes = b""
 
 
-class LoadTeller:
-    """What has to be told, and when. The time is passed in.
+class LoadReporter:
+    """Decides what a gateway has to report, and when.
 
     Args:
         gateway: Name of this gateway.
@@ -71,15 +74,15 @@
     __slots__ = (
         "_changed_held",
         "_changed_runners",
+        "_full_report_s",
         "_gateway",
         "_held",
         "_interval_s",
-        "_next_s",
+        "_next_due_s",
+        "_reported_runners",
+        "_reported_s",
         "_runners",
-        "_told_runners",
-        "_told_s",
         "_wanted_until_s",
-        "_whole_s",
     )
 
     def __init__(self, gateway: str) -> None:
@@ -88,71 +91,73 @@
         self._held: dict[str, int] = {}
         self._changed_runners: dict[str, int] = {}
         self._changed_held: dict[str, int] = {}
-        self._told_runners: dict[str, int] = {}
-        self._interval_s = LEAST_INTERVAL_S
+        self._reported_runners: dict[str, int] = {}
+        self._interval_s = MIN_REPORT_INTERVAL_S
         self._wanted_until_s = float("-inf")
-        self._next_s = float("-inf")
-        self._told_s = float("-inf")
-        self._whole_s = float("-inf")
+        self._next_due_s = float("-inf")
+        self._reported_s = float("-inf")
+        self._full_report_s = float("-inf")
 
     def runner_changed(self, runner_id: str, count: int) -> None:
-        """Take this gateway's requests at a back end."""
+        """Set the number of this gateway's requests at a back end."""
         self._changed_runners[runner_id] = count
         _set(self._runners, runner_id, count)
 
     def held_changed(self, service: str, count: int) -> None:
-        """Take the requests of a service that wait at this gateway."""
+        """Set the number of requests of a service that this gateway holds."""
         self._changed_held[service] = count
         _set(self._held, service, count)
 
-    def wanted(self, word: LoadsWanted, now_s: float) -> None:
-        """Take a leader's answer."""
-        self._interval_s = max(LEAST_INTERVAL_S, word.interval_s)
-        self._wanted_until_s = now_s + word.for_s
+    def apply_request(self, message: LoadsWanted, now_s: float) -> None:
+        """Apply a leader's request for reports."""
+        self._interval_s = max(MIN_REPORT_INTERVAL_S, message.interval_s)
+        self._wanted_until_s = now_s + message.for_s
 
-    def is_wanted(self, now_s: float) -> bool:
-        """Return whether a leader wants to hear of changes."""
+    def is_requested(self, now_s: float) -> bool:
+        """Return whether a leader currently wants reports of changes."""
         return now_s < self._wanted_until_s
 
     def change_due_s(self, now_s: float) -> float | None:
-        """Return in how many seconds changes are to be told; None when there is nothing to tell."""
-        if not self.is_wanted(now_s) or not (self._changed_runners or self._changed_held):
+        """Return the seconds until changes are due to be reported; None without any."""
+        if not self.is_requested(now_s) or not (self._changed_runners or self._changed_held):
             return None
-        ahead_s = self._next_s - WORDS_AHEAD * self._interval_s
-        return max(0.0, max(ahead_s, self._told_s + LEAST_INTERVAL_S) - now_s)
+        ahead_s = self._next_due_s - MAX_REPORTS_AHEAD * self._interval_s
+        return max(0.0, max(ahead_s, self._reported_s + MIN_REPORT_INTERVAL_S) - now_s)
 
-    def change(self, now_s: float) -> OnlineLoads:
-        """Return what changed since the last word."""
-        word = self._word(False, self._changed_runners, self._changed_held)
+    def change_report(self, now_s: float) -> OnlineLoads:
+        """Return a report of the changes since the last report."""
+        message = self._make_report(False, self._changed_runners, self._changed_held)
         self._forget_changes(now_s)
-        return word
+        return message
 
-    def whole(self, now_s: float) -> OnlineLoads | None:
-        """Return all counts if it is time to tell them."""
-        pause_s = WHOLE_INTERVAL_S if self.is_wanted(now_s) else HELLO_INTERVAL_S
-        if now_s - self._whole_s < pause_s:
+    def full_report(self, now_s: float) -> OnlineLoads | None:
+        """Return a report of all counts if one is due, otherwise None."""
+        pause_s = FULL_REPORT_INTERVAL_S if self.is_requested(now_s) else DISCOVERY_INTERVAL_S
+        if now_s - self._full_report_s < pause_s:
             return None
-        self._whole_s = now_s
-        word = self._word(True, self._runners, self._held)
+        self._full_report_s = now_s
+        message = self._make_report(True, self._runners, self._held)
         self._forget_changes(now_s)
-        return word
+        return message
 
-    def others(self, totals: Mapping[str, int]) -> dict[str, int]:
-        """Return what other gateways have, of what all have as the leader was told."""
-        told = self._told_runners
-        return {key: max(0, total - told.get(key, 0)) for key, total in totals.items()}
+    def other_loads(self, totals: Mapping[str, int]) -> dict[str, int]:
+        """Return the other gateways' share of the totals that the leader sent."""
+        reported = self._reported_runners
+        return {key: max(0, total - reported.get(key, 0)) for key, total in totals.items()}
 
-    def _word(self, whole: bool, runners: dict[str, int], held: dict[str, int]) -> OnlineLoads:
+    def _make_report(
+        self, whole: bool, runners: dict[str, int], held: dict[str, int]
+    ) -> OnlineLoads:
         return OnlineLoads(
             gateway=self._gateway, whole=whole, runners=dict(runners), held=dict(held)
         )
 
     def _forget_changes(self, now_s: float) -> None:
-        self._told_runners = dict(self._runners)
+        self._reported_runners = dict(self._runners)
         self._changed_runners.clear()
         self._changed_held.clear()
-        self._told_s = now_s
-        self._next_s = max(now_s, self._next_s) + self._interval_s
+        self._reported_s = now_s
+        self._next_due_s = max(now_s, self._next_due_s) + self._interval_s
 
 
 def _set(counts: dict[str, int], key: str, count: int) -> None:
--- a/src/leverjunction/proxy/prompt.py
+++ b/src/leverjunction/proxy/prompt.py
@@ -1,22 +1,22 @@
-"""What matters of a prompt for the choice of a back end."""
+"""Properties of a prompt that matter for the choice of a back end."""
 
 from __future__ import annotations
 
 from leverjunction.proxy.dialect import PromptPart
 
 PREFILL_TOKENS_PER_MS = 80.0
-"""Speed at which an engine reads a prompt: what a part that it holds already saves."""
+"""Prefill speed of an engine, which also gives the time saved by a cached part of a prompt."""
 
-LONG_READ_MS = 200.0
-"""A prompt that takes so long to read is long: requests behind it would be late."""
+LONG_PREFILL_MS = 200.0
+"""Prefill time from which a prompt counts as long: requests that wait behind it would be late."""
 
 
 class Prompt:
-    """What matters of a prompt for the choice.
+    """Length and parts of a prompt.
 
     Attributes:
-        parts: Its parts, in order; the last one is the request's own.
-        tokens: Its length.
+        parts: Parts of the prompt in order; only the last one is never shared by other requests.
+        tokens: Length of the whole prompt in tokens.
     """
 
     __slots__ = ("parts", "tokens")
@@ -27,15 +27,15 @@
 
     @property
     def prefill_ms(self) -> float:
-        """Time to read it whole."""
+        """Prefill time of the whole prompt, in milliseconds."""
         return self.tokens / PREFILL_TOKENS_PER_MS
 
     @property
     def is_long(self) -> bool:
-        """Whether requests behind it would be late."""
-        return self.prefill_ms >= LONG_READ_MS
+        """Whether the prompt would make requests that wait behind it late."""
+        return self.prefill_ms >= LONG_PREFILL_MS
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens that other requests may share."""
+        """Number of tokens in parts that other requests may share."""
         return sum(part.tokens for part in self.parts[:-1])
--- a/src/leverjunction/proxy/quarantine.py
+++ b/src/leverjunction/proxy/quarantine.py
@@ -1,4 +1,8 @@
-"""Connects what happens to runs with what is known of suspect requests, in one event loop."""
+"""Quarantine of requests that crash their back ends, in one event loop.
+
+Feeds the outcome of runs into the evidence about suspect requests, and tells how to treat them.
+A start is one instance of a back end. Its end counts as a crash unless it was planned.
+"""
 
 from __future__ import annotations
 
@@ -19,20 +23,23 @@
 from leverjunction.quarantine.verdicts import Standing
 from leverjunction.registry.records import RunnerRecord, RunnerState
 
-PROBE_AFTER_S = 0.005
-"""From a broken answer to the look whether anybody listens: a process that ends closes its
+PROBE_DELAY_S = 0.005
+"""Delay between a broken response and the probe of the port: a process that exits closes its
 connections and its port within a millisecond or two, in any order.
 """
 
 PROBE_TIMEOUT_S = 0.5
-SETTLE_S = 0.15
-"""Longest wait for that look before a request is repeated; mostly it takes 6 ms."""
+"""Timeout of the probe's connection attempt."""
+
+PROBE_WAIT_S = 0.15
+"""Maximum wait for the probe before a request is repeated; a probe mostly takes 6 ms."""
 
 EXPIRE_INTERVAL_S = 1.0
+"""Minimum interval between removals of expired evidence."""
 
 
 def is_lost_run(outcome: object) -> TypeGuard[Failure]:
-    """Return whether a back end broke a run off that it may have begun."""
+    """Return whether a back end broke off a response to a request that it may have run."""
     return (
         is_failure(outcome)
         and outcome.kind is FailureKind.UNREACHABLE
@@ -41,99 +48,99 @@
 
 
 class EvidenceReporter(Protocol):
-    """Tells the registry (``registry.run_reporter``)."""
+    """Reports evidence to the registry, as ``registry.run_reporter`` does."""
 
     def ended(self, run: EndedRun) -> None:
-        """Tell of a run under which its back end ended."""
+        """Report a run during which its back end crashed."""
         ...
 
     def answered(self, key: str) -> None:
-        """Tell that a suspect request was answered whole."""
+        """Report that a suspect request got a complete response."""
         ...
 
 
 class Quarantine:
-    """Used by one event loop.
+    """Knows the suspect requests, and detects crashes under requests. Used by one event loop.
 
     Args:
-        report: Takes the evidence; None to keep it here.
+        report: Receives the evidence; None to keep it in this process.
 
     Attributes:
-        ended_runs: Runs under which their back end was found to have ended.
+        ended_runs: Number of runs during which the back end was found to have crashed.
     """
 
     __slots__ = (
+        "_crash_detector",
         "_expired_s",
         "_loop",
-        "_places",
+        "_occupied",
         "_probes",
         "_records",
         "_report",
         "_runners",
+        "_running",
         "_suspects",
-        "_under_way",
-        "_watch",
         "ended_runs",
     )
 
     def __init__(self, report: EvidenceReporter | None = None) -> None:
         self._report = report
         self._suspects = Suspects()
-        self._watch = CrashDetector()
+        self._crash_detector = CrashDetector()
         self._records: dict[str, RunnerRecord] = {}
         self._runners: dict[str, RunnerRecord] = {}
         self._probes: dict[str, asyncio.Task[None]] = {}
-        self._under_way: Counter[str] = Counter()
-        self._places: Counter[str] = Counter()
+        self._running: Counter[str] = Counter()
+        self._occupied: Counter[str] = Counter()
         self._expired_s = 0.0
         self._loop = asyncio.get_running_loop()
         self.ended_runs = 0
 
     def find(self, request: CallerRequest) -> str:
-        """Return the key of a suspect request, empty for others; nothing is hashed for most."""
+        """Return the key of a suspect request, or an empty string; mostly without any hashing."""
         if self._suspects.is_empty:
             return ""
         self._expire()
         return self._suspects.find(content_of(request))
 
     def standing(self, key: str) -> Standing:
-        """Return how a request is to be treated."""
+        """Return how the request with a key from ``find`` is to be treated."""
         return self._suspects.standing(key) if key else Standing.SOUND
 
     def counts(self) -> tuple[int, int]:
-        """Return how many requests are suspects, and how many of these are refused."""
+        """Return the number of suspect requests, and how many of these are refused."""
         return self._suspects.counts()
 
-    def is_under_way(self, key: str) -> bool:
-        """Return whether a suspect is run from here at the moment."""
-        return self._under_way[key] > 0
+    def is_running(self, key: str) -> bool:
+        """Return whether this process is running a suspect request at the moment."""
+        return self._running[key] > 0
 
     def occupied_starts(self) -> set[str]:
-        """Return the starts of back ends that run a suspect of this process."""
-        return {start for start, count in self._places.items() if count > 0}
+        """Return the starts at which this process is running a suspect request."""
+        return {start for start, count in self._occupied.items() if count > 0}
 
     def may_run(self, key: str, start: str) -> bool:
-        """Return whether a request may run at a back end now, by what is known of it."""
+        """Return whether a request may run at a start now, according to its standing."""
         standing = self.standing(key)
         if standing is Standing.SOUND:
             return True
-        if standing is Standing.REFUSED or self._places[start] > 0:
+        if standing is Standing.REFUSED or self._occupied[start] > 0:
             return False
-        return standing is not Standing.CAREFUL or not self.is_under_way(key)
+        return standing is not Standing.CAREFUL or not self.is_running(key)
 
     def trial_started(self, key: str, start: str) -> None:
-        """Note that a suspect is sent to a back end."""
-        self._under_way[key] += 1
-        self._places[start] += 1
+        """Record that a suspect request is sent to a start."""
+        self._running[key] += 1
+        self._occupied[start] += 1
 
     def trial_ended(self, key: str, start: str) -> None:
-        """Note that such a run is over, however it ended."""
-        self._under_way -= Counter({key: 1})
-        self._places -= Counter({start: 1})
+        """Record that a run of a suspect request is over, whatever its outcome."""
+        self._running -= Counter({key: 1})
+        self._occupied -= Counter({start: 1})
 
     @contextmanager
     def trial(self, key: str, start: str) -> Iterator[None]:
-        """Count the run of a suspect while the block lasts; of others nothing is counted."""
+        """Count a run of a suspect request for the duration of the block; ignores an empty key."""
         if not key:
             yield
             return
@@ -144,83 +151,85 @@
             self.trial_ended(key, start)
 
     def replace(self, runners: Iterable[RunnerRecord], suspects: SuspectList) -> None:
-        """Take a newer registry: it may prove the end of back ends."""
+        """Apply a newer state of the registry, which may prove that back ends have crashed."""
         self._runners = {record.runner_id: record for record in runners}
         self._suspects.replace(suspects)
-        for start in self._watch.pending():
-            self._judge(start)
+        for start in self._crash_detector.pending():
+            self._check_registry(start)
 
     def run_lost(
         self,
         request: CallerRequest,
         route: str,
         request_id: str,
-        at: RunnerRecord,
+        runner: RunnerRecord,
         *,
         ran_on: bool,
     ) -> None:
-        """Take a run that its back end broke off after it had the whole request.
+        """Record a run that its back end broke off after receiving the whole request.
 
         Args:
             request: The request.
             route: Name of its route.
-            request_id: Its caller's id of this attempt.
-            at: The back end's record when it was sent.
-            ran_on: Its answer had come for a while (``verdicts.ran_on``).
+            request_id: The caller's id of this attempt.
+            runner: The back end's record at the time of sending.
+            ran_on: Whether the response had been arriving for a while (``verdicts.ran_on``).
         """
-        now = self._runners.get(at.runner_id, at if not self._runners else None)
-        if now is None or now.state is RunnerState.LEAVING:
-            # Its end was announced, so it was not brought about by what it ran.
+        current = self._runners.get(runner.runner_id, runner if not self._runners else None)
+        if current is None or current.state is RunnerState.LEAVING:
+            # A planned stop is not caused by the request.
             return
         key = request_key(content_of(request))
-        run = EndedRun(key=key, start=at.start, route=route, request_id=request_id, ran_on=ran_on)
-        self._records[at.start] = at
-        self._take(self._watch.lost(run, self._loop.time()))
-        if self._watch.waits_for(at.start) and at.start not in self._probes:
-            self._probes[at.start] = self._loop.create_task(self._probe(at))
-        self._judge(at.start)
+        run = EndedRun(
+            key=key, start=runner.start, route=route, request_id=request_id, ran_on=ran_on
+        )
+        self._records[runner.start] = runner
+        self._report_ended(self._crash_detector.lost(run, self._loop.time()))
+        if self._crash_detector.is_pending(runner.start) and runner.start not in self._probes:
+            self._probes[runner.start] = self._loop.create_task(self._probe(runner))
+        self._check_registry(runner.start)
 
-    def not_listening(self, at: RunnerRecord) -> None:
-        """Take the proof that nobody listens at a back end's address."""
-        self._take(self._watch.ended(at.start, self._loop.time()))
+    def not_listening(self, runner: RunnerRecord) -> None:
+        """Record that a back end's address refuses connections, which proves that it has ended."""
+        self._report_ended(self._crash_detector.ended(runner.start, self._loop.time()))
 
     def answered(self, key: str) -> None:
-        """Note a whole answer to a suspect: it is cleared, here at once and then everywhere."""
+        """Clear a suspect request after a complete response: here at once, then at all gateways."""
         self._suspects.answered(key)
-        logger.info("request {} was answered whole and is no suspect any more", key)
+        logger.info("suspect request {} cleared by a complete response", key)
         if self._report is not None:
             self._report.answered(key)
 
-    async def wait_for_probe(self, at: RunnerRecord) -> None:
-        """Wait shortly until it is known whether a back end that broke a run off has ended."""
-        probe = self._probes.get(at.start)
+    async def wait_for_probe(self, runner: RunnerRecord) -> None:
+        """Wait briefly for the probe of a back end that broke off a response, if one is running."""
+        probe = self._probes.get(runner.start)
         if probe is not None:
-            await asyncio.wait([probe], timeout=SETTLE_S)
+            await asyncio.wait([probe], timeout=PROBE_WAIT_S)
 
-    def _judge(self, start: str) -> None:
-        """Conclude from the registry what became of a back end that broke a run off."""
-        if not self._watch.waits_for(start):
+    def _check_registry(self, start: str) -> None:
+        """Check in the registry whether a start with lost runs has crashed or was stopped."""
+        if not self._crash_detector.is_pending(start):
             return
-        was = self._records[start]
-        now = self._runners.get(was.runner_id)
-        if now is None or now.state is RunnerState.LEAVING:
+        previous = self._records[start]
+        current = self._runners.get(previous.runner_id)
+        if current is None or current.state is RunnerState.LEAVING:
             if self._runners:
-                self._watch.left(start)
+                self._crash_detector.planned_stop(start)
             return
         successor = any(
-            record.address == was.address and record.start != start
+            record.address == previous.address and record.start != start
             for record in self._runners.values()
             if record.state is RunnerState.READY
         )
-        if now.start != start or now.state is RunnerState.SILENT or successor:
-            self._take(self._watch.ended(start, self._loop.time()))
+        if current.start != start or current.state is RunnerState.SILENT or successor:
+            self._report_ended(self._crash_detector.ended(start, self._loop.time()))
 
-    def _take(self, runs: Iterable[EndedRun]) -> None:
+    def _report_ended(self, runs: Iterable[EndedRun]) -> None:
         for run in runs:
             self.ended_runs += 1
             self._suspects.ended(run, self._loop.time())
             logger.info(
-                "back end {} ended under request {} of route {} (attempt {}): {}",
+                "back end {} crashed during request {} of route {} (attempt {}): request is now {}",
                 run.start,
                 run.key,
                 run.route,
@@ -230,21 +239,21 @@
             if self._report is not None:
                 self._report.ended(run)
 
-    async def _probe(self, at: RunnerRecord) -> None:
-        """Look whether anybody listens at a back end's address."""
-        host, _, port = at.address.rpartition(":")
+    async def _probe(self, runner: RunnerRecord) -> None:
+        """Check whether a back end's address still accepts connections."""
+        host, _, port = runner.address.rpartition(":")
         try:
-            await asyncio.sleep(PROBE_AFTER_S)
+            await asyncio.sleep(PROBE_DELAY_S)
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 transport, _ = await self._loop.create_connection(asyncio.Protocol, host, int(port))
             transport.abort()
         except ConnectionRefusedError:
-            self.not_listening(at)
+            self.not_listening(runner)
         except (OSError, TimeoutError) as error:
-            # Not reached: the registry tells in some seconds whether it has fallen silent.
-            logger.debug("back end {} is not reached: {}", at.start, error)
+            # Inconclusive: the registry reports within seconds whether the back end is silent.
+            logger.debug("probe of back end {} was inconclusive: {}", runner.start, error)
         finally:
-            self._probes.pop(at.start, None)
+            self._probes.pop(runner.start, None)
 
     def _expire(self) -> None:
         now_s = self._loop.time()
@@ -252,9 +261,9 @@
             return
         self._expired_s = now_s
         self._suspects.expire(now_s)
-        self._watch.expire(now_s)
-        waited_for = set(self._watch.pending())
-        self._records = {key: at for key, at in self._records.items() if key in waited_for}
+        self._crash_detector.expire(now_s)
+        waited_for = set(self._crash_detector.pending())
+        self._records = {key: runner for key, runner in self._records.items() if key in waited_for}
 
 
 __all__ = ["EvidenceReporter", "Quarantine", "is_lost_run"]
--- a/src/leverjunction/proxy/retrying_sender.py
+++ b/src/leverjunction/proxy/retrying_sender.py
@@ -1,4 +1,4 @@
-"""Asks back ends for the answer to a request, until one of them gives its head."""
+"""Sends a request to back ends, with retries and hedging, until a response head arrives."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from leverjunction.proxy.dispatch import Dispatch, HeadTimeouts, LateHead, OpenedAnswer
 from leverjunction.proxy.freshness import FreshnessGate
 from leverjunction.proxy.hedge_delay import HEDGE_RATIO, HeadLatencies
-from leverjunction.proxy.hedging import first_opened
+from leverjunction.proxy.hedging import first_response
 from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
 from leverjunction.proxy.tracked_runner import TrackedRunner
@@ -20,23 +20,23 @@
 from leverjunction.quarantine.verdicts import Standing, ran_on
 from leverjunction.routes.types import Route
 
-DECLINED_MOST = 4
-"""Back ends that may decline a request before the caller is told to come back."""
+MAX_DECLINES = 4
+"""Attempts that back ends may decline before the caller is told to retry later."""
 
 SERVER_ERROR = 500
 GATEWAY_TIMEOUT = 504
-"""A back end says so at the request's own deadline, which tells nothing of the back end."""
+"""Status of a back end at the request's own deadline, which is not a fault of the back end."""
 
 
 class RetryingSender:
-    """Chooses back ends, sends, and repeats where that is allowed; used by one event loop.
+    """Chooses back ends, sends, and retries where that is allowed; used by one event loop.
 
     Args:
-        sender: Sends requests.
+        sender: Sends one attempt.
         balancer: Chooses back ends.
-        journal: Takes the decisions.
-        quarantine: Knows requests under which back ends ended.
-        doubt: Holds requests while the back ends may have changed unnoticed.
+        journal: Logs the decisions.
+        quarantine: Knows the requests that crash back ends.
+        freshness: Holds requests while the back ends may have changed unnoticed.
     """
 
     def __init__(
@@ -45,36 +45,44 @@
         balancer: Balancer,
         journal: ProxyJournal,
         quarantine: Quarantine,
-        doubt: FreshnessGate,
+        freshness: FreshnessGate,
     ) -> None:
-        self._freshness = doubt
+        self._freshness = freshness
         self._sender = sender
         self._balancer = balancer
         self._journal = journal
         self._quarantine = quarantine
         self._loop = asyncio.get_running_loop()
-        self._head_times: dict[str, HeadLatencies] = {}
+        self._latencies: dict[str, HeadLatencies] = {}
         self._budget = RetryBudget()
 
     def record_admission(self, work: Work) -> None:
-        """Note a request that is about to be sent: it earns a share of a second send."""
+        """Record a request that is about to be sent: it adds to the budget of hedged requests."""
         self._budget.request(work.service, HEDGE_RATIO, self._loop.time())
 
     async def send(self, work: Work, last_event_id: str) -> OpenedAnswer | Failure:
-        """Return the first head that a back end gives."""
+        """Send a request until a back end gives a response head or no further attempt is allowed.
+
+        Args:
+            work: The request and the state of its attempts.
+            last_event_id: Event after which to continue a stream; empty for a whole response.
+
+        Returns:
+            The opened response, or the failure to report to the caller.
+        """
         declined = 0
         while True:
             await self._freshness.wait(work.until_s)
             now_s = self._loop.time()
             if now_s >= work.until_s:
                 return out_of_time(work.execution)
-            held_back = self.quarantine_refusal(work)
-            if held_back is not None:
-                return held_back
+            refusal = self.quarantine_refusal(work)
+            if refusal is not None:
+                return refusal
             choice = self._choose(work, now_s)
             if choice is None:
                 return no_runner(work.service)
-            answer = await self._send(work, choice, last_event_id)
+            answer = await self._send_once(work, choice, last_event_id)
             if isinstance(answer, LateHead):
                 if self._has_untried(work):
                     return await self._hedge(work, choice, answer, last_event_id)
@@ -84,16 +92,16 @@
                 return answer
             if answer.execution is Execution.NOT_RUN:
                 declined += 1
-                if declined >= DECLINED_MOST:
+                if declined >= MAX_DECLINES:
                     return no_runner(work.service)
                 continue
             if not work.may_run_again:
                 return answer
 
-    async def _send(
+    async def _send_once(
         self, work: Work, choice: Choice, last_event_id: str
     ) -> OpenedAnswer | LateHead | Failure:
-        """Send a request to a back end and note what comes of it."""
+        """Send a request to a back end once, and record the outcome."""
         runner = choice.runner
         work.tried.add(runner.record.start)
         work.first_output_s = None
@@ -115,13 +123,13 @@
             return answer
         if not isinstance(answer, Failure) or answer.execution is not Execution.NOT_RUN:
             work.note_run()
-        await self._note(work, choice, answer, sent_s)
+        await self._record_outcome(work, choice, answer, sent_s)
         return answer
 
-    async def _note(
+    async def _record_outcome(
         self, work: Work, choice: Choice, answer: OpenedAnswer | Failure, sent_s: float
     ) -> None:
-        """Learn from the head of an answer, or from its failure."""
+        """Record the response head or the failure of one attempt."""
         runner = choice.runner
         self._journal.sent(work, choice, answer, self._loop.time())
         if not isinstance(answer, Failure):
@@ -143,29 +151,29 @@
     async def _hedge(
         self, work: Work, choice: Choice, late: LateHead, last_event_id: str
     ) -> OpenedAnswer | Failure:
-        """Ask another back end while a late head is waited for; return what comes first.
+        """Send a hedged request while waiting for a late head; return the first response.
 
-        The one that is late may be sound, and the other one silent.
+        The wait goes on because the late back end may be healthy and the other one hanging.
         """
         try:
-            return await first_opened(
-                self._late_answer(work, choice, late),
+            return await first_response(
+                self._await_late_response(work, choice, late),
                 self.send(work, last_event_id),
                 lambda answer: self._sender.finish(answer, whole=False),
             )
         finally:
-            # A task that is cancelled before its first step never gets to wait for the head.
+            # A task cancelled before its first step has never called ``Sender.wait``.
             self._sender.abandon(late)
 
-    async def _late_answer(
+    async def _await_late_response(
         self, work: Work, choice: Choice, late: LateHead
     ) -> OpenedAnswer | Failure:
         answer = await self._sender.wait(late)
-        await self._note(work, choice, answer, late.sent_s)
+        await self._record_outcome(work, choice, answer, late.sent_s)
         return answer
 
     def quarantine_refusal(self, work: Work) -> Failure | None:
-        """Return the refusal of a request under which too many back ends ended."""
+        """Return the refusal of a request that has crashed too many back ends, otherwise None."""
         key = work.key or self._quarantine.find(work.request)
         standing = self._quarantine.standing(key)
         if standing is Standing.SOUND:
@@ -174,12 +182,15 @@
         if standing is Standing.REFUSED:
             return harmful(work.key, work.execution)
         repeated = standing is Standing.CAREFUL and not work.trials
-        if repeated and self._quarantine.is_under_way(work.key):
+        if repeated and self._quarantine.is_running(work.key):
             return suspect_under_way(work.execution)
         return None
 
     async def run_lost(self, work: Work, runner: TrackedRunner, failure: Failure) -> None:
-        """Note a run that its back end broke off; before another one, know why it did."""
+        """Record a run that its back end broke off.
+
+        If the request may run again, waits briefly to find out whether the back end has crashed.
+        """
         self._journal.run_lost(work, runner.record.start, failure, self._loop.time())
         self._quarantine.run_lost(
             work.request,
@@ -192,14 +203,14 @@
             await self._quarantine.wait_for_probe(runner.record)
 
     def _choose(self, work: Work, now_s: float) -> Choice | None:
-        """Return the back end of the next send."""
+        """Choose the back end of the next attempt."""
         if not work.key:
             return self._balancer.choose(
                 work.service, work.prompt, work.tried, now_s
             ) or self._balancer.choose(work.service, work.prompt, (), now_s)
-        # It may end its back end: where few others run, and no other suspect does.
+        # It may crash its back end: prefer one with few requests and without another suspect.
         avoided = work.tried | self._quarantine.occupied_starts()
-        choice = self._balancer.choose_quiet(work.service, avoided, now_s)
+        choice = self._balancer.choose_least_loaded(work.service, avoided, now_s)
         if choice is not None:
             start = choice.runner.record.start
             work.trials.append(start)
@@ -207,27 +218,28 @@
         return choice
 
     def _head_timeouts(self, work: Work, now_s: float) -> HeadTimeouts:
-        """Return how long to wait for a head before another back end is asked too."""
-        # A suspect is never asked of two back ends at once: each run may end one.
+        """Return how long to wait for a response head, and when to hedge."""
+        # A suspect never runs at two back ends at once: it may crash each of them.
         last_run = work.runs + 1 >= max(1, work.route.max_attempts)
         if not work.route.repeatable or last_run or work.key:
             return HeadTimeouts.without_hedge(work.until_s)
-        patience_s = self.head_latencies(work.route).patience_s(work.route.target_ms)
-        soft_s = now_s + patience_s + work.prompt.prefill_ms / 1000
+        hedge_delay_s = self.head_latencies(work.route).hedge_delay_s(work.route.target_ms)
+        soft_s = now_s + hedge_delay_s + work.prompt.prefill_ms / 1000
         return HeadTimeouts(work.until_s, soft_s, lambda: self._may_hedge(work))
 
     def _may_hedge(self, work: Work) -> bool:
         return self._budget.take(work.service, self._loop.time())
 
     def head_latencies(self, route: Route) -> HeadLatencies:
-        """Return the times to the heads of a route's latest answers."""
-        return self._head_times.setdefault(route.name, HeadLatencies())
+        """Return the latencies of a route's recent response heads."""
+        return self._latencies.setdefault(route.name, HeadLatencies())
 
 
 def _is_fault(status: int) -> bool:
-    """Return whether an answer speaks against its back end, though it is passed on as it is.
+    """Return whether a response status counts as a failure of its back end.
 
-    Only online requests are asked: an item of a batch that can never be done fails everywhere.
+    The response is passed on unchanged in either case. Applies to online requests only: an
+    impossible item of a batch fails at every back end.
     """
     return status >= SERVER_ERROR and status != GATEWAY_TIMEOUT
 
--- a/src/leverjunction/proxy/snapshot_publisher.py
+++ b/src/leverjunction/proxy/snapshot_publisher.py
@@ -1,4 +1,4 @@
-"""Passes newer states of the registry on to the parts of a gateway."""
+"""Passes snapshots of the registry on to the components of a gateway."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 from leverjunction.registry.follower import Snapshot
 
 RETRY_S = 0.5
+"""Delay before receivers that failed get the newest snapshot again."""
 
 Receiver = Callable[[Snapshot], None]
 
 
 class SnapshotPublisher:
-    """Receivers by name; used by one event loop.
+    """Publishes snapshots to receivers; used by one event loop.
 
-    A receiver that raises keeps no news from the others, and gets the newest state again until it
-    takes it: an error on one back end's record left a gateway on its old route table.
+    A receiver that raises an exception doesn't affect the others, and gets the newest snapshot
+    again until it succeeds. Otherwise an error in one back end's record would leave a gateway on an
+    old route table.
 
     Args:
-        receivers: Called with each newer state, in this order.
+        receivers: Callbacks by name, called with each newer snapshot in this order.
     """
 
     def __init__(self, receivers: Mapping[str, Receiver]) -> None:
@@ -29,44 +31,44 @@
         self._loop = asyncio.get_running_loop()
         self._newest: Snapshot | None = None
         self._failing: set[str] = set()
-        self._retry: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     def failing(self) -> int:
-        """Return how many receivers did not take the newest state."""
+        """Return the number of receivers that failed to process the newest snapshot."""
         return len(self._failing)
 
     def publish(self, snapshot: Snapshot) -> None:
-        """Pass a newer state on to all."""
+        """Pass a newer snapshot on to all receivers."""
         self._newest = snapshot
         for name in self._receivers:
-            self._tell(name, snapshot)
-        self._retry_later()
+            self._deliver(name, snapshot)
+        self._schedule_retry()
 
     def close(self) -> None:
-        """Try nothing again."""
-        if self._retry is not None:
-            self._retry.cancel()
+        """Cancel a scheduled retry."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
 
-    def _tell(self, name: str, snapshot: Snapshot) -> None:
+    def _deliver(self, name: str, snapshot: Snapshot) -> None:
         try:
             self._receivers[name](snapshot)
         except Exception:
-            # Only the first of a row: it is repeated until it is taken.
+            # Logs only the first failure in a row, since the call is repeated until it succeeds.
             if name not in self._failing:
-                logger.exception("{}: the registry's news are not taken over", name)
+                logger.exception("{}: cannot apply the registry snapshot", name)
             self._failing.add(name)
             return
         if name in self._failing:
-            logger.info("{}: the registry's news are taken over again", name)
+            logger.info("{}: registry snapshots are applied again", name)
             self._failing.discard(name)
 
-    def _retry_later(self) -> None:
-        if self._failing and self._retry is None:
-            self._retry = self._loop.call_later(RETRY_S, self._try_again)
+    def _schedule_retry(self) -> None:
+        if self._failing and self._retry_timer is None:
+            self._retry_timer = self._loop.call_later(RETRY_S, self._retry_failing)
 
-    def _try_again(self) -> None:
-        self._retry = None
+    def _retry_failing(self) -> None:
+        self._retry_timer = None
         assert self._newest is not None
         for name in sorted(self._failing):
-            self._tell(name, self._newest)
-        self._retry_later()
+            self._deliver(name, self._newest)
+        self._schedule_retry()
--- a/src/leverjunction/proxy/water_filling.py
+++ b/src/leverjunction/proxy/water_filling.py
@@ -1,12 +1,14 @@
-"""Spreads requests over back ends whose loads are known late. Pure.
-
-Load pattern: hundreds of gateways choose among the same back ends, each by loads that are some
-tenths of a second old. If each takes the least loaded one, all that come in that time meet there
-and queue, while slots are free elsewhere. What others have sent meanwhile cannot be seen, but how
-much it is can be: the requests that come in the age of the loads. Each gateway works out where
-these would go if they filled the cheapest places first, and draws its own request from that
-distribution ("load interpretation", Dahlin 2000). With fresh loads, or few requests, it is the
-cheapest back end again.
+"""Spreads requests over back ends whose known loads are out of date.
+
+Load pattern: hundreds of gateways choose among the same back ends, based on loads that are some
+tenths of a second old. If every gateway takes the least loaded back end, all requests of that time
+queue there while slots are free elsewhere. A gateway can't see what the others have sent since,
+but it can estimate how much: the requests that arrive within the age of the loads. It computes
+where these would go if they filled the cheapest back ends first (water filling), and draws the
+target of its own request from that distribution ("load interpretation", Dahlin 2000). With fresh
+loads or few requests this is the cheapest back end again.
+
+Performs no I/O: the random generator is passed in.
 """
 
 from __future__ import annotations
@@ -15,12 +17,12 @@
 from random import Random
 
 
-class Place:
-    """One back end, as far as its cost goes.
+class Candidate:
+    """Cost and free slots of one back end.
 
     Attributes:
-        cost_ms: Cost of one more request there now.
-        free: Slots that seem to be free.
+        cost_ms: Cost of one more request, in milliseconds.
+        free: Estimated number of free slots; negative if requests queue.
     """
 
     __slots__ = ("cost_ms", "free")
@@ -30,12 +32,12 @@
         self.free = free
 
 
-class Steps:
-    """How the cost of a place rises with each request.
+class CostSteps:
+    """Increase in the cost of a back end per additional request.
 
     Attributes:
-        busy_ms: While there are free slots.
-        queued_ms: Beyond them.
+        busy_ms: Increase in milliseconds while there are free slots.
+        queued_ms: Increase in milliseconds once all slots are taken.
     """
 
     __slots__ = ("busy_ms", "queued_ms")
@@ -45,40 +47,44 @@
         self.queued_ms = queued_ms
 
 
-def shares(places: Sequence[Place], unseen: float, steps: Steps) -> list[float]:
-    """Return how many of the unseen requests, and this one, each place would get.
+def expected_assignments(
+    candidates: Sequence[Candidate], unreported: float, cost_steps: CostSteps
+) -> list[float]:
+    """Return how many of the unreported requests and this one each candidate would get.
 
     Args:
-        places: At least one.
-        unseen: Requests that others have probably sent since the loads were true.
-        steps: How costs rise.
+        candidates: Back ends to choose from; at least one.
+        unreported: Estimated number of requests sent by others since the loads were measured.
+        cost_steps: Increase of the costs with each request.
     """
-    level_ms = _level_ms(places, unseen + 1.0, steps)
-    return [_fill(place, level_ms, steps) for place in places]
-
-
-def _level_ms(places: Sequence[Place], wanted: float, steps: Steps) -> float:
-    """Return the cost to which so many requests raise the cheapest places."""
-    bends: list[tuple[float, float]] = []
-    for place in places:
-        full_ms = place.cost_ms + max(0.0, place.free) * steps.busy_ms
-        bends.append((place.cost_ms, 1 / steps.busy_ms))
-        bends.append((full_ms, 1 / steps.queued_ms - 1 / steps.busy_ms))
-    bends.sort()
-    level_ms = bends[0][0]
+    level_ms = _water_level_ms(candidates, unreported + 1.0, cost_steps)
+    return [_fill(candidate, level_ms, cost_steps) for candidate in candidates]
+
+
+def _water_level_ms(
+    candidates: Sequence[Candidate], remaining: float, cost_steps: CostSteps
+) -> float:
+    """Return the cost level that the cheapest candidates reach with the remaining requests."""
+    breakpoints: list[tuple[float, float]] = []
+    for candidate in candidates:
+        slots_full_ms = candidate.cost_ms + max(0.0, candidate.free) * cost_steps.busy_ms
+        breakpoints.append((candidate.cost_ms, 1 / cost_steps.busy_ms))
+        breakpoints.append((slots_full_ms, 1 / cost_steps.queued_ms - 1 / cost_steps.busy_ms))
+    breakpoints.sort()
+    level_ms = breakpoints[0][0]
     per_ms = 0.0
-    for bend_ms, change in bends:
-        taken = (bend_ms - level_ms) * per_ms
-        if taken >= wanted:
+    for breakpoint_ms, change in breakpoints:
+        taken = (breakpoint_ms - level_ms) * per_ms
+        if taken >= remaining:
             break
-        wanted -= taken
-        level_ms = bend_ms
+        remaining -= taken
+        level_ms = breakpoint_ms
         per_ms += change
-    return level_ms + wanted / per_ms
+    return level_ms + remaining / per_ms
 
 
-def draw(weights: Sequence[float], random: Random) -> int:
-    """Return a place, drawn in proportion to the weights; their sum is above zero."""
+def weighted_choice(weights: Sequence[float], random: Random) -> int:
+    """Return a random index with probability proportional to its weight; the sum must be > 0."""
     left = random.random() * sum(weights)
     for index, weight in enumerate(weights):
         left -= weight
@@ -87,13 +93,13 @@
     return max(range(len(weights)), key=lambda index: weights[index])
 
 
-def _fill(place: Place, level_ms: float, steps: Steps) -> float:
-    """Return how many requests raise a place's cost to a level."""
-    over_ms = level_ms - place.cost_ms
+def _fill(candidate: Candidate, level_ms: float, cost_steps: CostSteps) -> float:
+    """Return how many requests raise a candidate's cost to the given level."""
+    over_ms = level_ms - candidate.cost_ms
     if over_ms <= 0:
         return 0.0
-    in_slots = max(0.0, place.free)
-    slots_ms = in_slots * steps.busy_ms
+    free_slots = max(0.0, candidate.free)
+    slots_ms = free_slots * cost_steps.busy_ms
     if over_ms <= slots_ms:
-        return over_ms / steps.busy_ms
-    return in_slots + (over_ms - slots_ms) / steps.queued_ms
+        return over_ms / cost_steps.busy_ms
+    return free_slots + (over_ms - slots_ms) / cost_steps.queued_ms
--- a/src/leverjunction/quarantine/records.py
+++ b/src/leverjunction/quarantine/records.py
@@ -1,4 +1,4 @@
-"""What is replicated of requests under which back ends ended."""
+"""Replicated records about requests during which back ends crashed."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 
 class EndedRun(msgspec.Struct, frozen=True, kw_only=True):
-    """Evidence: a back end had a whole request, and then that start of it ended.
+    """Evidence against a request: a start that had received all of it crashed before finishing it.
 
     Attributes:
         key: Key of the request (``request_key``).
-        start: The start of the back end.
+        start: The start, which is one instance of a back end.
         route: Name of the request's route.
-        request_id: Its caller's id of the attempt, for a person.
-        ran_on: Its answer had come for a while before, so it did not end its back end as it began.
+        request_id: The caller's id of the attempt, for operators.
+        ran_on: Whether the response had been arriving for a while before the crash, so that the
+            request did not crash its back end early in the run.
     """
 
     key: str
@@ -24,16 +25,16 @@
 
 
 class SuspectRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of one request.
+    """Evidence against one request.
 
     Attributes:
-        key: Its key.
-        starts: Starts of back ends that ended under it as it began, oldest first; each
-            counts once, however many attempts and gateways tell of it.
-        late_starts: Starts that ended after it had run on for a while.
+        key: Key of the request.
+        starts: Starts that crashed early in its run, oldest first. Each counts once, however many
+            attempts and gateways report it.
+        late_starts: Starts that crashed after it had been running for a while.
         route: Name of its route.
-        request_id: Id of the attempt that was told last.
-        verdicts: How often it was found to be the cause.
+        request_id: Id of the attempt that was reported last.
+        verdicts: How often the request was found to be the cause.
     """
 
     key: str
@@ -45,11 +46,11 @@
 
 
 class SuspectList(msgspec.Struct, frozen=True, kw_only=True):
-    """All suspects that gateways have to know.
+    """All suspect requests, as sent to the gateways.
 
     Attributes:
         revision: Log index of the last change.
-        suspects: The records, those with most ended starts first.
+        suspects: The records, those with the most evidence first.
     """
 
     revision: int = 0
--- a/src/leverjunction/quarantine/suspects.py
+++ b/src/leverjunction/quarantine/suspects.py
@@ -1,6 +1,8 @@
-"""What one process knows of suspect requests: what the registry tells, and what it saw. Pure.
+"""Suspect requests known to one process: those reported by the registry, and its own evidence.
 
-Without a quorum nothing is told: a process then goes on with what it has seen itself.
+While the registry has no quorum it reports nothing, and a process relies on its own evidence.
+
+Performs no I/O: the time is passed in.
 """
 
 from __future__ import annotations
@@ -14,22 +16,22 @@
 )
 from leverjunction.quarantine.verdicts import Standing, evidence_of, standing_of
 
-OWN_KEPT_S = 60.0
-"""How long this process's own evidence counts beside what the registry tells: an election and the
-repeats of a report take some seconds, and a longer lack of a quorum is an exception.
+OWN_EVIDENCE_TTL_S = 60.0
+"""How long own evidence counts in addition to the registry's: an election and the retries of a
+report take some seconds, and a longer loss of the quorum is an exception.
 """
 
-OWN_MOST = 1_000
-"""Requests of which own evidence is kept; those told last stay."""
+MAX_OWN_EVIDENCE = 1_000
+"""Maximum number of requests with own evidence; the least recently updated are dropped first."""
 
 
 class OwnEvidence:
-    """Ended starts of one request that this process saw.
+    """Crashes during one request that this process has detected itself.
 
     Attributes:
-        starts: Those that ended as it began.
-        late_starts: Those that ended after it had run on for a while.
-        seen_s: When the last one was seen, in seconds of the caller's clock.
+        starts: Starts that crashed early in its run.
+        late_starts: Starts that crashed after it had been running for a while.
+        seen_s: When the last crash was detected, in seconds of the caller's clock.
     """
 
     __slots__ = ("late_starts", "seen_s", "starts")
@@ -41,83 +43,87 @@
 
 
 class Suspects:
-    """Used by one thread; the time is passed in."""
+    """Combines the registry's evidence with the process's own. Not thread-safe."""
 
-    __slots__ = ("_own", "_paths", "_told")
+    __slots__ = ("_own", "_paths", "_reported")
 
     def __init__(self) -> None:
-        self._told: dict[str, SuspectRecord] = {}
+        self._reported: dict[str, SuspectRecord] = {}
         self._own: dict[str, OwnEvidence] = {}
         self._paths: frozenset[str] = frozenset()
 
     @property
     def is_empty(self) -> bool:
-        """Whether no request is a suspect."""
+        """Whether there are no suspect requests."""
         return not self._paths
 
-    def replace(self, told: SuspectList) -> None:
-        """Take what the registry tells; it replaces what it told before.
+    def replace(self, reported: SuspectList) -> None:
+        """Replace the registry's evidence.
 
-        What it tells no more was cleared, by a whole answer elsewhere, by time, or by an operator.
+        A request that is no longer listed was cleared, by a complete response elsewhere, by
+        expiry, or by an operator; own evidence against it is dropped too.
         """
-        before, self._told = self._told, {record.key: record for record in told.suspects}
-        for key in before.keys() - self._told.keys():
+        before, self._reported = (
+            self._reported,
+            {record.key: record for record in reported.suspects},
+        )
+        for key in before.keys() - self._reported.keys():
             self._own.pop(key, None)
         self._index_paths()
 
     def ended(self, run: EndedRun, now_s: float) -> None:
-        """Take evidence that this process has seen."""
+        """Add evidence that this process has detected itself."""
         own = self._own.pop(run.key, None) or OwnEvidence()
         (own.late_starts if run.ran_on else own.starts).add(run.start)
         own.seen_s = now_s
         self._own[run.key] = own
-        if len(self._own) > OWN_MOST:
+        if len(self._own) > MAX_OWN_EVIDENCE:
             self._own.pop(next(iter(self._own)))
         self._index_paths()
 
     def answered(self, key: str) -> None:
-        """Note a whole answer: the request does not end the back ends that run it."""
+        """Clear a request after a complete response: it doesn't crash the back ends that run it."""
         self._own.pop(key, None)
-        self._told.pop(key, None)
+        self._reported.pop(key, None)
         self._index_paths()
 
     def expire(self, now_s: float) -> None:
-        """Forget own evidence that is old."""
-        old = [key for key, own in self._own.items() if now_s - own.seen_s > OWN_KEPT_S]
+        """Remove expired own evidence."""
+        old = [key for key, own in self._own.items() if now_s - own.seen_s > OWN_EVIDENCE_TTL_S]
         for key in old:
             del self._own[key]
         if old:
             self._index_paths()
 
     def find(self, content: RequestContent) -> str:
-        """Return the key of a request that may be a suspect, empty for any other.
+        """Return the key of a request if it is a suspect, otherwise an empty string.
 
-        Of a request whose path no suspect has, only the path is hashed; nothing while there are
-        no suspects.
+        Nothing is hashed while there are no suspects, and only the path if no suspect has the
+        request's path.
         """
         if not self._paths or path_part(content) not in self._paths:
             return ""
         key = request_key(content)
-        return key if key in self._told or key in self._own else ""
+        return key if key in self._reported or key in self._own else ""
 
     def standing(self, key: str) -> Standing:
-        """Return how a request is to be treated."""
+        """Return how the request with this key is to be treated."""
         starts: set[str] = set()
         late_starts: set[str] = set()
-        for known in (self._told.get(key), self._own.get(key)):
+        for known in (self._reported.get(key), self._own.get(key)):
             if known is not None:
                 starts |= set(known.starts)
                 late_starts |= set(known.late_starts)
         return standing_of(evidence_of(len(starts), len(late_starts - starts)))
 
     def counts(self) -> tuple[int, int]:
-        """Return how many requests are suspects, and how many of these are refused."""
-        keys = {*self._told, *self._own}
+        """Return the number of suspect requests, and how many of these are refused."""
+        keys = {*self._reported, *self._own}
         refused = sum(1 for key in keys if self.standing(key) is Standing.REFUSED)
         return len(keys), refused
 
     def _index_paths(self) -> None:
-        self._paths = frozenset(key[:PATH_DIGITS] for key in (*self._told, *self._own))
+        self._paths = frozenset(key[:PATH_DIGITS] for key in (*self._reported, *self._own))
 
 
 __all__ = ["Suspects"]
--- a/src/leverjunction/quarantine/verdicts.py
+++ b/src/leverjunction/quarantine/verdicts.py
@@ -1,12 +1,14 @@
-"""When a request counts as the cause of ended back ends, and for how long. Pure.
+"""Rules that decide when a request counts as the cause of crashes, and for how long.
 
-Load pattern: a caller sends a request again and again that ends each back end which begins it, and
-a dozen others run beside it there each time. A sound request meets an ended back end when one
-crashes by itself, so one end proves nothing. It has to meet several in a row without a whole answer
-in between: any whole answer clears it.
+Load pattern: a caller keeps retrying a request that crashes every back end that starts it, each
+time with a dozen other requests running there. A harmless request is also present when a back end
+crashes for another reason, so a single crash proves nothing. Only several crashes in a row count,
+without a complete response in between: any complete response clears the request.
 
-A verdict ends by itself, for the model or the back ends may have been mended: the request may then
-run once more, and a single further end makes the next verdict, which lasts twice as long.
+A verdict expires, because the model or the back ends may have been fixed. The request may then run
+once more, and a single further crash leads to the next verdict, which lasts twice as long.
+
+A start is one instance of a back end. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,47 +19,56 @@
 
 from leverjunction.quarantine.records import EndedRun, SuspectRecord
 
-STARTS_OF_VERDICT = 3
-"""Ended starts under one request, as it began, that make it the cause. With 5 of 100
-runs hit by a crash that has another cause, a sound request is refused once in 8,000 (0.05 cubed),
-and then only if no run in between was answered.
+REFUSAL_THRESHOLD = 3
+"""Number of starts crashed early in a request's runs from which it is refused. If 5 of 100 runs are
+hit by a crash with another cause, a harmless request is refused once in 8,000 (0.05 cubed), and
+then only if no run in between got a complete response.
+"""
+
+LATE_STARTS_PER_START = 3
+"""Number of crashes late in a run that count as one early crash. A request that crashes its back
+ends does so early, while a long harmless one has mostly made progress: when both counted alike,
+one of 488 items met three crashes with other causes within 30 s and was held back.
 """
 
-LATE_STARTS_EACH = 3
-"""Ends of runs that had gone on for a while that count as one of a run that had just begun. A
-request that ends its back ends does so as it begins; a long one that is sound has mostly got
-somewhere: without this, one of 488 items met three ends of other causes in 30 s and was held.
+EARLY_RUN_S = 0.25
+"""Time from the first part of a response within which a crash counts as early: over twice what
+requests that crash their back ends took (2 to 105 ms), and a quarter of a run of one second.
 """
 
-JUST_BEGUN_S = 0.25
-"""Time from the first part of an answer in which its run has just begun: over twice what requests
-took that ended their back ends (2 to 105 ms), a quarter of a run of a second.
+CAREFUL_THRESHOLD = 2
+"""Number of crashed starts from which a gateway runs the request only once at a time and doesn't
+hedge it: a second run in parallel would only crash another back end.
 """
 
-STARTS_OF_CARE = 2
-"""From so many on it runs once at a time at a gateway, and is not moved early to another back end:
-a second run at once would only end one more.
+MAX_STARTS = 8
+"""Number of the oldest early crashes that a record keeps besides the newest one: enough for a
+verdict and for operators.
 """
 
-STARTS_KEPT = 8
-LATE_STARTS_KEPT = 12
-"""Ended starts that a record names: enough for a verdict, and a person needs no more."""
+MAX_LATE_STARTS = 12
+"""Number of the newest late crashes that a record keeps."""
 
-SUSPECT_S = 600.0
-"""Time without a further end after which evidence that made no verdict is forgotten: longer than
-callers wait before they try again.
+SUSPECT_TTL_S = 600.0
+"""Time without a further crash after which evidence without a verdict is dropped: longer than
+callers wait before they retry.
 """
 
-VERDICT_S = 60.0
-"""Length of the first verdict; each further one lasts twice as long. A request that stays bad ends
-six more back ends in its first hour, a sound one waits no longer than a minute.
+FIRST_VERDICT_S = 60.0
+"""Duration of the first verdict; each further one lasts twice as long. A request that stays harmful
+crashes six more back ends in its first hour, and a harmless one waits at most a minute.
 """
 
-VERDICT_MOST_S = 86_400.0
+MAX_VERDICT_S = 86_400.0
+"""Maximum duration of a verdict."""
 
 
 class Standing(StrEnum):
-    """How a request is treated."""
+    """Treatment of a request.
+
+    ``SOUND``: no evidence. ``SUSPECT``: evidence is being collected. ``CAREFUL``: runs only once at
+    a time at a gateway. ``REFUSED``: under a verdict.
+    """
 
     SOUND = "sound"
     SUSPECT = "suspect"
@@ -66,44 +77,49 @@
 
 
 def evidence_of(starts: int, late_starts: int) -> int:
-    """Return how many ends count against a request.
+    """Return how many crashes count against a request.
 
     Args:
-        starts: Starts that ended under it as it began.
-        late_starts: Starts that ended after it had run on for a while.
+        starts: Number of starts that crashed early in its run.
+        late_starts: Number of starts that crashed after it had been running for a while.
     """
-    return starts + late_starts // LATE_STARTS_EACH
+    return starts + late_starts // LATE_STARTS_PER_START
 
 
 def ran_on(first_output_s: float | None, now_s: float) -> bool:
-    """Return whether a run that ends now had gone on for a while since its first output."""
-    return first_output_s is not None and now_s - first_output_s > JUST_BEGUN_S
+    """Return whether a run that is lost now had been producing output for a while.
+
+    Args:
+        first_output_s: When the first part of the response arrived; None if none has.
+        now_s: Current time on the same clock, in seconds.
+    """
+    return first_output_s is not None and now_s - first_output_s > EARLY_RUN_S
 
 
 def standing_of(evidence: int) -> Standing:
-    """Return how a request is treated against which so many ends count."""
-    if evidence >= STARTS_OF_VERDICT:
+    """Return the treatment of a request by the number of crashes that count against it."""
+    if evidence >= REFUSAL_THRESHOLD:
         return Standing.REFUSED
-    if evidence >= STARTS_OF_CARE:
+    if evidence >= CAREFUL_THRESHOLD:
         return Standing.CAREFUL
     return Standing.SUSPECT if evidence else Standing.SOUND
 
 
 def standing(record: SuspectRecord) -> Standing:
-    """Return how the request of a record is treated."""
+    """Return the treatment of the request that a record is about."""
     return standing_of(evidence_of(len(record.starts), len(record.late_starts)))
 
 
 def with_ended_run(record: SuspectRecord | None, run: EndedRun) -> SuspectRecord:
-    """Return a request's record with one more piece of evidence; told twice it changes nothing."""
+    """Return a request's record with a piece of evidence added; repeated reports change nothing."""
     known = record or SuspectRecord(key=run.key)
     if run.start in known.starts or (run.ran_on and run.start in known.late_starts):
         return known
     starts, late = known.starts, known.late_starts
     if run.ran_on:
-        late = (*late, run.start)[-LATE_STARTS_KEPT:]
+        late = (*late, run.start)[-MAX_LATE_STARTS:]
     else:
-        starts = (*starts[:STARTS_KEPT], run.start)
+        starts = (*starts[:MAX_STARTS], run.start)
         late = tuple(start for start in late if start != run.start)
     changed = msgspec.structs.replace(
         known,
@@ -119,28 +135,29 @@
 
 
 def on_trial(record: SuspectRecord) -> SuspectRecord:
-    """Return the record of a request whose verdict is over: one more end makes the next one."""
-    starts = record.starts[: STARTS_OF_VERDICT - 1]
-    late = (STARTS_OF_VERDICT - 1 - len(starts)) * LATE_STARTS_EACH
+    """Return the record after its verdict has expired: one more crash leads to the next verdict."""
+    starts = record.starts[: REFUSAL_THRESHOLD - 1]
+    late = (REFUSAL_THRESHOLD - 1 - len(starts)) * LATE_STARTS_PER_START
     return msgspec.structs.replace(record, starts=starts, late_starts=record.late_starts[:late])
 
 
 def retention_s(record: SuspectRecord) -> float:
-    """Return how long a record stays as it is when no more is heard of its request."""
+    """Return after how many seconds without further reports a record expires or goes on trial."""
     if not record.verdicts:
-        return SUSPECT_S
-    # Also on trial: a request that comes every hour must not find its record forgotten each time.
-    return min(VERDICT_MOST_S, VERDICT_S * 2.0 ** (record.verdicts - 1))
+        return SUSPECT_TTL_S
+    # Also while on trial: the record of a request that is sent once an hour must not be dropped
+    # each time.
+    return min(MAX_VERDICT_S, FIRST_VERDICT_S * 2.0 ** (record.verdicts - 1))
 
 
 def eviction_weight(record: SuspectRecord) -> tuple[int, int]:
-    """Return what decides which record is given up first when there are too many."""
+    """Return the sort key by which records are dropped if there are too many, lowest first."""
     return (record.verdicts, evidence_of(len(record.starts), len(record.late_starts)))
 
 
 __all__ = [
-    "LATE_STARTS_EACH",
-    "STARTS_OF_VERDICT",
+    "LATE_STARTS_PER_START",
+    "REFUSAL_THRESHOLD",
     "Standing",
     "eviction_weight",
     "evidence_of",
--- a/tests/unit/test_load_datagrams.py
+++ b/tests/unit/test_load_datagrams.py
@@ -12,7 +12,7 @@
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.proxy.load_row import BackEndOrder
 from leverjunction.proxy.load_socket import LoadSocket
-from leverjunction.proxy.online_loads import LEAST_INTERVAL_S
+from leverjunction.proxy.online_loads import MIN_REPORT_INTERVAL_S
 from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord
 
@@ -101,7 +101,7 @@
     async def play() -> None:
         async with Pair() as pair:
             await until(lambda: pair.others == {"i1": 5})
-            assert pair.lag_s == pytest.approx(LEAST_INTERVAL_S / 2, abs=LEAST_INTERVAL_S)
+            assert pair.lag_s == pytest.approx(MIN_REPORT_INTERVAL_S / 2, abs=MIN_REPORT_INTERVAL_S)
             pair.port.runner_changed(runner(2))
             await until(lambda: pair.others == {"i1": 3}, 0.5)
             pair.totals = {"i1": 9}
--- a/tests/unit/test_proxy_admission.py
+++ b/tests/unit/test_proxy_admission.py
@@ -9,13 +9,13 @@
 import pytest
 
 from leverjunction.proxy.admission import (
-    LATE_QUEUE,
-    MARGIN_S,
-    RETRY_LEAST_S,
+    MAX_LATE_QUEUE,
+    MIN_RETRY_AFTER_S,
+    SEND_MARGIN_S,
     AdmissionQueue,
-    Prospect,
+    Decision,
+    LoadEstimate,
     Ticket,
-    Verdict,
     retry_after_s,
 )
 
@@ -31,40 +31,40 @@
     return Ticket(arrived_s, arrived_s + AIM_S, arrived_s + LAST_S, HEAD_S)
 
 
-def prospect(queue: float, backlog: float = 0.0) -> Prospect:
-    return Prospect(queue, SLOTS, RUN_S, backlog, SLOTS * 2)
+def estimate(queue: float, backlog: float = 0.0) -> LoadEstimate:
+    return LoadEstimate(queue, SLOTS, RUN_S, backlog, SLOTS * 2)
 
 
 @pytest.mark.parametrize(
-    ("queue", "verdict"),
+    ("queue", "decision"),
     [
-        (-3.0, Verdict.SEND),
-        (0.0, Verdict.SEND),
-        (2.5, Verdict.SEND),
-        (2.6, Verdict.HOLD),
-        (20.0, Verdict.HOLD),
+        (-3.0, Decision.SEND),
+        (0.0, Decision.SEND),
+        (2.5, Decision.SEND),
+        (2.6, Decision.HOLD),
+        (20.0, Decision.HOLD),
     ],
     ids=["free slots", "the last slot", "in time", "just too late", "far too late"],
 )
-def test_only_what_can_be_in_time_is_sent(queue: float, verdict: Verdict) -> None:
+def test_only_what_can_be_in_time_is_sent(queue: float, decision: Decision) -> None:
     admission = AdmissionQueue(NOW_S)
-    assert admission.arrive(ticket(), prospect(queue), NOW_S) is verdict
-    assert admission.held == (verdict is Verdict.HOLD)
+    assert admission.admit(ticket(), estimate(queue), NOW_S) is decision
+    assert admission.held == (decision is Decision.HOLD)
 
 
 def test_what_is_not_known_holds_nothing_back() -> None:
     admission = AdmissionQueue(NOW_S)
-    assert admission.arrive(ticket(), None, NOW_S) is Verdict.SEND
-    admission.arrive(ticket(), prospect(9), NOW_S)
-    assert admission.next(None, NOW_S) is not None
-    assert admission.next(None, NOW_S) is None
+    assert admission.admit(ticket(), None, NOW_S) is Decision.SEND
+    admission.admit(ticket(), estimate(9), NOW_S)
+    assert admission.pop_next(None, NOW_S) is not None
+    assert admission.pop_next(None, NOW_S) is None
 
 
 def test_a_request_goes_where_one_waits_though_its_aim_is_short() -> None:
     """Batch work gives way only to what a back end reports as waiting."""
     admission = AdmissionQueue(NOW_S)
     short = Ticket(NOW_S, NOW_S + 0.01, NOW_S + LAST_S, HEAD_S)
-    assert admission.arrive(short, prospect(LATE_QUEUE), NOW_S) is Verdict.SEND
+    assert admission.admit(short, estimate(MAX_LATE_QUEUE), NOW_S) is Decision.SEND
 
 
 def test_what_can_be_in_time_goes_before_what_is_late() -> None:
@@ -72,50 +72,50 @@
     late = ticket(NOW_S - 1)
     young, old = ticket(NOW_S), ticket(NOW_S - 0.1)
     for item in (late, young, old):
-        admission.arrive(item, prospect(9), item.arrived_s)
-    assert admission.next(prospect(1.4), NOW_S) is old
-    assert admission.next(prospect(1.4), NOW_S) is young
-    assert admission.next(prospect(1.4), NOW_S) is None
-    assert admission.next(prospect(0.5), NOW_S) is late
+        admission.admit(item, estimate(9), item.arrived_s)
+    assert admission.pop_next(estimate(1.4), NOW_S) is old
+    assert admission.pop_next(estimate(1.4), NOW_S) is young
+    assert admission.pop_next(estimate(1.4), NOW_S) is None
+    assert admission.pop_next(estimate(0.5), NOW_S) is late
 
 
 def test_what_is_held_too_long_is_taken_out_in_time_for_its_refusal() -> None:
     admission = AdmissionQueue(NOW_S)
     item = ticket()
-    admission.arrive(item, prospect(9), NOW_S)
-    assert admission.over(NOW_S + LAST_S - HEAD_S - MARGIN_S - 0.01) == []
-    assert admission.over(NOW_S + LAST_S - HEAD_S - MARGIN_S + 0.01) == [item]
+    admission.admit(item, estimate(9), NOW_S)
+    assert admission.pop_expired(NOW_S + LAST_S - HEAD_S - SEND_MARGIN_S - 0.01) == []
+    assert admission.pop_expired(NOW_S + LAST_S - HEAD_S - SEND_MARGIN_S + 0.01) == [item]
     assert admission.held == 0
 
 
 def test_what_can_surely_not_be_served_is_refused_at_once() -> None:
     """With so much in front of it, no lull would be long enough."""
     admission = AdmissionQueue(NOW_S)
-    assert admission.arrive(ticket(), prospect(9, backlog=50), NOW_S) is Verdict.REFUSE
+    assert admission.admit(ticket(), estimate(9, backlog=50), NOW_S) is Decision.REFUSE
     assert admission.held == 0
-    assert retry_after_s(prospect(9, backlog=50), 0) == pytest.approx(50 * RUN_S / (SLOTS * 2))
+    assert retry_after_s(estimate(9, backlog=50), 0) == pytest.approx(50 * RUN_S / (SLOTS * 2))
 
 
 def test_without_a_lull_for_as_long_as_it_could_wait_a_request_is_refused_at_once() -> None:
     admission = AdmissionQueue(NOW_S)
     later_s = NOW_S + LAST_S + 0.1
-    assert admission.arrive(ticket(later_s), prospect(9), later_s) is Verdict.REFUSE
-    assert admission.arrive(ticket(later_s), prospect(0.5), later_s) is Verdict.SEND
-    assert admission.arrive(ticket(later_s), prospect(9), later_s) is Verdict.HOLD
+    assert admission.admit(ticket(later_s), estimate(9), later_s) is Decision.REFUSE
+    assert admission.admit(ticket(later_s), estimate(0.5), later_s) is Decision.SEND
+    assert admission.admit(ticket(later_s), estimate(9), later_s) is Decision.HOLD
 
 
 def test_a_caller_who_left_is_forgotten() -> None:
     admission = AdmissionQueue(NOW_S)
     item = ticket()
-    admission.arrive(item, prospect(9), NOW_S)
-    admission.drop(item)
-    admission.drop(item)
+    admission.admit(item, estimate(9), NOW_S)
+    admission.discard(item)
+    admission.discard(item)
     assert admission.held == 0
 
 
 def test_a_refusal_never_says_at_once() -> None:
-    assert retry_after_s(None, 0) == RETRY_LEAST_S
-    assert retry_after_s(prospect(0), 0) == RETRY_LEAST_S
+    assert retry_after_s(None, 0) == MIN_RETRY_AFTER_S
+    assert retry_after_s(estimate(0), 0) == MIN_RETRY_AFTER_S
 
 
 class _Pool:
@@ -136,9 +136,9 @@
             self.heads[item] = now_s + HEAD_S
             heapq.heappush(self.running, now_s + self.run_s)
 
-    def prospect(self) -> Prospect:
+    def estimate(self) -> LoadEstimate:
         load = len(self.running) + len(self.waiting)
-        return Prospect(
+        return LoadEstimate(
             load + 1 - self.slots, self.slots, self.run_s, len(self.waiting), self.slots
         )
 
@@ -157,11 +157,11 @@
         if random.random() < rate * step_s:
             item = ticket(now_s)
             asked.append(item)
-            verdict = admission.arrive(item, pool.prospect(), now_s) if admits else Verdict.SEND
-            if verdict is Verdict.SEND:
+            decision = admission.admit(item, pool.estimate(), now_s) if admits else Decision.SEND
+            if decision is Decision.SEND:
                 pool.waiting.append(item)
-        admission.over(now_s)
-        while (item_or_none := admission.next(pool.prospect(), now_s)) is not None:
+        admission.pop_expired(now_s)
+        while (item_or_none := admission.pop_next(pool.estimate(), now_s)) is not None:
             pool.waiting.append(item_or_none)
     heads = [(item, pool.heads.get(item, float("inf"))) for item in asked]
     in_time = sum(head <= item.target_s for item, head in heads)
--- a/tests/unit/test_proxy_admission_gate.py
+++ b/tests/unit/test_proxy_admission_gate.py
@@ -13,8 +13,8 @@
 
 from leverjunction.errors import Execution, Failure
 from leverjunction.proxy.admission import Ticket
-from leverjunction.proxy.admission_gate import READS_AT_ONCE, AdmissionGate
-from leverjunction.proxy.balancer import KNOWN_S, Balancer
+from leverjunction.proxy.admission_gate import READS_PER_INTERVAL, AdmissionGate
+from leverjunction.proxy.balancer import MAX_LOAD_AGE_S, Balancer
 from leverjunction.proxy.dialect import EngineLoad
 from leverjunction.proxy.tracked_runner import TrackedRunner
 from leverjunction.registry.records import RunnerRecord
@@ -120,7 +120,7 @@
     async def play() -> None:
         gate, balancer = gate_over(Loads(), 1, [])
         for runner in balancer.available(SERVICE):
-            runner.load_updated_s -= KNOWN_S + 0.1
+            runner.load_updated_s -= MAX_LOAD_AGE_S + 0.1
         assert await gate.enter(SERVICE, ticket()) is None
 
     asyncio.run(play())
@@ -133,7 +133,7 @@
         gate, _ = gate_over(loads, 50, [])
         held = [asyncio.create_task(gate.enter(SERVICE, ticket())) for _ in range(5)]
         await asyncio.sleep(0.35)
-        assert READS_AT_ONCE <= loads.reads <= 4 * READS_AT_ONCE
+        assert READS_PER_INTERVAL <= loads.reads <= 4 * READS_PER_INTERVAL
         for task in held:
             task.cancel()
         await asyncio.gather(*held, return_exceptions=True)
--- a/tests/unit/test_proxy_balancer.py
+++ b/tests/unit/test_proxy_balancer.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from leverjunction.proxy.balancer import KNOWN_S, Balancer
+from leverjunction.proxy.balancer import MAX_LOAD_AGE_S, Balancer
 from leverjunction.proxy.dialect import EngineLoad, PromptPart
 from leverjunction.proxy.prompt import Prompt
 from leverjunction.registry import RunnerRecord, RunnerState
@@ -42,7 +42,7 @@
 
 
 def long_prompt(key: str) -> Prompt:
-    return Prompt((PromptPart(key, 20_000), PromptPart("own_requests", 4_000)), 24_000)
+    return Prompt((PromptPart(key, 20_000), PromptPart("own", 4_000)), 24_000)
 
 
 def test_long_prompts_go_to_a_third_of_the_back_ends_and_others_stay_away() -> None:
@@ -179,16 +179,16 @@
     loads: tuple[int, int], queue: float, backlog: float
 ) -> None:
     made = balancer(2)
-    assert made.prospect("s", 1.0) is None, "nothing has run yet"
+    assert made.estimate_load("s", 1.0) is None, "nothing has run yet"
     made.record_run("s", 0.8)
-    assert made.prospect("s", 1.0) is None, "nobody has told a load"
+    assert made.estimate_load("s", 1.0) is None, "nobody has told a load"
     for runner, load in zip(made.available("s"), loads, strict=True):
         runner.report_load(EngineLoad(running=load, waiting=0, slots=8), 1.0)
-    prospect = made.prospect("s", 1.0)
-    assert prospect is not None
-    assert (prospect.queue, prospect.backlog) == (queue, backlog)
-    assert (prospect.slots, prospect.capacity, prospect.run_s) == (8, 16, 0.8)
-    assert made.prospect("s", 1.0 + KNOWN_S + 0.1) is None
+    estimate = made.estimate_load("s", 1.0)
+    assert estimate is not None
+    assert (estimate.queue, estimate.backlog) == (queue, backlog)
+    assert (estimate.slots, estimate.capacity, estimate.run_s) == (8, 16, 0.8)
+    assert made.estimate_load("s", 1.0 + MAX_LOAD_AGE_S + 0.1) is None
 
 
 def test_requests_of_others_that_cannot_be_seen_yet_are_allowed_for() -> None:
@@ -207,6 +207,6 @@
     choice = made.choose("s", SHORT, (), 1.0)
     assert choice is not None
     assert choice.candidates == 1200
-    prompt = Prompt((PromptPart("k", 6_000), PromptPart("own_requests", 100)), 6_100)
+    prompt = Prompt((PromptPart("k", 6_000), PromptPart("own", 100)), 6_100)
     homes = chosen(made, prompt, times=20)
     assert len(homes) == 1, "kept together, though a sample seldom holds it"
--- a/tests/unit/test_proxy_first_response.py
+++ b/tests/unit/test_proxy_first_response.py
@@ -9,15 +9,15 @@
 
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.proxy.dispatch import OpenedAnswer
-from leverjunction.proxy.hedging import Outcome, first_opened
+from leverjunction.proxy.hedging import Outcome, first_response
 
 ANSWER = cast(OpenedAnswer, object.__new__(OpenedAnswer))
-OTHER = cast(OpenedAnswer, object.__new__(OpenedAnswer))
+HEDGE = cast(OpenedAnswer, object.__new__(OpenedAnswer))
 LATE = Failure(kind=FailureKind.DEADLINE_EXCEEDED, reason="late", step=Step.RESPONDING)
 NONE = Failure(kind=FailureKind.OVERLOADED, reason="none", step=Step.RESPONDING)
 
 
-class Way:
+class Attempt:
     """Ends with its outcome after a number of steps of the event loop."""
 
     def __init__(self, steps: int, outcome: Outcome | Exception) -> None:
@@ -25,7 +25,7 @@
         self.outcome = outcome
         self.ended = False
 
-    async def go(self) -> Outcome:
+    async def run(self) -> Outcome:
         for _ in range(self.steps):
             await asyncio.sleep(0)
         self.ended = True
@@ -34,52 +34,54 @@
         return self.outcome
 
 
-def _race(late: Way, other: Way) -> tuple[Any, list[OpenedAnswer]]:
-    let_go: list[OpenedAnswer] = []
+def _race(primary: Attempt, hedge: Attempt) -> tuple[Any, list[OpenedAnswer]]:
+    discarded: list[OpenedAnswer] = []
 
     async def race() -> Outcome:
-        return await first_opened(late.go(), other.go(), let_go.append)
+        return await first_response(primary.run(), hedge.run(), discarded.append)
 
-    return asyncio.run(race()), let_go
+    return asyncio.run(race()), discarded
 
 
 @pytest.mark.parametrize(
-    ("late", "other", "taken"),
+    ("primary", "hedge", "expected"),
     [
-        (Way(2, ANSWER), Way(9, OTHER), ANSWER),
-        (Way(9, ANSWER), Way(2, OTHER), OTHER),
-        (Way(9, ANSWER), Way(2, NONE), ANSWER),
-        (Way(2, LATE), Way(9, OTHER), OTHER),
-        (Way(2, LATE), Way(9, NONE), NONE),
-        (Way(9, LATE), Way(2, NONE), NONE),
+        (Attempt(2, ANSWER), Attempt(9, HEDGE), ANSWER),
+        (Attempt(9, ANSWER), Attempt(2, HEDGE), HEDGE),
+        (Attempt(9, ANSWER), Attempt(2, NONE), ANSWER),
+        (Attempt(2, LATE), Attempt(9, HEDGE), HEDGE),
+        (Attempt(2, LATE), Attempt(9, NONE), NONE),
+        (Attempt(9, LATE), Attempt(2, NONE), NONE),
     ],
 )
 def test_the_first_answer_is_taken_and_a_failure_only_after_both(
-    late: Way, other: Way, taken: Outcome
+    primary: Attempt, hedge: Attempt, expected: Outcome
 ) -> None:
-    outcome, let_go = _race(late, other)
-    assert outcome is taken
-    assert let_go == []
+    outcome, discarded = _race(primary, hedge)
+    assert outcome is expected
+    assert discarded == []
 
 
 def test_an_answer_that_opens_in_the_same_step_is_let_go() -> None:
-    outcome, let_go = _race(Way(3, ANSWER), Way(3, OTHER))
-    assert {id(outcome), *map(id, let_go)} == {id(ANSWER), id(OTHER)}
-    assert len(let_go) == 1
+    outcome, discarded = _race(Attempt(3, ANSWER), Attempt(3, HEDGE))
+    assert {id(outcome), *map(id, discarded)} == {id(ANSWER), id(HEDGE)}
+    assert len(discarded) == 1
 
 
 def test_an_error_of_one_way_ends_the_other() -> None:
-    late = Way(50, ANSWER)
+    primary = Attempt(50, ANSWER)
     with pytest.raises(ZeroDivisionError):
-        _race(late, Way(1, ZeroDivisionError()))
-    assert not late.ended
+        _race(primary, Attempt(1, ZeroDivisionError()))
+    assert not primary.ended
 
 
 def test_who_is_cancelled_leaves_both() -> None:
-    ways = (Way(50, ANSWER), Way(50, OTHER))
+    attempts = (Attempt(50, ANSWER), Attempt(50, HEDGE))
 
     async def cancelled() -> None:
-        task = asyncio.ensure_future(first_opened(ways[0].go(), ways[1].go(), lambda _: None))
+        task = asyncio.ensure_future(
+            first_response(attempts[0].run(), attempts[1].run(), lambda _: None)
+        )
         await asyncio.sleep(0)
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
@@ -88,4 +90,4 @@
             await asyncio.sleep(0)
 
     asyncio.run(cancelled())
-    assert not any(way.ended for way in ways)
+    assert not any(attempt.ended for attempt in attempts)
--- a/tests/unit/test_proxy_hedge_delay.py
+++ b/tests/unit/test_proxy_hedge_delay.py
@@ -7,39 +7,41 @@
 import pytest
 
 from leverjunction.proxy.balancer import Balancer
-from leverjunction.proxy.hedge_delay import FEW_HEADS, HeadLatencies
+from leverjunction.proxy.hedge_delay import MIN_SAMPLES, HeadLatencies
 from leverjunction.proxy.prompt import Prompt
 from leverjunction.registry import RunnerRecord
 
 
-def times(*heads_s: float) -> HeadLatencies:
-    seen = HeadLatencies()
-    for head_s in heads_s:
-        seen.record(head_s)
-    return seen
+def latencies_of(*samples_s: float) -> HeadLatencies:
+    latencies = HeadLatencies()
+    for latency_s in samples_s:
+        latencies.record(latency_s)
+    return latencies
 
 
-@pytest.mark.parametrize(("target_ms", "patience_s"), [(50.0, 0.4), (500.0, 1.5)])
-def test_without_experience_a_head_is_waited_for_long(target_ms: float, patience_s: float) -> None:
-    seen = times(*[0.01] * (FEW_HEADS - 1))
-    assert seen.patience_s(target_ms) == pytest.approx(patience_s)
+@pytest.mark.parametrize(("target_ms", "hedge_delay_s"), [(50.0, 0.4), (500.0, 1.5)])
+def test_without_experience_a_head_is_waited_for_long(
+    target_ms: float, hedge_delay_s: float
+) -> None:
+    latencies = latencies_of(*[0.01] * (MIN_SAMPLES - 1))
+    assert latencies.hedge_delay_s(target_ms) == pytest.approx(hedge_delay_s)
 
 
 @pytest.mark.parametrize(
-    ("head_s", "target_ms", "patience_s"), [(0.04, 125.0, 0.1), (0.01, 400.0, 0.2)]
+    ("latency_s", "target_ms", "hedge_delay_s"), [(0.04, 125.0, 0.1), (0.01, 400.0, 0.2)]
 )
 def test_patience_follows_the_heads_that_came(
-    head_s: float, target_ms: float, patience_s: float
+    latency_s: float, target_ms: float, hedge_delay_s: float
 ) -> None:
-    assert times(*[head_s] * 30).patience_s(target_ms) == pytest.approx(patience_s)
+    assert latencies_of(*[latency_s] * 30).hedge_delay_s(target_ms) == pytest.approx(hedge_delay_s)
 
 
 def test_rare_late_heads_do_not_make_it_patient() -> None:
-    assert times(*[0.03] * 60, 2.0, 2.0).patience_s(100.0) == pytest.approx(0.075)
+    assert latencies_of(*[0.03] * 60, 2.0, 2.0).hedge_delay_s(100.0) == pytest.approx(0.075)
 
 
 def test_overload_makes_it_patient() -> None:
-    assert times(*[0.5] * 40).patience_s(100.0) == pytest.approx(1.25)
+    assert latencies_of(*[0.5] * 40).hedge_delay_s(100.0) == pytest.approx(1.25)
 
 
 SHORT = Prompt((), 500)
--- a/tests/unit/test_proxy_load_row.py
+++ b/tests/unit/test_proxy_load_row.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverjunction.proxy.load_row import MOST, BackEndOrder
+from leverjunction.proxy.load_row import MAX_LOAD, BackEndOrder
 
 IDS = st.lists(st.text(min_size=1, max_size=12), unique=True, max_size=40)
 
@@ -13,13 +13,13 @@
 @given(IDS, st.data())
 def test_a_row_tells_what_is_known(ids: list[str], data: st.DataObject) -> None:
     known = data.draw(st.sets(st.sampled_from(ids))) if ids else set()
-    loads = {key: data.draw(st.integers(0, MOST)) for key in known}
+    loads = {key: data.draw(st.integers(0, MAX_LOAD)) for key in known}
     assert BackEndOrder(ids).unpack(BackEndOrder(reversed(ids)).pack(loads)) == loads
 
 
 def test_a_load_that_does_not_fit_is_told_as_the_most() -> None:
     order = BackEndOrder(["a"])
-    assert order.unpack(order.pack({"a": 4000})) == {"a": MOST}
+    assert order.unpack(order.pack({"a": 4000})) == {"a": MAX_LOAD}
 
 
 def test_other_back_ends_have_another_key() -> None:
--- a/tests/unit/test_proxy_water_filling.py
+++ b/tests/unit/test_proxy_water_filling.py
@@ -9,17 +9,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leverjunction.proxy.water_filling import Place, Steps, draw, shares
+from leverjunction.proxy.water_filling import (
+    Candidate,
+    CostSteps,
+    expected_assignments,
+    weighted_choice,
+)
 
-STEPS = Steps(busy_ms=6.0, queued_ms=250.0)
+STEPS = CostSteps(busy_ms=6.0, queued_ms=250.0)
 
 
-def places(*pairs: tuple[float, float]) -> list[Place]:
-    return [Place(cost_ms, free) for cost_ms, free in pairs]
+def candidates(*pairs: tuple[float, float]) -> list[Candidate]:
+    return [Candidate(cost_ms, free) for cost_ms, free in pairs]
 
 
 @pytest.mark.parametrize(
-    ("known", "unseen", "expected"),
+    ("known", "unreported", "expected"),
     [
         (((0, 8), (60, 8)), 0, (1.0, 0.0)),
         (((0, 8), (0, 8)), 0, (0.5, 0.5)),
@@ -30,26 +35,30 @@
     ids=["fresh", "alike", "until level", "slots before queues", "suspects last"],
 )
 def test_cheapest_places_fill_first(
-    known: tuple[tuple[float, float], ...], unseen: float, expected: tuple[float, ...]
+    known: tuple[tuple[float, float], ...], unreported: float, expected: tuple[float, ...]
 ) -> None:
-    assert shares(places(*known), unseen, STEPS) == pytest.approx(expected, abs=0.01)
+    assert expected_assignments(candidates(*known), unreported, STEPS) == pytest.approx(
+        expected, abs=0.01
+    )
 
 
 @given(
     st.lists(st.tuples(st.floats(0, 10_000), st.floats(-30, 30)), min_size=1, max_size=50),
     st.floats(0, 500),
 )
-def test_all_that_is_unseen_has_a_place(known: list[tuple[float, float]], unseen: float) -> None:
-    filled = shares(places(*known), unseen, STEPS)
+def test_all_that_is_unseen_has_a_place(
+    known: list[tuple[float, float]], unreported: float
+) -> None:
+    filled = expected_assignments(candidates(*known), unreported, STEPS)
     assert min(filled) >= 0.0
     # The level is found to a part of its interval, so a place may seem to take a little more.
-    assert sum(filled) >= (unseen + 1) * (1 - 1e-9)
+    assert sum(filled) >= (unreported + 1) * (1 - 1e-9)
     cheapest = min(range(len(known)), key=lambda index: known[index][0])
     assert filled[cheapest] > 0.0
 
 
 def test_draws_follow_the_shares() -> None:
     random = Random(1)
-    counts = Counter(draw([3.0, 0.0, 1.0], random) for _ in range(4000))
+    counts = Counter(weighted_choice([3.0, 0.0, 1.0], random) for _ in range(4000))
     assert counts[1] == 0
     assert counts[0] / counts[2] == pytest.approx(3.0, rel=0.15)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -10,15 +10,15 @@
 
 from leverjunction.proxy.caller_connection import CallerRequest, content_of
 from leverjunction.proxy.quarantine import Quarantine
-from leverjunction.quarantine.crash_detector import PENDING_MOST, PROOF_S, CrashDetector
+from leverjunction.quarantine.crash_detector import MAX_PENDING_RUNS, PROOF_TIMEOUT_S, CrashDetector
 from leverjunction.quarantine.records import EndedRun, SuspectList, SuspectRecord
 from leverjunction.quarantine.request_key import RequestContent, path_part, request_key
-from leverjunction.quarantine.suspects import OWN_KEPT_S, OWN_MOST, Suspects
+from leverjunction.quarantine.suspects import MAX_OWN_EVIDENCE, OWN_EVIDENCE_TTL_S, Suspects
 from leverjunction.quarantine.verdicts import (
-    STARTS_OF_VERDICT,
-    SUSPECT_S,
-    VERDICT_MOST_S,
-    VERDICT_S,
+    FIRST_VERDICT_S,
+    MAX_VERDICT_S,
+    REFUSAL_THRESHOLD,
+    SUSPECT_TTL_S,
     Standing,
     on_trial,
     ran_on,
@@ -163,10 +163,10 @@
 
 def test_own_evidence_is_bounded_in_time_and_number() -> None:
     suspects = Suspects()
-    for number in range(OWN_MOST + 10):
+    for number in range(MAX_OWN_EVIDENCE + 10):
         suspects.ended(ended("a", f"{number:048x}"), float(number > 0))
-    assert suspects.counts()[0] == OWN_MOST
-    suspects.expire(OWN_KEPT_S + 1.1)
+    assert suspects.counts()[0] == MAX_OWN_EVIDENCE
+    suspects.expire(OWN_EVIDENCE_TTL_S + 1.1)
     assert suspects.is_empty
 
 
@@ -197,9 +197,9 @@
         record = with_ended_run(record, ended(f"later-{number}"))
         assert standing(record) is Standing.REFUSED
         lengths.append(retention_s(record))
-    assert lengths[:3] == [VERDICT_S, 2 * VERDICT_S, 4 * VERDICT_S]
-    assert lengths[-1] == VERDICT_MOST_S
-    assert retention_s(record_of("a", "b")) == SUSPECT_S
+    assert lengths[:3] == [FIRST_VERDICT_S, 2 * FIRST_VERDICT_S, 4 * FIRST_VERDICT_S]
+    assert lengths[-1] == MAX_VERDICT_S
+    assert retention_s(record_of("a", "b")) == SUSPECT_TTL_S
 
 
 def test_a_verdict_by_ends_of_runs_that_had_gone_on_ends_too() -> None:
@@ -216,8 +216,8 @@
     refused, suspect = record_of("a", "b", "c"), with_ended_run(None, ended("a", "other"))
     told = SuspectList(revision=1, suspects=(refused, suspect))
     assert review.due(told, 0.0) == []
-    assert review.due(told, min(VERDICT_S, SUSPECT_S) - 1.0) == []
-    [change] = review.due(told, max(VERDICT_S, SUSPECT_S))
+    assert review.due(told, min(FIRST_VERDICT_S, SUSPECT_TTL_S) - 1.0) == []
+    [change] = review.due(told, max(FIRST_VERDICT_S, SUSPECT_TTL_S))
     assert (change.on_trial, change.forgotten) == (("k",), ("other",))
 
 
@@ -233,8 +233,8 @@
     "nobody listens": (lambda watch: watch.ended("a", 0.1), 1),
     "told twice": (lambda watch: watch.ended("a", 0.1) + watch.ended("a", 0.2), 1),
     "another start ended": (lambda watch: watch.ended("b", 0.1), 0),
-    "proof comes too late": (lambda watch: watch.ended("a", PROOF_S + 0.1), 0),
-    "it left": (lambda watch: (watch.left("a"), watch.ended("a", 0.1))[1], 0),
+    "proof comes too late": (lambda watch: watch.ended("a", PROOF_TIMEOUT_S + 0.1), 0),
+    "it left": (lambda watch: (watch.planned_stop("a"), watch.ended("a", 0.1))[1], 0),
 }
 
 
@@ -256,10 +256,10 @@
 
 def test_runs_without_proof_are_bounded() -> None:
     watch = CrashDetector()
-    for number in range(PENDING_MOST + 100):
+    for number in range(MAX_PENDING_RUNS + 100):
         watch.lost(ended(f"i-{number}"), 0.0)
-    assert len(list(watch.pending())) <= PENDING_MOST
-    watch.expire(PROOF_S + 1)
+    assert len(list(watch.pending())) <= MAX_PENDING_RUNS
+    watch.expire(PROOF_TIMEOUT_S + 1)
     assert list(watch.pending()) == []
 
 
@@ -340,7 +340,7 @@
     count = 200_000
     for _ in range(count):
         ends = 0
-        while ends < STARTS_OF_VERDICT and random.random() < hit:
+        while ends < REFUSAL_THRESHOLD and random.random() < hit:
             ends += 1
-        wrong += ends >= STARTS_OF_VERDICT
+        wrong += ends >= REFUSAL_THRESHOLD
     assert wrong / count <= most
