--- a/src/leverjunction/proxy/balancer.py
+++ b/src/leverjunction/proxy/balancer.py
@@ -180,11 +180,11 @@
         """
         runners = self.available(service)
         healthy = [runner for runner in runners if runner.ejected_until_s <= now_s] or runners
-        untried = [runner for runner in healthy if runner.record.start not in avoided] or healthy
-        if not untried:
+        preferred = [runner for runner in healthy if runner.record.start not in avoided] or healthy
+        if not preferred:
             return None
-        best = min(untried, key=lambda runner: (runner.load(now_s), self._random.random()))
-        return Choice(best, best.load(now_s), len(untried))
+        best = min(preferred, key=lambda runner: (runner.load(now_s), self._random.random()))
+        return Choice(best, best.load(now_s), len(preferred))
 
     def _sample(self, runners: list[TrackedRunner], preferred_id: str) -> list[TrackedRunner]:
         """Return the back ends to compare: a random sample, and always the preferred one."""
--- a/src/leverjunction/proxy/freshness.py
+++ b/src/leverjunction/proxy/freshness.py
@@ -12,6 +12,9 @@
 class FreshnessGate:
     """Holds requests after this process was suspended; used by one event loop.
 
+    Otherwise a request might go to a back end that has left meanwhile, or be rejected although its
+    route has been added.
+
     Args:
         is_in_doubt: Returns whether the route table and the back ends may have changed unnoticed.
             It must return True for a bounded time only.
--- a/src/leverjunction/proxy/online_loads.py
+++ b/src/leverjunction/proxy/online_loads.py
@@ -98,10 +98,10 @@
         self._reported_s = float("-inf")
         self._full_report_s = float("-inf")
 
-    def runner_changed(self, runner_id: str, count: int) -> None:
+    def runner_changed(self, start: str, count: int) -> None:
         """Set the number of this gateway's requests at a back end."""
-        self._changed_runners[runner_id] = count
-        _set(self._runners, runner_id, count)
+        self._changed_runners[start] = count
+        _set(self._runners, start, count)
 
     def held_changed(self, service: str, count: int) -> None:
         """Set the number of requests of a service that this gateway holds."""
--- a/src/leverjunction/proxy/retrying_sender.py
+++ b/src/leverjunction/proxy/retrying_sender.py
@@ -82,21 +82,21 @@
             choice = self._choose(work, now_s)
             if choice is None:
                 return no_runner(work.service)
-            answer = await self._send_once(work, choice, last_event_id)
-            if isinstance(answer, LateHead):
+            response = await self._send_once(work, choice, last_event_id)
+            if isinstance(response, LateHead):
                 if self._has_untried(work):
-                    return await self._hedge(work, choice, answer, last_event_id)
-                self._sender.abandon(answer)
-                answer = answer.failure
-            elif not isinstance(answer, Failure):
-                return answer
-            if answer.execution is Execution.NOT_RUN:
+                    return await self._hedge(work, choice, response, last_event_id)
+                self._sender.abandon(response)
+                response = response.failure
+            elif not isinstance(response, Failure):
+                return response
+            if response.execution is Execution.NOT_RUN:
                 declined += 1
                 if declined >= MAX_DECLINES:
                     return no_runner(work.service)
                 continue
             if not work.may_run_again:
-                return answer
+                return response
 
     async def _send_once(
         self, work: Work, choice: Choice, last_event_id: str
@@ -106,7 +106,7 @@
         work.tried.add(runner.record.start)
         work.first_output_s = None
         sent_s = self._loop.time()
-        answer = await self._sender.begin(
+        response = await self._sender.begin(
             Dispatch(
                 work.request,
                 work.facts,
@@ -117,30 +117,30 @@
                 head_timeouts=self._head_timeouts(work, sent_s),
             )
         )
-        if isinstance(answer, LateHead):
-            self._journal.sent(work, choice, answer.failure, self._loop.time())
+        if isinstance(response, LateHead):
+            self._journal.sent(work, choice, response.failure, self._loop.time())
             work.note_run()
-            return answer
-        if not isinstance(answer, Failure) or answer.execution is not Execution.NOT_RUN:
+            return response
+        if not isinstance(response, Failure) or response.execution is not Execution.NOT_RUN:
             work.note_run()
-        await self._record_outcome(work, choice, answer, sent_s)
-        return answer
+        await self._record_outcome(work, choice, response, sent_s)
+        return response
 
     async def _record_outcome(
-        self, work: Work, choice: Choice, answer: OpenedAnswer | Failure, sent_s: float
+        self, work: Work, choice: Choice, response: OpenedAnswer | Failure, sent_s: float
     ) -> None:
         """Record the response head or the failure of one attempt."""
         runner = choice.runner
-        self._journal.sent(work, choice, answer, self._loop.time())
-        if not isinstance(answer, Failure):
+        self._journal.sent(work, choice, response, self._loop.time())
+        if not isinstance(response, Failure):
             self.head_latencies(work.route).record(self._loop.time() - sent_s)
-            if _is_fault(answer.head.status):
+            if _is_fault(response.head.status):
                 self._balancer.failed(runner, self._loop.time())
             return
-        if answer.kind is FailureKind.NOT_LISTENING:
+        if response.kind is FailureKind.NOT_LISTENING:
             self._quarantine.not_listening(runner.record)
-        if answer.execution is not Execution.NOT_RUN and is_lost_run(answer):
-            await self.run_lost(work, runner, answer)
+        if response.execution is not Execution.NOT_RUN and is_lost_run(response):
+            await self.run_lost(work, runner, response)
 
     def _has_untried(self, work: Work) -> bool:
         return any(
@@ -159,7 +159,7 @@
             return await first_response(
                 self._await_late_response(work, choice, late),
                 self.send(work, last_event_id),
-                lambda answer: self._sender.finish(answer, whole=False),
+                lambda response: self._sender.finish(response, whole=False),
             )
         finally:
             # A task cancelled before its first step has never called ``Sender.wait``.
@@ -168,9 +168,9 @@
     async def _await_late_response(
         self, work: Work, choice: Choice, late: LateHead
     ) -> OpenedAnswer | Failure:
-        answer = await self._sender.wait(late)
-        await self._record_outcome(work, choice, answer, late.sent_s)
-        return answer
+        response = await self._sender.wait(late)
+        await self._record_outcome(work, choice, response, late.sent_s)
+        return response
 
     def quarantine_refusal(self, work: Work) -> Failure | None:
         """Return the refusal of a request that has crashed too many back ends, otherwise None."""
--- a/tests/unit/test_deadly_requests.py
+++ b/tests/unit/test_deadly_requests.py
@@ -1,18 +1,18 @@
-"""A request that ends the back ends which run it must not go on doing so.
+"""A request that crashes back ends must be stopped after a few crashes.
 
-A caller sent one request again and again: same path, same body, each time with another id and to
-another gateway. Every back end that began it ended, and with it all that ran beside. Each gateway
-treated each try as a new request, since nothing tied a try to the ones before or to what became of
-their back ends: 13 back ends ended in 12 s, 8 of them after the third. The lines of a recorded day
-settled it, eleven ends like this one, each under a try of the same key at another gateway:
+A caller keeps retrying a request with the same path and body, each time with a new id and at
+another gateway. Every back end that starts it crashes, which breaks off all other requests there.
+When each gateway treated each attempt as a new request, 13 back ends crashed within 12 s, 8 of them
+after the third. Eleven crashes on a recorded day looked like these, each of them during an attempt
+with the same key at another gateway:
 
     46.7202 front-2 run_lost i-11c7af38de ... relaying, peer closed connection without sending
     complete message body
     47.0807 front-6 run_lost i-b1d1608502 ... relaying, peer closed connection without sending
     complete message body
 
-Mended by a record of each request under which back ends ended, replicated and told to all gateways:
-three distinct starts without a whole answer in between, and it is answered 400 at once.
+The evidence against a request is replicated and sent to all gateways. After crashes of three
+distinct starts without a complete response in between, gateways answer it with 400 at once.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
 GATEWAYS = 2
 RUNNERS = 6
 RESTART_S = 1.0
-TRIES = 16
+ATTEMPTS = 16
 PAUSE_S = 0.4
-ENOUGH = 3
-"""Ended back ends under one request that tell it apart from those that ran beside one."""
+REFUSAL_CRASHES = 3
+"""Crashed back ends from which a request counts as the cause."""
 
-SPREAD_S = 1.0
-"""Time in which all gateways must know."""
+PROPAGATION_S = 1.0
+"""Time in which all gateways must know about the verdict."""
 
-SENT_MEANWHILE = 2
-"""Tries that may reach a back end in that time."""
+MAX_SENT_MEANWHILE = 2
+"""Attempts that may reach a back end in that time."""
 
 
-class Stage:
-    """Control processes, gateways and back ends that end under one body."""
+class Cluster:
+    """Control processes, gateways and back ends that crash on requests with the body ``deadly``."""
 
-    def __init__(self, folder: Path) -> None:
-        self.fleet = SeededFleet(folder)
+    def __init__(self, directory: Path) -> None:
+        self.fleet = SeededFleet(directory)
         self.runners: list[MortalRunner] = []
 
     def start(self) -> None:
@@ -81,7 +81,7 @@
         return list(self.fleet.gateways.values())
 
     def sends(self, path: str) -> list[float]:
-        """Return when the deadly request came to a back end, in monotonic seconds."""
+        """Return when the harmful request arrived at a back end, in monotonic seconds."""
         seen = [item for runner in self.runners for item in runner.begun(b"deadly")]
         return sorted(item.began_s for item in seen if item.target == path)
 
@@ -96,13 +96,13 @@
 
 
 @pytest.fixture
-def stage(tmp_path: Path) -> Iterator[Stage]:
-    stage = Stage(tmp_path)
+def cluster(tmp_path: Path) -> Iterator[Cluster]:
+    cluster = Cluster(tmp_path)
     try:
-        stage.start()
-        yield stage
+        cluster.start()
+        yield cluster
     finally:
-        stage.stop()
+        cluster.stop()
 
 
 def ask(gateway: GatewayThread, path: str, body: bytes, request_id: str) -> RawReply:
@@ -118,50 +118,52 @@
 
 
 @pytest.mark.parametrize("paths", PATHS.values(), ids=PATHS)
-def test_tries_end_no_more_than_a_few_back_ends(
-    stage: Stage, paths: tuple[str, ...], paused_s: Callable[[], float]
+def test_retries_crash_no_more_than_a_few_back_ends(
+    cluster: Cluster, paths: tuple[str, ...], paused_s: Callable[[], float]
 ) -> None:
     for path in paths:
         replies: list[RawReply] = []
         asked_s: list[float] = []
         before_s = paused_s()
-        for number in range(TRIES):
-            gateway = stage.gateways[number % GATEWAYS]
+        for number in range(ATTEMPTS):
+            gateway = cluster.gateways[number % GATEWAYS]
             asked_s.append(time.monotonic())
             replies.append(ask(gateway, path, b"deadly", f"r{number}"))
             time.sleep(PAUSE_S)
-        sends = stage.sends(path)
-        assert stage.ends(path) >= ENOUGH, "the fault did not strike"
-        # All processes of this fleet are threads of this one, so they stand still together.
-        spread_s = SPREAD_S + paused_s() - before_s
-        later = [at_s for at_s in sends if at_s > sends[ENOUGH - 1] + spread_s]
+        sends = cluster.sends(path)
+        assert cluster.ends(path) >= REFUSAL_CRASHES, "the request crashed too few back ends"
+        # All processes of this fleet are threads of this one, so they are suspended together.
+        propagation_s = PROPAGATION_S + paused_s() - before_s
+        later = [at_s for at_s in sends if at_s > sends[REFUSAL_CRASHES - 1] + propagation_s]
         assert later == []
         meanwhile = [
             reply
             for reply, at_s in zip(replies, asked_s, strict=True)
-            if at_s > sends[ENOUGH - 1] and reply.status != 400
+            if at_s > sends[REFUSAL_CRASHES - 1] and reply.status != 400
         ]
-        assert len(meanwhile) <= SENT_MEANWHILE
-        # Told at once and finally: a sensible caller does not come again.
+        assert len(meanwhile) <= MAX_SENT_MEANWHILE
+        # The refusal is immediate and final, so that a well-behaved caller doesn't retry.
         assert [reply.status for reply in replies[-4:]] == [400] * 4
         assert max(reply.after_s for reply in replies[-4:]) < 0.5
-        # Another body under the same path is another request.
-        assert ask(stage.gateways[0], path, b"sound", "other").status == 200
+        # Another body with the same path is another request.
+        assert ask(cluster.gateways[0], path, b"sound", "other").status == 200
 
 
 def test_an_operator_sees_and_clears_a_verdict(
-    stage: Stage, capsys: pytest.CaptureFixture[str]
+    cluster: Cluster, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    for number in range(ENOUGH):
-        ask(stage.gateways[number % GATEWAYS], "/once/a", b"deadly", f"r{number}")
+    for number in range(REFUSAL_CRASHES):
+        ask(cluster.gateways[number % GATEWAYS], "/once/a", b"deadly", f"r{number}")
         time.sleep(PAUSE_S)
-    node = next(iter(stage.fleet.controls.values()))
-    wait_until(lambda: any(len(item.starts) >= ENOUGH for item in node.hub.suspects().suspects))
-    control = f"--control={stage.fleet.control_addresses()[1]}"
+    node = next(iter(cluster.fleet.controls.values()))
+    wait_until(
+        lambda: any(len(item.starts) >= REFUSAL_CRASHES for item in node.hub.suspects().suspects)
+    )
+    control = f"--control={cluster.fleet.control_addresses()[1]}"
     assert run("suspects", "list", "--json", control) == ExitCode.OK
-    told = capsys.readouterr().out
-    # The gateways' own lines come between; only the list is printed over several lines.
-    listed, _ = json.JSONDecoder().raw_decode(told[told.index("{\n") :])
+    output = capsys.readouterr().out
+    # Log lines of the gateways come before it; only the list is printed over several lines.
+    listed, _ = json.JSONDecoder().raw_decode(output[output.index("{\n") :])
     [record] = listed["suspects"]
     assert record["route"] == "once"
     assert run("suspects", "clear", "0123", control) != ExitCode.OK
--- a/tests/unit/test_proxy_admission.py
+++ b/tests/unit/test_proxy_admission.py
@@ -1,4 +1,4 @@
-"""Which requests are sent, held or refused when more come than the back ends can serve."""
+"""Admission decisions: which requests are sent, held or refused under overload."""
 
 from __future__ import annotations
 
@@ -44,15 +44,17 @@
         (2.6, Decision.HOLD),
         (20.0, Decision.HOLD),
     ],
-    ids=["free slots", "the last slot", "in time", "just too late", "far too late"],
+    ids=["free slots", "last free slot", "in time", "just too late", "far too late"],
 )
-def test_only_what_can_be_in_time_is_sent(queue: float, decision: Decision) -> None:
+def test_only_requests_that_can_meet_their_target_are_sent(
+    queue: float, decision: Decision
+) -> None:
     admission = AdmissionQueue(NOW_S)
     assert admission.admit(ticket(), estimate(queue), NOW_S) is decision
     assert admission.held == (decision is Decision.HOLD)
 
 
-def test_what_is_not_known_holds_nothing_back() -> None:
+def test_nothing_is_held_while_the_load_is_unknown() -> None:
     admission = AdmissionQueue(NOW_S)
     assert admission.admit(ticket(), None, NOW_S) is Decision.SEND
     admission.admit(ticket(), estimate(9), NOW_S)
@@ -60,14 +62,14 @@
     assert admission.pop_next(None, NOW_S) is None
 
 
-def test_a_request_goes_where_one_waits_though_its_aim_is_short() -> None:
-    """Batch work gives way only to what a back end reports as waiting."""
+def test_a_request_that_misses_its_target_joins_a_queue_of_one() -> None:
+    """Batch work yields only to requests that a back end reports as waiting."""
     admission = AdmissionQueue(NOW_S)
     short = Ticket(NOW_S, NOW_S + 0.01, NOW_S + LAST_S, HEAD_S)
     assert admission.admit(short, estimate(MAX_LATE_QUEUE), NOW_S) is Decision.SEND
 
 
-def test_what_can_be_in_time_goes_before_what_is_late() -> None:
+def test_requests_that_can_meet_their_target_go_before_late_ones() -> None:
     admission = AdmissionQueue(NOW_S - 1)
     late = ticket(NOW_S - 1)
     young, old = ticket(NOW_S), ticket(NOW_S - 0.1)
@@ -79,7 +81,7 @@
     assert admission.pop_next(estimate(0.5), NOW_S) is late
 
 
-def test_what_is_held_too_long_is_taken_out_in_time_for_its_refusal() -> None:
+def test_an_expired_request_is_removed_in_time_for_its_refusal() -> None:
     admission = AdmissionQueue(NOW_S)
     item = ticket()
     admission.admit(item, estimate(9), NOW_S)
@@ -88,15 +90,15 @@
     assert admission.held == 0
 
 
-def test_what_can_surely_not_be_served_is_refused_at_once() -> None:
-    """With so much in front of it, no lull would be long enough."""
+def test_a_request_that_cannot_be_served_is_refused_at_once() -> None:
+    """The backlog is too long to be served before the request's deadline."""
     admission = AdmissionQueue(NOW_S)
     assert admission.admit(ticket(), estimate(9, backlog=50), NOW_S) is Decision.REFUSE
     assert admission.held == 0
     assert retry_after_s(estimate(9, backlog=50), 0) == pytest.approx(50 * RUN_S / (SLOTS * 2))
 
 
-def test_without_a_lull_for_as_long_as_it_could_wait_a_request_is_refused_at_once() -> None:
+def test_a_request_is_refused_if_the_last_lull_is_longer_ago_than_it_could_wait() -> None:
     admission = AdmissionQueue(NOW_S)
     later_s = NOW_S + LAST_S + 0.1
     assert admission.admit(ticket(later_s), estimate(9), later_s) is Decision.REFUSE
@@ -104,7 +106,7 @@
     assert admission.admit(ticket(later_s), estimate(9), later_s) is Decision.HOLD
 
 
-def test_a_caller_who_left_is_forgotten() -> None:
+def test_a_request_can_be_discarded_more_than_once() -> None:
     admission = AdmissionQueue(NOW_S)
     item = ticket()
     admission.admit(item, estimate(9), NOW_S)
@@ -113,13 +115,13 @@
     assert admission.held == 0
 
 
-def test_a_refusal_never_says_at_once() -> None:
+def test_a_refusal_has_a_minimum_retry_delay() -> None:
     assert retry_after_s(None, 0) == MIN_RETRY_AFTER_S
     assert retry_after_s(estimate(0), 0) == MIN_RETRY_AFTER_S
 
 
 class _Pool:
-    """One first come first served pool of slots, in virtual time."""
+    """Pool of slots that serves requests in order of arrival, in virtual time."""
 
     def __init__(self, slots: int, run_s: float) -> None:
         self.slots = slots
@@ -143,8 +145,13 @@
         )
 
 
-def _play(admits: bool, bursts: int, per_s: float, run_s: float, slots: int) -> tuple[float, float]:
-    """Play bursts of 2.8 s with lulls of 3.8 s; return shares in time and served at all."""
+def _simulate(
+    with_admission: bool, bursts: int, per_s: float, run_s: float, slots: int
+) -> tuple[float, float]:
+    """Simulate bursts of 2.8 s and lulls of 3.8 s.
+
+    Returns the shares of requests that meet their target, and that meet their deadline.
+    """
     random = Random(1)
     pool = _Pool(slots, run_s)
     admission = AdmissionQueue(0.0)
@@ -157,7 +164,9 @@
         if random.random() < rate * step_s:
             item = ticket(now_s)
             asked.append(item)
-            decision = admission.admit(item, pool.estimate(), now_s) if admits else Decision.SEND
+            decision = (
+                admission.admit(item, pool.estimate(), now_s) if with_admission else Decision.SEND
+            )
             if decision is Decision.SEND:
                 pool.waiting.append(item)
         admission.pop_expired(now_s)
@@ -172,18 +181,18 @@
 @pytest.mark.parametrize(
     ("run_s", "slots"), [(0.75, 32), (0.4, 16), (1.5, 64)], ids=["usual", "fast", "slow"]
 )
-def test_in_overload_more_are_in_time_than_first_come_first_served(
+def test_under_overload_more_requests_are_in_time_than_first_come_first_served(
     run_s: float, slots: int
 ) -> None:
-    """A fifth more comes in each burst than the slots can take, at back ends of other speeds."""
+    """Each burst exceeds the capacity by a fifth, at back ends of different speeds."""
     per_s = slots / run_s * 1.2
-    first_come, served_first_come = _play(False, 12, per_s, run_s, slots)
-    in_time, served = _play(True, 12, per_s, run_s, slots)
+    first_come, served_first_come = _simulate(False, 12, per_s, run_s, slots)
+    in_time, served = _simulate(True, 12, per_s, run_s, slots)
     assert first_come < 0.75
     assert in_time > first_come + 0.1
     assert served >= served_first_come - 0.05
 
 
-def test_without_overload_nothing_changes() -> None:
+def test_without_overload_admission_control_changes_nothing() -> None:
     per_s = 32 / 0.75 * 0.6
-    assert _play(True, 6, per_s, 0.75, 32) == _play(False, 6, per_s, 0.75, 32) == (1.0, 1.0)
+    assert _simulate(True, 6, per_s, 0.75, 32) == _simulate(False, 6, per_s, 0.75, 32) == (1.0, 1.0)
--- a/tests/unit/test_proxy_admission_gate.py
+++ b/tests/unit/test_proxy_admission_gate.py
@@ -1,4 +1,4 @@
-"""Requests that are held at a gateway: let go, refused, or left by their callers."""
+"""Requests held at a gateway until they are released, refused or given up by their callers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Loads:
-    """Reads back ends' loads as they are set here."""
+    """Sender stub that reports the load set in ``load`` for every back end."""
 
     def __init__(self) -> None:
         self.load = EngineLoad(FULL, 0, SLOTS)
@@ -59,8 +59,8 @@
     return Ticket(now_s, now_s + 0.2, now_s + last_in_s, 0.02)
 
 
-def test_a_held_request_goes_once_its_back_end_has_room() -> None:
-    async def play() -> None:
+def test_a_held_request_is_released_once_its_back_end_has_free_slots() -> None:
+    async def scenario() -> None:
         loads, changes = Loads(), list[tuple[str, int]]()
         loads.load = EngineLoad(SLOTS, 6, SLOTS)
         gate, _ = gate_over(loads, 1, changes)
@@ -72,11 +72,11 @@
         assert await asyncio.wait_for(held, 0.3) is None
         assert changes == [(SERVICE, 1), (SERVICE, 0)]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_how_many_are_held_and_for_how_long_is_seen() -> None:
-    async def play() -> None:
+def test_the_number_and_age_of_held_requests_are_reported() -> None:
+    async def scenario() -> None:
         loads = Loads()
         loads.load = EngineLoad(SLOTS, 6, SLOTS)
         gate, _ = gate_over(loads, 1, [])
@@ -88,11 +88,11 @@
         await asyncio.wait_for(asyncio.gather(*held), 1.0)
         assert gate.waiting() == {SERVICE: (0, 0.0)}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_request_that_is_too_late_is_refused_before_its_caller_leaves() -> None:
-    async def play() -> None:
+def test_an_expired_request_is_refused_before_its_caller_gives_up() -> None:
+    async def scenario() -> None:
         loads = Loads()
         loads.load = EngineLoad(SLOTS, 6, SLOTS)
         gate, _ = gate_over(loads, 1, [])
@@ -101,11 +101,11 @@
         assert refusal.execution is Execution.NOT_RUN
         assert refusal.retry_after_s == pytest.approx(6 * 0.4 / SLOTS, rel=0.2)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_cannot_be_served_is_refused_at_once() -> None:
-    async def play() -> None:
+def test_a_request_that_cannot_be_served_is_refused_at_once() -> None:
+    async def scenario() -> None:
         gate, _ = gate_over(Loads(), 1, [])
         started_s = time.monotonic()
         refusal = await gate.enter(SERVICE, ticket())
@@ -113,21 +113,21 @@
         assert time.monotonic() - started_s < 0.05
         assert refusal.retry_after_s == pytest.approx((FULL - SLOTS) * 0.4 / SLOTS, rel=0.1)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_old_word_of_a_load_holds_nothing_back() -> None:
-    async def play() -> None:
+def test_nothing_is_held_on_an_outdated_load() -> None:
+    async def scenario() -> None:
         gate, balancer = gate_over(Loads(), 1, [])
         for runner in balancer.available(SERVICE):
             runner.load_updated_s -= MAX_LOAD_AGE_S + 0.1
         assert await gate.enter(SERVICE, ticket()) is None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_readings_are_bounded_however_many_back_ends_there_are() -> None:
-    async def play() -> None:
+def test_load_readings_are_bounded_for_any_number_of_back_ends() -> None:
+    async def scenario() -> None:
         loads = Loads()
         loads.load = EngineLoad(SLOTS, 6, SLOTS)
         gate, _ = gate_over(loads, 50, [])
@@ -140,9 +140,9 @@
         await asyncio.sleep(0.05)
         reads = loads.reads
         await asyncio.sleep(0.2)
-        assert loads.reads == reads, "nobody waits any more"
+        assert loads.reads == reads, "no request is held any more"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.fixture
@@ -153,7 +153,7 @@
 
 @pytest.fixture
 def proxy(runner: RunnerStandIn) -> Iterator[Proxy]:
-    """A proxy that knows its back end to be overloaded by others."""
+    """Provide a proxy whose back end is known to be overloaded by other gateways."""
     runner.online = 9
     with Proxy(make_table(make_route(RouteClass.REPEATABLE)), [runner]) as made:
         busy(made)
@@ -169,7 +169,7 @@
     proxy.call(tell)
 
 
-def test_a_held_request_is_answered_after_the_overload(
+def test_a_held_request_is_served_after_the_overload(
     proxy: Proxy, runner: RunnerStandIn, capfd: pytest.CaptureFixture[str]
 ) -> None:
     caller = proxy.caller()
@@ -184,7 +184,7 @@
     assert int(str(line["waited_ms"])) >= 300
 
 
-def test_a_request_whose_caller_left_while_it_was_held_reaches_nobody(
+def test_a_held_request_whose_caller_disconnects_is_not_sent(
     proxy: Proxy, runner: RunnerStandIn
 ) -> None:
     caller = proxy.caller()
@@ -197,7 +197,7 @@
     assert runner.seen == []
 
 
-def test_a_refusal_after_holding_says_not_run_and_when_to_come_back(
+def test_an_expired_request_is_answered_503_with_a_retry_delay(
     proxy: Proxy, runner: RunnerStandIn
 ) -> None:
     reply = proxy.ask("/repeatable/x", Leverjunction_Deadline_Ms="900")
--- a/tests/unit/test_proxy_first_response.py
+++ b/tests/unit/test_proxy_first_response.py
@@ -1,4 +1,4 @@
-"""The race of two ways to an answer, without any connection."""
+"""Race of two attempts for a response, without connections."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from leverjunction.proxy.dispatch import OpenedAnswer
 from leverjunction.proxy.hedging import Outcome, first_response
 
-ANSWER = cast(OpenedAnswer, object.__new__(OpenedAnswer))
+PRIMARY = cast(OpenedAnswer, object.__new__(OpenedAnswer))
 HEDGE = cast(OpenedAnswer, object.__new__(OpenedAnswer))
 LATE = Failure(kind=FailureKind.DEADLINE_EXCEEDED, reason="late", step=Step.RESPONDING)
-NONE = Failure(kind=FailureKind.OVERLOADED, reason="none", step=Step.RESPONDING)
+NO_BACK_END = Failure(kind=FailureKind.OVERLOADED, reason="no back end", step=Step.RESPONDING)
 
 
 class Attempt:
-    """Ends with its outcome after a number of steps of the event loop."""
+    """Attempt that ends with a given outcome after a number of event loop iterations."""
 
     def __init__(self, steps: int, outcome: Outcome | Exception) -> None:
         self.steps = steps
@@ -46,15 +46,15 @@
 @pytest.mark.parametrize(
     ("primary", "hedge", "expected"),
     [
-        (Attempt(2, ANSWER), Attempt(9, HEDGE), ANSWER),
-        (Attempt(9, ANSWER), Attempt(2, HEDGE), HEDGE),
-        (Attempt(9, ANSWER), Attempt(2, NONE), ANSWER),
+        (Attempt(2, PRIMARY), Attempt(9, HEDGE), PRIMARY),
+        (Attempt(9, PRIMARY), Attempt(2, HEDGE), HEDGE),
+        (Attempt(9, PRIMARY), Attempt(2, NO_BACK_END), PRIMARY),
         (Attempt(2, LATE), Attempt(9, HEDGE), HEDGE),
-        (Attempt(2, LATE), Attempt(9, NONE), NONE),
-        (Attempt(9, LATE), Attempt(2, NONE), NONE),
+        (Attempt(2, LATE), Attempt(9, NO_BACK_END), NO_BACK_END),
+        (Attempt(9, LATE), Attempt(2, NO_BACK_END), NO_BACK_END),
     ],
 )
-def test_the_first_answer_is_taken_and_a_failure_only_after_both(
+def test_the_first_response_is_returned_and_a_failure_only_if_both_fail(
     primary: Attempt, hedge: Attempt, expected: Outcome
 ) -> None:
     outcome, discarded = _race(primary, hedge)
@@ -62,21 +62,21 @@
     assert discarded == []
 
 
-def test_an_answer_that_opens_in_the_same_step_is_let_go() -> None:
-    outcome, discarded = _race(Attempt(3, ANSWER), Attempt(3, HEDGE))
-    assert {id(outcome), *map(id, discarded)} == {id(ANSWER), id(HEDGE)}
+def test_a_second_response_in_the_same_iteration_is_discarded() -> None:
+    outcome, discarded = _race(Attempt(3, PRIMARY), Attempt(3, HEDGE))
+    assert {id(outcome), *map(id, discarded)} == {id(PRIMARY), id(HEDGE)}
     assert len(discarded) == 1
 
 
-def test_an_error_of_one_way_ends_the_other() -> None:
-    primary = Attempt(50, ANSWER)
+def test_an_exception_in_one_attempt_cancels_the_other() -> None:
+    primary = Attempt(50, PRIMARY)
     with pytest.raises(ZeroDivisionError):
         _race(primary, Attempt(1, ZeroDivisionError()))
     assert not primary.ended
 
 
-def test_who_is_cancelled_leaves_both() -> None:
-    attempts = (Attempt(50, ANSWER), Attempt(50, HEDGE))
+def test_cancellation_cancels_both_attempts() -> None:
+    attempts = (Attempt(50, PRIMARY), Attempt(50, HEDGE))
 
     async def cancelled() -> None:
         task = asyncio.ensure_future(
--- a/tests/unit/test_proxy_freshness.py
+++ b/tests/unit/test_proxy_freshness.py
@@ -1,4 +1,4 @@
-"""A gateway that stood still asks before it sends: back ends may have left meanwhile."""
+"""A gateway that was suspended waits for current registry state before it handles requests."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_a_request_after_a_standstill_waits_for_the_news_of_back_ends(
+def test_a_request_after_a_suspension_waits_for_the_current_back_ends(
     leaving: RunnerStandIn, staying: RunnerStandIn, path: str
 ) -> None:
-    """It went by what the gateway had known before, to a back end that had left meanwhile."""
+    """With the state from before, it went to a back end that had left during the suspension."""
     with Proxy(make_table(), [leaving]) as proxy:
         proxy.is_in_doubt = True
         replies: list[RawReply] = []
@@ -55,8 +55,8 @@
     assert leaving.seen == []
 
 
-def test_a_route_that_was_added_meanwhile_is_served(staying: RunnerStandIn) -> None:
-    """It was denied by the table from before the standstill."""
+def test_a_route_that_was_added_during_the_suspension_is_served(staying: RunnerStandIn) -> None:
+    """The route table from before the suspension didn't contain it, so the request was rejected."""
     with Proxy(RouteTable(version=1), [staying]) as proxy:
         proxy.is_in_doubt = True
         replies: list[RawReply] = []
@@ -73,5 +73,5 @@
     with Proxy(make_table(), [staying]) as proxy:
         proxy.is_in_doubt = True
         reply = proxy.ask(PATHS[0], Leverjunction_Deadline_Ms="300")
-    assert reply.status == 503, "it was not sent to any back end"
+    assert reply.status == 503, "no back end was tried"
     assert staying.seen == []
--- a/tests/unit/test_proxy_hedge_delay.py
+++ b/tests/unit/test_proxy_hedge_delay.py
@@ -1,4 +1,4 @@
-"""How long a head is waited for, and which back ends are avoided for being slow."""
+"""Delay before a request is hedged, and avoidance of back ends that respond slowly."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(("target_ms", "hedge_delay_s"), [(50.0, 0.4), (500.0, 1.5)])
-def test_without_experience_a_head_is_waited_for_long(
+def test_the_hedge_delay_is_long_with_too_few_samples(
     target_ms: float, hedge_delay_s: float
 ) -> None:
     latencies = latencies_of(*[0.01] * (MIN_SAMPLES - 1))
@@ -30,17 +30,17 @@
 @pytest.mark.parametrize(
     ("latency_s", "target_ms", "hedge_delay_s"), [(0.04, 125.0, 0.1), (0.01, 400.0, 0.2)]
 )
-def test_patience_follows_the_heads_that_came(
+def test_the_hedge_delay_follows_recent_latencies(
     latency_s: float, target_ms: float, hedge_delay_s: float
 ) -> None:
     assert latencies_of(*[latency_s] * 30).hedge_delay_s(target_ms) == pytest.approx(hedge_delay_s)
 
 
-def test_rare_late_heads_do_not_make_it_patient() -> None:
+def test_a_few_late_heads_do_not_raise_the_hedge_delay() -> None:
     assert latencies_of(*[0.03] * 60, 2.0, 2.0).hedge_delay_s(100.0) == pytest.approx(0.075)
 
 
-def test_overload_makes_it_patient() -> None:
+def test_overload_raises_the_hedge_delay() -> None:
     assert latencies_of(*[0.5] * 40).hedge_delay_s(100.0) == pytest.approx(1.25)
 
 
@@ -56,7 +56,7 @@
     return made
 
 
-def test_a_back_end_whose_heads_come_late_is_avoided_for_a_while() -> None:
+def test_a_back_end_that_responds_late_is_avoided_for_a_while() -> None:
     made = balancer()
     slow = made.available("s")[0]
     for _ in range(5):
@@ -67,7 +67,7 @@
     assert any(choice is not None and choice.runner is slow for choice in later)
 
 
-def test_reading_a_long_prompt_does_not_count_as_slow() -> None:
+def test_prefill_of_a_long_prompt_does_not_count_as_delay() -> None:
     runner = balancer(1).available("s")[0]
     runner.record_head(0.2, tokens_in=16_000, now_s=1.0)
     assert runner.delay_ms(1.0) == 0
--- a/tests/unit/test_proxy_hedging.py
+++ b/tests/unit/test_proxy_hedging.py
@@ -1,4 +1,4 @@
-"""A head that is late is waited for while another back end is asked."""
+"""Hedged requests: another back end is tried while waiting for a late response head."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 REPEATABLE = "/repeatable/x"
 ONCE = "/once/x"
-AIM_S = 0.2
-"""Target latency of the repeatable route."""
+TARGET_S = 0.2
+"""Target latency of the repeatable route, in seconds."""
 
-LEARNED_FROM = 40
+WARM_UP_REQUESTS = 40
 
 
 @pytest.fixture
@@ -31,22 +31,20 @@
         yield runner
 
 
-def test_a_sound_back_end_that_is_late_answers_though_the_other_one_is_silent(
+def test_the_response_of_a_late_back_end_is_used_if_the_other_one_is_silent(
     first: RunnerStandIn, second: RunnerStandIn, paused_s: Callable[[], float]
 ) -> None:
     with Proxy(_table(), [first, second]) as proxy:
-        _learn(proxy)
+        _warm_up(proxy)
         first.usual, second.usual = "silent", "late"
         replies = [proxy.ask(REPEATABLE) for _ in range(4)]
     assert [reply.status for reply in replies] == [200] * 4
-    assert max(reply.after_s for reply in replies) < AIM_S + 0.1 + paused_s()
+    assert max(reply.after_s for reply in replies) < TARGET_S + 0.1 + paused_s()
 
 
-def test_the_only_back_end_is_asked_again(
-    first: RunnerStandIn, paused_s: Callable[[], float]
-) -> None:
+def test_the_only_back_end_is_retried(first: RunnerStandIn, paused_s: Callable[[], float]) -> None:
     with Proxy(_table(), [first]) as proxy:
-        _learn(proxy)
+        _warm_up(proxy)
         served = len(first.seen)
         first.usual = "silent"
         reply = proxy.ask(REPEATABLE, Leverjunction_Deadline_Ms="600")
@@ -55,11 +53,11 @@
     assert len(first.seen) - served == 2
 
 
-def test_a_request_that_may_run_once_is_never_asked_of_two(
+def test_a_request_that_may_run_only_once_is_not_hedged(
     first: RunnerStandIn, second: RunnerStandIn
 ) -> None:
     with Proxy(_table(), [first, second]) as proxy:
-        _learn(proxy)
+        _warm_up(proxy)
         served = len(first.seen) + len(second.seen)
         first.usual = second.usual = "late"
         statuses = {proxy.ask(ONCE, Leverjunction_Request_Id=f"r{n}").status for n in range(4)}
@@ -67,9 +65,11 @@
     assert len(first.seen) + len(second.seen) - served == 4
 
 
-def test_a_caller_that_leaves_ends_both_runs(first: RunnerStandIn, second: RunnerStandIn) -> None:
+def test_a_caller_that_disconnects_ends_both_runs(
+    first: RunnerStandIn, second: RunnerStandIn
+) -> None:
     with Proxy(_table(), [first, second]) as proxy:
-        _learn(proxy)
+        _warm_up(proxy)
         first.usual = second.usual = "silent"
         served = len(first.seen) + len(second.seen)
         caller = proxy.caller()
@@ -81,9 +81,9 @@
         _wait(lambda: [runner.own_requests for runner in runners] == [0, 0])
 
 
-def test_the_way_that_is_not_taken_is_left(first: RunnerStandIn, second: RunnerStandIn) -> None:
+def test_the_slower_attempt_is_cancelled(first: RunnerStandIn, second: RunnerStandIn) -> None:
     with Proxy(_table(), [first, second]) as proxy:
-        _learn(proxy)
+        _warm_up(proxy)
         first.usual = "silent"
         for _ in range(6):
             assert proxy.ask(REPEATABLE).status == 200
@@ -96,8 +96,8 @@
     return make_table(*(make_route(kind) for kind in RouteClass))
 
 
-def _learn(proxy: Proxy) -> None:
-    for _ in range(LEARNED_FROM):
+def _warm_up(proxy: Proxy) -> None:
+    for _ in range(WARM_UP_REQUESTS):
         assert proxy.ask(REPEATABLE).status == 200
 
 
--- a/tests/unit/test_proxy_load_row.py
+++ b/tests/unit/test_proxy_load_row.py
@@ -1,4 +1,4 @@
-"""Loads of all back ends in a row that both sides read alike."""
+"""Encoding of the loads of all back ends as a row."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 @given(IDS, st.data())
-def test_a_row_tells_what_is_known(ids: list[str], data: st.DataObject) -> None:
+def test_a_row_round_trips_the_known_loads(ids: list[str], data: st.DataObject) -> None:
     known = data.draw(st.sets(st.sampled_from(ids))) if ids else set()
     loads = {key: data.draw(st.integers(0, MAX_LOAD)) for key in known}
     assert BackEndOrder(ids).unpack(BackEndOrder(reversed(ids)).pack(loads)) == loads
 
 
-def test_a_load_that_does_not_fit_is_told_as_the_most() -> None:
+def test_a_load_that_does_not_fit_is_capped() -> None:
     order = BackEndOrder(["a"])
     assert order.unpack(order.pack({"a": 4000})) == {"a": MAX_LOAD}
 
 
-def test_other_back_ends_have_another_key() -> None:
+def test_the_key_depends_on_the_set_of_back_ends_only() -> None:
     assert BackEndOrder(["b", "a"]).key == BackEndOrder(["a", "b"]).key
     assert BackEndOrder(["a", "b"]).key != BackEndOrder(["a", "b", "c"]).key
--- a/tests/unit/test_proxy_online_loads.py
+++ b/tests/unit/test_proxy_online_loads.py
@@ -1,4 +1,4 @@
-"""What a gateway tells a leader of batch work, and when."""
+"""Contents and timing of a gateway's load reports to the leader of batch work."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     return made
 
 
-def test_nothing_is_told_that_nobody_wants() -> None:
+def test_nothing_is_reported_without_a_request() -> None:
     reporter = LoadReporter("g")
     reporter.runner_changed("i1", 1)
     assert reporter.change_due_s(NOW_S) is None
 
 
-def test_a_change_is_told_at_once_and_those_that_come_together_in_one_word(
+def test_a_change_is_reported_at_once_and_simultaneous_changes_together(
     reporter: LoadReporter,
 ) -> None:
     reporter.runner_changed("i1", 1)
@@ -44,8 +44,10 @@
     assert (message.whole, message.runners, message.held) == (False, {"i1": 0}, {"s": 3})
 
 
-def test_words_ahead_of_their_time_are_made_up_for(reporter: LoadReporter) -> None:
-    """Of 165 gateways each may tell six times a second; a change waited 80 ms for its turn."""
+def test_early_reports_do_not_raise_the_average_rate(reporter: LoadReporter) -> None:
+    """Each of 165 gateways may report six times per second; without early reports, a change waited
+    80 ms for its turn.
+    """
     now_s = NOW_S
     for _ in range(MAX_REPORTS_AHEAD + 1):
         reporter.runner_changed("i1", 1)
@@ -68,20 +70,20 @@
     assert reports <= 101
 
 
-def test_what_others_have_is_what_all_have_less_what_was_told(reporter: LoadReporter) -> None:
+def test_other_loads_are_the_totals_less_the_reported_own_loads(reporter: LoadReporter) -> None:
     reporter.runner_changed("i1", 2)
-    assert reporter.other_loads({"i1": 5, "i2": 1}) == {"i1": 5, "i2": 1}, "not told yet"
+    assert reporter.other_loads({"i1": 5, "i2": 1}) == {"i1": 5, "i2": 1}, "not reported yet"
     reporter.change_report(NOW_S)
     assert reporter.other_loads({"i1": 5, "i2": 1}) == {"i1": 3, "i2": 1}
-    assert reporter.other_loads({"i1": 1}) == {"i1": 0}, "a word was lost"
+    assert reporter.other_loads({"i1": 1}) == {"i1": 0}, "a report was lost"
 
 
-def test_nothing_is_told_any_more_once_the_leader_is_silent(reporter: LoadReporter) -> None:
+def test_changes_are_not_reported_after_the_request_has_expired(reporter: LoadReporter) -> None:
     reporter.runner_changed("i1", 1)
     assert reporter.change_due_s(NOW_S + 1.6) is None
 
 
-def test_all_counts_are_told_now_and_then_without_those_that_are_zero(
+def test_a_full_report_contains_all_counts_except_zeros(
     reporter: LoadReporter,
 ) -> None:
     reporter.runner_changed("i1", 1)
@@ -90,19 +92,21 @@
     message = reporter.full_report(NOW_S)
     assert message is not None
     assert (message.gateway, message.whole, message.runners) == ("g", True, {"i2": 2})
-    assert reporter.change_due_s(NOW_S) is None, "told already"
+    assert reporter.change_due_s(NOW_S) is None, "already reported"
     assert reporter.full_report(NOW_S + FULL_REPORT_INTERVAL_S / 2) is None
     assert reporter.full_report(NOW_S + FULL_REPORT_INTERVAL_S) is not None
 
 
-def test_stores_that_want_nothing_are_told_less_often() -> None:
+def test_full_reports_are_less_frequent_without_a_request() -> None:
     reporter = LoadReporter("g")
     assert reporter.full_report(NOW_S) is not None
     assert reporter.full_report(NOW_S + FULL_REPORT_INTERVAL_S) is None
     assert reporter.full_report(NOW_S + DISCOVERY_INTERVAL_S) is not None
 
 
-def test_no_leader_makes_a_gateway_tell_without_a_pause(reporter: LoadReporter) -> None:
+def test_reports_keep_a_minimum_interval_whatever_the_leader_requests(
+    reporter: LoadReporter,
+) -> None:
     reporter.apply_request(LoadsWanted(interval_s=0.0, for_s=1.5), NOW_S)
     reporter.runner_changed("i1", 1)
     reporter.change_report(NOW_S)
--- a/tests/unit/test_proxy_snapshot_publisher.py
+++ b/tests/unit/test_proxy_snapshot_publisher.py
@@ -1,4 +1,4 @@
-"""What one part of a gateway cannot take over keeps no news from the others, and is not lost."""
+"""A receiver that fails to apply a registry snapshot doesn't affect the others, and is retried."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     return Snapshot(RouteTable(version=version), FleetView(revision=version))
 
 
-class Parts:
-    """Receivers of which one fails a number of times."""
+class Receivers:
+    """Receivers, one of which fails a number of times."""
 
-    def __init__(self, broken: str, failures: int) -> None:
-        self.broken = broken
+    def __init__(self, failing: str, failures: int) -> None:
+        self.failing = failing
         self.failures = failures
         self.taken: dict[str, list[int]] = {name: [] for name in NAMES}
 
@@ -33,7 +33,7 @@
 
     def _receiver(self, name: str) -> Callable[[Snapshot], None]:
         def take(state: Snapshot) -> None:
-            if name == self.broken and self.failures:
+            if name == self.failing and self.failures:
                 self.failures -= 1
                 raise KeyError("i-1")
             self.taken[name].append(state.table.version)
@@ -42,35 +42,37 @@
 
 
 @pytest.fixture(autouse=True)
-def _soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def _short_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(snapshot_publisher, "RETRY_S", 0.02)
 
 
-@pytest.mark.parametrize("broken", NAMES)
-def test_news_reach_all_others_and_the_broken_one_later(broken: str) -> None:
-    """A table was not put in force, since an error on a back end's record came before it."""
-    parts = Parts(broken, failures=3)
+@pytest.mark.parametrize("failing", NAMES)
+def test_a_snapshot_reaches_the_other_receivers_at_once_and_the_failing_one_later(
+    failing: str,
+) -> None:
+    """An error in a back end's record kept the gateway from applying a route table."""
+    receivers = Receivers(failing, failures=3)
 
     async def run() -> tuple[int, int]:
-        publisher = SnapshotPublisher(parts.receivers())
+        publisher = SnapshotPublisher(receivers.receivers())
         publisher.publish(snapshot(5))
         at_once = publisher.failing()
         await asyncio.sleep(0.3)
         return at_once, publisher.failing()
 
     assert asyncio.run(run()) == (1, 0)
-    assert parts.taken == {name: [5] for name in NAMES}
+    assert receivers.taken == {name: [5] for name in NAMES}
 
 
-def test_the_newest_state_is_what_is_tried_again() -> None:
-    parts = Parts("route table", failures=2)
+def test_a_retry_uses_the_newest_snapshot() -> None:
+    receivers = Receivers("route table", failures=2)
 
     async def run() -> None:
-        publisher = SnapshotPublisher(parts.receivers())
+        publisher = SnapshotPublisher(receivers.receivers())
         publisher.publish(snapshot(5))
         publisher.publish(snapshot(6))
         await asyncio.sleep(0.2)
 
     asyncio.run(run())
-    assert parts.taken["route table"] == [6]
-    assert parts.taken["back ends"] == [5, 6]
+    assert receivers.taken["route table"] == [6]
+    assert receivers.taken["back ends"] == [5, 6]
--- a/tests/unit/test_proxy_water_filling.py
+++ b/tests/unit/test_proxy_water_filling.py
@@ -1,4 +1,4 @@
-"""Where requests go that others have sent unseen, and this gateway's among them."""
+"""Distribution of unreported requests, and of this gateway's own one, over back ends."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
         (((0, 8), (300, 0)), 7, (8.0, 0.0)),
         (((0, 1), (50, 1), (5000, 0)), 1, (1.2, 0.8, 0.0)),
     ],
-    ids=["fresh", "alike", "until level", "slots before queues", "suspects last"],
+    ids=["fresh", "equal", "up to the same cost", "slots before queues", "expensive last"],
 )
-def test_cheapest_places_fill_first(
+def test_the_cheapest_candidates_fill_first(
     known: tuple[tuple[float, float], ...], unreported: float, expected: tuple[float, ...]
 ) -> None:
     assert expected_assignments(candidates(*known), unreported, STEPS) == pytest.approx(
@@ -46,18 +46,18 @@
     st.lists(st.tuples(st.floats(0, 10_000), st.floats(-30, 30)), min_size=1, max_size=50),
     st.floats(0, 500),
 )
-def test_all_that_is_unseen_has_a_place(
+def test_all_unreported_requests_are_assigned(
     known: list[tuple[float, float]], unreported: float
 ) -> None:
     filled = expected_assignments(candidates(*known), unreported, STEPS)
     assert min(filled) >= 0.0
-    # The level is found to a part of its interval, so a place may seem to take a little more.
+    # Allows for rounding errors in the water level.
     assert sum(filled) >= (unreported + 1) * (1 - 1e-9)
     cheapest = min(range(len(known)), key=lambda index: known[index][0])
     assert filled[cheapest] > 0.0
 
 
-def test_draws_follow_the_shares() -> None:
+def test_choices_are_proportional_to_the_weights() -> None:
     random = Random(1)
     counts = Counter(weighted_choice([3.0, 0.0, 1.0], random) for _ in range(4000))
     assert counts[1] == 0
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Evidence against requests, verdicts, and how these end; by the questions that matter."""
+"""Quarantine of requests that crash back ends: evidence, verdicts and their expiry."""
 
 from __future__ import annotations
 
@@ -70,11 +70,11 @@
         ({"body": b"x" * 4_000_000}, False),
     ],
 )
-def test_which_requests_are_the_same(changes: dict[str, bytes], is_same: bool) -> None:
+def test_which_changes_make_another_request(changes: dict[str, bytes], is_same: bool) -> None:
     assert (request_key(content(**changes)) == request_key(content())) is is_same
 
 
-def test_ids_deadlines_and_stream_positions_do_not_matter() -> None:
+def test_the_key_is_independent_of_ids_deadlines_and_stream_positions() -> None:
     def request(number: int) -> CallerRequest:
         headers = [
             (b"Host", b"app.example"),
@@ -87,7 +87,7 @@
     assert len({request_key(content_of(request(number))) for number in range(5)}) == 1
 
 
-def test_a_key_begins_with_its_path() -> None:
+def test_a_key_starts_with_its_path_part() -> None:
     assert request_key(content()).startswith(path_part(content()))
     assert path_part(content(body=b"other")) == path_part(content())
 
@@ -95,30 +95,30 @@
 ONE = ended("a")
 EVIDENCE: dict[str, tuple[tuple[EndedRun, ...], Standing]] = {
     "nothing": ((), Standing.SOUND),
-    "one end": ((ONE,), Standing.SUSPECT),
-    "one end told by three gateways": ((ONE, ONE, ONE), Standing.SUSPECT),
-    "two ends": ((ONE, ended("b")), Standing.CAREFUL),
-    "three ends, one told late and twice": (
+    "one crash": ((ONE,), Standing.SUSPECT),
+    "one crash reported by three gateways": ((ONE, ONE, ONE), Standing.SUSPECT),
+    "two crashes": ((ONE, ended("b")), Standing.CAREFUL),
+    "three crashes, one reported twice": (
         (ended("b"), ONE, ended("c"), ONE),
         Standing.REFUSED,
     ),
-    "two ends of runs that had gone on": ((late("a"), late("b")), Standing.SOUND),
-    "three of these": ((late("a"), late("b"), late("c")), Standing.SUSPECT),
-    "the same end told of both kinds": ((late("a"), ONE, late("a")), Standing.SUSPECT),
-    "two of runs that had just begun, three of others": (
+    "two late crashes": ((late("a"), late("b")), Standing.SOUND),
+    "three late crashes": ((late("a"), late("b"), late("c")), Standing.SUSPECT),
+    "one crash reported as late and as early": ((late("a"), ONE, late("a")), Standing.SUSPECT),
+    "two early crashes and three late ones": (
         (ONE, ended("b"), late("c"), late("d"), late("e")),
         Standing.REFUSED,
     ),
-    "nine ends of runs that had gone on": (
+    "nine late crashes": (
         tuple(late(f"i-{n}") for n in range(9)),
         Standing.REFUSED,
     ),
-    "very many ends": (tuple(ended(f"i-{n}") for n in range(100)), Standing.REFUSED),
+    "very many crashes": (tuple(ended(f"i-{n}") for n in range(100)), Standing.REFUSED),
 }
 
 
 @pytest.mark.parametrize("name", EVIDENCE)
-def test_how_much_evidence_makes_a_verdict(name: str) -> None:
+def test_the_standing_follows_from_the_evidence(name: str) -> None:
     runs, expected = EVIDENCE[name]
     suspects = Suspects()
     record: SuspectRecord | None = None
@@ -130,7 +130,7 @@
     assert record is None or len(record.starts) + len(record.late_starts) <= 24
 
 
-def test_own_evidence_and_what_others_saw_count_together() -> None:
+def test_own_and_reported_evidence_are_combined() -> None:
     suspects = Suspects()
     suspects.replace(SuspectList(revision=1, suspects=(record_of("a", "b"),)))
     assert suspects.standing("k") is Standing.CAREFUL
@@ -140,7 +140,7 @@
     assert suspects.standing("k") is Standing.REFUSED
 
 
-def test_a_whole_answer_clears() -> None:
+def test_a_complete_response_clears_a_suspect() -> None:
     suspects = Suspects()
     key = request_key(content())
     suspects.replace(SuspectList(revision=1, suspects=(record_of("a", "b"),)))
@@ -150,12 +150,12 @@
     assert suspects.find(content()) == ""
 
 
-def test_what_is_cleared_elsewhere_is_cleared_here() -> None:
+def test_a_suspect_cleared_elsewhere_is_cleared_here() -> None:
     suspects = Suspects()
     for start in ("a", "b", "c"):
         suspects.ended(ended(start), 0.0)
     suspects.replace(SuspectList(revision=1))
-    assert suspects.standing("k") is Standing.REFUSED, "not told of yet"
+    assert suspects.standing("k") is Standing.REFUSED, "not reported by the registry yet"
     suspects.replace(SuspectList(revision=2, suspects=(record_of("a", "b", "c"),)))
     suspects.replace(SuspectList(revision=3))
     assert suspects.standing("k") is Standing.SOUND
@@ -170,7 +170,7 @@
     assert suspects.is_empty
 
 
-def test_other_requests_are_not_hashed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bodies_are_hashed_only_for_paths_of_suspects(monkeypatch: pytest.MonkeyPatch) -> None:
     hashed: list[RequestContent] = []
     from leverjunction.quarantine import suspects as module
 
@@ -188,7 +188,7 @@
     assert len(hashed) == 1
 
 
-def test_a_verdict_ends_and_comes_again_for_longer() -> None:
+def test_each_further_verdict_lasts_longer() -> None:
     record = record_of("a", "b", "c")
     lengths = [retention_s(record)]
     for number in range(12):
@@ -202,7 +202,7 @@
     assert retention_s(record_of("a", "b")) == SUSPECT_TTL_S
 
 
-def test_a_verdict_by_ends_of_runs_that_had_gone_on_ends_too() -> None:
+def test_a_verdict_by_late_crashes_expires_too() -> None:
     record: SuspectRecord | None = None
     for number in range(9):
         record = with_ended_run(record, late(f"i-{number}"))
@@ -211,7 +211,7 @@
     assert standing(on_trial(record)) is Standing.CAREFUL
 
 
-def test_the_leader_ends_what_is_old() -> None:
+def test_the_review_expires_verdicts_and_suspects() -> None:
     review = SuspectReview()
     refused, suspect = record_of("a", "b", "c"), with_ended_run(None, ended("a", "other"))
     told = SuspectList(revision=1, suspects=(refused, suspect))
@@ -224,29 +224,29 @@
 @pytest.mark.parametrize(
     ("first_output_s", "expected"), [(None, False), (9.9, False), (9.76, False), (9.7, True)]
 )
-def test_when_a_run_had_gone_on(first_output_s: float | None, expected: bool) -> None:
+def test_when_a_crash_counts_as_late(first_output_s: float | None, expected: bool) -> None:
     assert ran_on(first_output_s, 10.0) is expected
 
 
 Proof = Callable[[CrashDetector], list[EndedRun]]
 PROOFS: dict[str, tuple[Proof, int]] = {
-    "nobody listens": (lambda watch: watch.ended("a", 0.1), 1),
-    "told twice": (lambda watch: watch.ended("a", 0.1) + watch.ended("a", 0.2), 1),
-    "another start ended": (lambda watch: watch.ended("b", 0.1), 0),
-    "proof comes too late": (lambda watch: watch.ended("a", PROOF_TIMEOUT_S + 0.1), 0),
-    "it left": (lambda watch: (watch.planned_stop("a"), watch.ended("a", 0.1))[1], 0),
+    "port closed": (lambda watch: watch.ended("a", 0.1), 1),
+    "proved twice": (lambda watch: watch.ended("a", 0.1) + watch.ended("a", 0.2), 1),
+    "another start crashed": (lambda watch: watch.ended("b", 0.1), 0),
+    "proof too late": (lambda watch: watch.ended("a", PROOF_TIMEOUT_S + 0.1), 0),
+    "planned stop": (lambda watch: (watch.planned_stop("a"), watch.ended("a", 0.1))[1], 0),
 }
 
 
 @pytest.mark.parametrize("name", PROOFS)
-def test_what_proves_that_a_start_ended(name: str) -> None:
+def test_what_proves_that_a_start_crashed(name: str) -> None:
     prove, expected = PROOFS[name]
     watch = CrashDetector()
     assert watch.lost(ended("a"), 0.0) == []
     assert len(prove(watch)) == expected
 
 
-def test_all_runs_of_an_ended_start_are_evidence_also_those_noticed_later() -> None:
+def test_all_lost_runs_of_a_crashed_start_are_evidence_even_if_detected_later() -> None:
     watch = CrashDetector()
     for number in range(12):
         watch.lost(ended("a", f"k{number}"), 0.0)
@@ -254,7 +254,7 @@
     assert len(watch.lost(ended("a", "late"), 0.2)) == 1
 
 
-def test_runs_without_proof_are_bounded() -> None:
+def test_the_number_of_runs_without_proof_is_bounded() -> None:
     watch = CrashDetector()
     for number in range(MAX_PENDING_RUNS + 100):
         watch.lost(ended(f"i-{number}"), 0.0)
@@ -276,32 +276,36 @@
 
 LISTENING = "the test's own port"
 REGISTRY: dict[str, tuple[RunnerRecord, list[RunnerRecord], Standing]] = {
-    "it was leaving": (
+    "leaving": (
         runner("a"),
         [runner("a", state=RunnerState.LEAVING)],
         Standing.SOUND,
     ),
-    "it had left": (runner("a"), [runner("b", "127.0.0.1:2")], Standing.SOUND),
-    "it is listed still": (runner("a", LISTENING), [runner("a", LISTENING)], Standing.SOUND),
-    "it is silent": (
+    "removed": (runner("a"), [runner("b", "127.0.0.1:2")], Standing.SOUND),
+    "still listed and listening": (
+        runner("a", LISTENING),
+        [runner("a", LISTENING)],
+        Standing.SOUND,
+    ),
+    "silent": (
         runner("a", LISTENING),
         [runner("a", LISTENING, state=RunnerState.SILENT)],
         Standing.SUSPECT,
     ),
-    "another start has its address": (
+    "address taken by another start": (
         runner("a", LISTENING),
         [runner("a", LISTENING), runner("b", LISTENING)],
         Standing.SUSPECT,
     ),
-    "nobody listens there": (runner("a"), [runner("a")], Standing.SUSPECT),
+    "still listed, port closed": (runner("a"), [runner("a")], Standing.SUSPECT),
 }
 
 
 @pytest.mark.parametrize("name", REGISTRY)
-def test_what_the_registry_and_a_look_say_of_a_broken_run(name: str) -> None:
+def test_a_lost_run_is_judged_by_the_registry_and_a_probe(name: str) -> None:
     at, listed, expected = REGISTRY[name]
 
-    async def play() -> Standing:
+    async def scenario() -> Standing:
         server = await asyncio.start_server(lambda _reader, writer: writer.close(), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         here = f"127.0.0.1:{port}"
@@ -322,25 +326,27 @@
         server.close()
         return quarantine.standing(quarantine.find(request))
 
-    assert asyncio.run(play()) is expected
+    assert asyncio.run(scenario()) is expected
 
 
-CALM_HIT = 0.01
-STORM_HIT = 0.15
-"""Share of runs that meet the end of their back end: on a day with crashes, and while bad requests
-end one back end of nine each second under runs of a second.
+USUAL_CRASH_RATE = 0.01
+HIGH_CRASH_RATE = 0.15
+"""Shares of runs hit by a crash with another cause: on a day with crashes, and while harmful
+requests crash one of nine back ends per second and runs take a second.
 """
 
 
-@pytest.mark.parametrize(("hit", "most"), [(CALM_HIT, 0.00001), (STORM_HIT, 0.005)])
-def test_how_often_a_sound_request_is_refused(hit: float, most: float) -> None:
-    """Two tries of two runs each: it is refused if three in a row meet an end."""
+@pytest.mark.parametrize(
+    ("crash_rate", "max_share"), [(USUAL_CRASH_RATE, 0.00001), (HIGH_CRASH_RATE, 0.005)]
+)
+def test_a_harmless_request_is_rarely_refused(crash_rate: float, max_share: float) -> None:
+    """Two attempts with two runs each: the request is refused if three in a row meet a crash."""
     random = Random(26)
-    wrong = 0
+    refused = 0
     count = 200_000
     for _ in range(count):
-        ends = 0
-        while ends < REFUSAL_THRESHOLD and random.random() < hit:
-            ends += 1
-        wrong += ends >= REFUSAL_THRESHOLD
-    assert wrong / count <= most
+        crashes = 0
+        while crashes < REFUSAL_THRESHOLD and random.random() < crash_rate:
+            crashes += 1
+        refused += crashes >= REFUSAL_THRESHOLD
+    assert refused / count <= max_share
