--- a/src/leverjunction/lots/item_lines.py
+++ b/src/leverjunction/lots/item_lines.py
@@ -6,7 +6,7 @@
 
 from leverjunction.clock import Clock
 from leverjunction.lots import metrics
-from leverjunction.proxy.journal import LineWriter
+from leverjunction.proxy.decision_log import LineWriter
 
 INTERVAL_S = 5.0
 LINES_PER_INTERVAL = 20
--- a/src/leverjunction/platform/control_calls.py
+++ b/src/leverjunction/platform/control_calls.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.platform.table_form import read_table
+from leverjunction.platform.route_table import read_table
 from leverjunction.registry.node import RegistryNode
 from leverjunction.registry.records import RunnerRecord, RunnerState
 from leverjunction.untrusted import is_address, is_name, note_unreadable, read_json
--- a/src/leverjunction/platform/roles.py
+++ b/src/leverjunction/platform/roles.py
@@ -90,7 +90,7 @@
 def _gateway(config: MachineConfig, _started_s: float) -> int:
     import asyncio
 
-    from leverjunction.platform.front_calls import READY_PATH, make_front_calls
+    from leverjunction.platform.gateway_calls import READY_PATH, make_front_calls
     from leverjunction.platform.headers import PlatformDialect
     from leverjunction.proxy.process import ProxyNode
 
--- a/src/leverjunction/proxy/asking.py
+++ b/src/leverjunction/proxy/asking.py
@@ -6,17 +6,17 @@
 
 from leverjunction.errors import Execution, Failure, FailureKind
 from leverjunction.gateway.retry import RetryBudget
-from leverjunction.proxy.answers import harmful, no_runner, out_of_time, suspect_under_way
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer, Choice
+from leverjunction.proxy.decision_log import ProxyJournal
 from leverjunction.proxy.dispatch import Dispatch, LateHead, OpenedAnswer, Patience
 from leverjunction.proxy.doubt import Doubt
+from leverjunction.proxy.failures import harmful, no_runner, out_of_time, suspect_under_way
 from leverjunction.proxy.hedging import first_opened
-from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.patience import HEDGE_RATIO, HeadTimes
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
+from leverjunction.proxy.routed_request import Work
 from leverjunction.proxy.runner_seat import RunnerSeat
-from leverjunction.proxy.work import Work
 from leverjunction.quarantine.verdicts import Standing, ran_on
 from leverjunction.routes.types import Route
 
--- a/src/leverjunction/proxy/journal.py
+++ b/src/leverjunction/proxy/decision_log.py
@@ -14,9 +14,9 @@
 from leverjunction.errors import Failure
 from leverjunction.proxy.balancer import Choice
 from leverjunction.proxy.caller_connection import content_of
-from leverjunction.proxy.counters import ProxyCounters
 from leverjunction.proxy.dialect import RequestFacts
-from leverjunction.proxy.work import Work
+from leverjunction.proxy.metrics import ProxyCounters
+from leverjunction.proxy.routed_request import Work
 from leverjunction.quarantine.request_key import request_key
 
 if TYPE_CHECKING:
--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -10,26 +10,26 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.proxy.admission import Ticket
 from leverjunction.proxy.admission_gate import AdmissionGate
-from leverjunction.proxy.answers import (
-    no_route,
-    no_table,
-    out_of_time,
-    status_of,
-    unsure_of_route,
-)
 from leverjunction.proxy.asking import Asker
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
+from leverjunction.proxy.decision_log import ProxyJournal
 from leverjunction.proxy.dialect import Dialect, RequestFacts
 from leverjunction.proxy.dispatch import OpenedAnswer
 from leverjunction.proxy.doubt import Doubt
 from leverjunction.proxy.events import EventSplitter
+from leverjunction.proxy.failures import (
+    no_route,
+    no_table,
+    out_of_time,
+    status_of,
+    unsure_of_route,
+)
 from leverjunction.proxy.headers import end_to_end, find
-from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
+from leverjunction.proxy.routed_request import Work
 from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
-from leverjunction.proxy.work import Work
 from leverjunction.routes.matching import RouteIndex, draw_service
 from leverjunction.routes.types import Route, RouteClass
 
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -21,11 +21,11 @@
     CallerRequest,
     Responder,
 )
-from leverjunction.proxy.counters import ProxyCounters
+from leverjunction.proxy.decision_log import ProxyJournal
 from leverjunction.proxy.dialect import Dialect
 from leverjunction.proxy.forwarding import Forwarder, LocalHandler
-from leverjunction.proxy.journal import ProxyJournal
 from leverjunction.proxy.load_port import LoadPort
+from leverjunction.proxy.metrics import ProxyCounters
 from leverjunction.proxy.quarantine import Quarantine
 from leverjunction.proxy.registry_intake import RegistryIntake
 from leverjunction.proxy.runner_connection import RunnerPool
--- a/src/testbed/simulation/seeded/routed/broken.py
+++ b/src/testbed/simulation/seeded/routed/broken.py
@@ -10,10 +10,10 @@
 
 from leverjunction.errors import Execution, Failure
 from leverjunction.proxy import forwarding, runner_connection
-from leverjunction.proxy.answers import no_route
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
 from leverjunction.proxy.dialect import RequestFacts
+from leverjunction.proxy.failures import no_route
 from leverjunction.proxy.forwarding import Forwarder
 from leverjunction.proxy.process import ProxyNode
 from leverjunction.registry.follower import Snapshot
--- a/src/testbed/simulation/seeded/routed/gateway.py
+++ b/src/testbed/simulation/seeded/routed/gateway.py
@@ -12,7 +12,7 @@
 
 from leverjunction.config.machine import MachineConfig, MachineListen, MachinePolicies
 from leverjunction.platform.headers import PlatformDialect
-from leverjunction.proxy import journal as journal_module
+from leverjunction.proxy import decision_log as decision_log_module
 from leverjunction.proxy import process as process_module
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
 from leverjunction.proxy.forwarding import LocalHandler
@@ -116,7 +116,7 @@
         with ExitStack() as stack:
             for name, substitute in substitutes.items():
                 stack.enter_context(mock.patch.object(process_module, name, substitute))
-            stack.enter_context(mock.patch.object(journal_module, "LineWriter", _LoggedLines))
+            stack.enter_context(mock.patch.object(decision_log_module, "LineWriter", _LoggedLines))
             yield
 
 
--- a/tests/unit/proxy_support.py
+++ b/tests/unit/proxy_support.py
@@ -20,9 +20,9 @@
     CallerRequest,
     Responder,
 )
-from leverjunction.proxy.counters import ProxyCounters
+from leverjunction.proxy.decision_log import ProxyJournal
 from leverjunction.proxy.forwarding import Forwarder
-from leverjunction.proxy.journal import ProxyJournal
+from leverjunction.proxy.metrics import ProxyCounters
 from leverjunction.proxy.runner_connection import RunnerPool
 from leverjunction.registry.records import RunnerRecord
 from leverjunction.routes import Route, RouteIndex, RouteTable
--- a/tests/unit/test_platform_forms.py
+++ b/tests/unit/test_platform_forms.py
@@ -7,9 +7,9 @@
 import pytest
 
 from leverjunction.errors import Failure
-from leverjunction.platform import front_calls
+from leverjunction.platform import gateway_calls
 from leverjunction.platform.headers import PlatformDialect
-from leverjunction.platform.table_form import read_table
+from leverjunction.platform.route_table import read_table
 from leverjunction.routes import RouteClass, RouteTable, check_table
 
 TABLE = {
@@ -173,5 +173,5 @@
 def test_an_item_that_http_cannot_carry_is_told_apart(
     path: str, headers: dict[str, str], sendable: bool
 ) -> None:
-    item = front_calls._ItemForm(id="i", path=path, headers=headers, body=b"", tokens=1)
-    assert front_calls._is_sendable(item) is sendable
+    item = gateway_calls._ItemForm(id="i", path=path, headers=headers, body=b"", tokens=1)
+    assert gateway_calls._is_sendable(item) is sendable
