--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -29,7 +29,7 @@
 @_rule
 def _repeat_anything() -> None:
     """What may run once is sent again after a reset."""
-    forwarding.Work.may_run_again = property(lambda work: work.runs < 3)  # type: ignore[assignment, method-assign]
+    forwarding.RoutedRequest.may_run_again = property(lambda routed: routed.runs < 3)  # type: ignore[assignment, method-assign]
 
 
 @_rule
--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -23,9 +23,9 @@
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.caller_connection import CallerRequest
 from leverjunction.proxy.dialect import Dialect
-from leverjunction.proxy.dispatch import Dispatch, OpenedAnswer, Patience
+from leverjunction.proxy.dispatch import Dispatch, OpenedResponse, Patience
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
-from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
+from leverjunction.proxy.runner_connection import ResponseEnd, ResponseHead
 from leverjunction.proxy.runner_seat import RunnerSeat
 from leverjunction.quarantine.verdicts import ran_on
 from leverjunction.wire.codec import decode_reply, encode
@@ -133,7 +133,7 @@
                 ran_on=ran_on(run.first_output_s, asyncio.get_running_loop().time()),
             )
 
-    async def _read_answer(self, run: ItemRun, answer: OpenedAnswer) -> Failure | None:
+    async def _read_answer(self, run: ItemRun, answer: OpenedResponse) -> Failure | None:
         """Take an answer's events; return why it did not come whole, None if it did."""
         whole = False
         loop = asyncio.get_running_loop()
@@ -143,10 +143,10 @@
                 run.was_heard(loop.time())
                 async with asyncio.timeout(silence_s(run.item.due_ms, run.silent)):
                     event = await answer.connection.next_event()
-                if isinstance(event, Failure | AnswerHead):
+                if isinstance(event, Failure | ResponseHead):
                     run.trace.over(RunEnd.CUT, event.reason if isinstance(event, Failure) else "")
                     return event if isinstance(event, Failure) else NOT_HEARD
-                if isinstance(event, AnswerEnd):
+                if isinstance(event, ResponseEnd):
                     whole = True
                     return None
                 run.silent = 0
--- a/src/leverjunction/platform/gateway_calls.py
+++ b/src/leverjunction/platform/gateway_calls.py
@@ -84,7 +84,7 @@
     return register
 
 
-def make_front_calls(rpc: RpcClient, follower: RegistryFollower, zone: str) -> LocalHandler:
+def make_gateway_calls(rpc: RpcClient, follower: RegistryFollower, zone: str) -> LocalHandler:
     """Return the handler of the platform's calls."""
     client = LotsClient(rpc, follower, zone)
 
--- a/src/leverjunction/platform/headers.py
+++ b/src/leverjunction/platform/headers.py
@@ -8,11 +8,11 @@
 
 from leverjunction.errors import Failure
 from leverjunction.proxy.dialect import (
-    AnswerFacts,
     EngineLoad,
     PromptPart,
     RawHeaders,
-    RequestFacts,
+    RequestMetadata,
+    ResponseMetadata,
 )
 from leverjunction.untrusted import (
     COUNT_MOST,
@@ -67,11 +67,11 @@
 class PlatformDialect:
     """Implements ``proxy.dialect.Dialect``."""
 
-    def read_request(self, headers: RawHeaders) -> RequestFacts:
+    def read_request(self, headers: RawHeaders) -> RequestMetadata:
         """Return what a caller's headers say; what is malformed counts as absent."""
         fields = _fields(headers)
         tokens_in, tokens_out = _pair(fields.get(TOKEN_COUNT.lower(), ""))
-        return RequestFacts(
+        return RequestMetadata(
             request_id=fields.get(REQUEST_ID.lower(), ""),
             deadline_ms=finite_number(fields.get(DEADLINE_MS.lower(), "")),
             parts=_parts(fields.get(PROMPT_PREFIX.lower(), "")),
@@ -80,7 +80,7 @@
             last_event_id=fields.get(LAST_EVENT_ID.lower(), ""),
         )
 
-    def forwarded(
+    def forwarded_headers(
         self, headers: RawHeaders, left_ms: float, runner_id: str, last_event_id: str
     ) -> RawHeaders:
         """Return the headers for a back end."""
@@ -100,10 +100,10 @@
         kept = [item for item in headers if item[0].lower() not in own]
         return [(b"Host", host.encode()), *kept, (REQUEST_ID, item_id.encode())]
 
-    def read_answer(self, headers: RawHeaders) -> AnswerFacts:
+    def read_response(self, headers: RawHeaders) -> ResponseMetadata:
         """Return what a back end's headers say."""
         fields = _fields(headers)
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=fields.get(REQUEST_ID.lower(), ""),
             signed=SERVER_STAMP.lower() in fields,
             not_run=NOT_EXECUTED.lower() in fields,
@@ -124,7 +124,7 @@
             return None
         return EngineLoad(form.running, form.waiting, 0)
 
-    def own_answer(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
+    def own_response_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
         """Return the headers of an answer that the proxy gives by itself."""
         headers = [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
         if retry_after_s is not None:
--- a/src/leverjunction/platform/roles.py
+++ b/src/leverjunction/platform/roles.py
@@ -90,12 +90,12 @@
 def _gateway(config: MachineConfig, _started_s: float) -> int:
     import asyncio
 
-    from leverjunction.platform.gateway_calls import READY_PATH, make_front_calls
+    from leverjunction.platform.gateway_calls import READY_PATH, make_gateway_calls
     from leverjunction.platform.headers import PlatformDialect
     from leverjunction.proxy.process import ProxyNode
 
     async def run() -> None:
-        node = ProxyNode(config, PlatformDialect(), READY_PATH, make_front_calls)
+        node = ProxyNode(config, PlatformDialect(), READY_PATH, make_gateway_calls)
         await node.run()
 
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
--- a/src/leverjunction/proxy/attempt.py
+++ b/src/leverjunction/proxy/attempt.py
@@ -11,14 +11,14 @@
     Dialect,
     EngineLoad,
     RawHeaders,
-    RequestFacts,
+    RequestMetadata,
 )
-from leverjunction.proxy.dispatch import Dispatch, LateHead, OpenedAnswer, late_failure
+from leverjunction.proxy.dispatch import Dispatch, LateHead, OpenedResponse, late_failure
 from leverjunction.proxy.headers import end_to_end, find
 from leverjunction.proxy.prompt import READ_TOKENS_PER_MS
 from leverjunction.proxy.runner_connection import (
-    AnswerEnd,
-    AnswerHead,
+    ResponseEnd,
+    ResponseHead,
     RunnerConnection,
     RunnerPool,
 )
@@ -63,7 +63,7 @@
         self._dialect = dialect
         self._loop = asyncio.get_running_loop()
 
-    async def send(self, dispatch: Dispatch) -> OpenedAnswer | Failure:
+    async def send(self, dispatch: Dispatch) -> OpenedResponse | Failure:
         """Send a request and wait for the head of the answer, until the hard limit.
 
         Returns:
@@ -73,14 +73,14 @@
         opened = await self.begin(dispatch)
         return await self.wait(opened) if isinstance(opened, LateHead) else opened
 
-    async def begin(self, dispatch: Dispatch) -> OpenedAnswer | LateHead | Failure:
+    async def begin(self, dispatch: Dispatch) -> OpenedResponse | LateHead | Failure:
         """Send a request and wait for the head of the answer, until the soft limit.
 
         Returns:
             As ``send``, or that the head is late.
         """
         seat = dispatch.seat
-        read_ms = dispatch.facts.tokens_in / READ_TOKENS_PER_MS
+        read_ms = dispatch.metadata.tokens_in / READ_TOKENS_PER_MS
         self._count(seat, 1)
         seat.reading_ms += read_ms
         try:
@@ -94,7 +94,7 @@
             self._count(seat, -1)
         return opened
 
-    async def wait(self, late: LateHead) -> OpenedAnswer | Failure:
+    async def wait(self, late: LateHead) -> OpenedResponse | Failure:
         """Wait on for a late head, until the send's hard limit."""
         late.taken = True
         try:
@@ -116,10 +116,10 @@
         late.connection.close()
         self._count(late.dispatch.seat, -1)
 
-    def finish(self, answer: OpenedAnswer, whole: bool) -> None:
+    def finish(self, answer: OpenedResponse, whole: bool) -> None:
         """End the use of an answer; one that is not whole costs its connection."""
         self._count(answer.seat, -1)
-        self._pool.give_back(answer.connection, keep=whole and not answer.facts.closes)
+        self._pool.give_back(answer.connection, keep=whole and not answer.metadata.closes)
 
     def distrust(self, seat: RunnerSeat) -> None:
         """Have the next requests to a back end take new connections."""
@@ -149,7 +149,7 @@
             connection.send(b"GET", path, [(b"Host", address.encode()), *headers], b"")
             while True:
                 event = await connection.next_event()
-                if isinstance(event, AnswerEnd):
+                if isinstance(event, ResponseEnd):
                     whole = True
                     return b"".join(body)
                 if isinstance(event, Failure):
@@ -164,7 +164,7 @@
         if self._changed is not None:
             self._changed(seat)
 
-    async def _open(self, dispatch: Dispatch) -> OpenedAnswer | LateHead | Failure:
+    async def _open(self, dispatch: Dispatch) -> OpenedResponse | LateHead | Failure:
         seat = dispatch.seat
         idle_share = REPEATABLE_IDLE_SHARE if dispatch.repeatable else ONCE_IDLE_SHARE
         connection = await self._pool.take(seat.record.address, idle_share, CONNECT_TIMEOUT_S)
@@ -187,7 +187,7 @@
     def _write(self, connection: RunnerConnection, dispatch: Dispatch, left_ms: float) -> float:
         """Write the request on a connection; returns when, in the loop's seconds."""
         request = dispatch.request
-        headers = self._dialect.forwarded(
+        headers = self._dialect.forwarded_headers(
             end_to_end(request.headers),
             left_ms,
             dispatch.seat.record.runner_id,
@@ -213,7 +213,7 @@
 
     async def _head(
         self, connection: RunnerConnection, dispatch: Dispatch, sent_s: float
-    ) -> OpenedAnswer | Failure:
+    ) -> OpenedResponse | Failure:
         seat = dispatch.seat
         try:
             async with asyncio.timeout_at(dispatch.patience.hard_s):
@@ -223,15 +223,15 @@
             return late_failure(seat, Execution.UNKNOWN)
         finally:
             self._note_delay(dispatch, sent_s)
-        if not isinstance(head, AnswerHead):
+        if not isinstance(head, ResponseHead):
             self._balancer.failed(seat, self._loop.time())
             connection.close()
             return head if isinstance(head, Failure) else _mismatch(seat, "no head")
-        answer = self._dialect.read_answer(head.headers)
+        answer = self._dialect.read_response(head.headers)
         if answer.load is not None:
             seat.told(answer.load, self._loop.time())
-        opened = OpenedAnswer(head, answer, connection, seat)
-        refusal = await self._refusal(opened, dispatch.facts)
+        opened = OpenedResponse(head, answer, connection, seat)
+        refusal = await self._refusal(opened, dispatch.metadata)
         if refusal is not None:
             return refusal
         self._balancer.succeeded(seat, self._loop.time())
@@ -239,17 +239,17 @@
 
     def _note_delay(self, dispatch: Dispatch, sent_s: float) -> None:
         now_s = self._loop.time()
-        dispatch.seat.answered(now_s - sent_s, dispatch.facts.tokens_in, now_s)
+        dispatch.seat.answered(now_s - sent_s, dispatch.metadata.tokens_in, now_s)
 
-    async def _refusal(self, answer: OpenedAnswer, facts: RequestFacts) -> Failure | None:
+    async def _refusal(self, answer: OpenedResponse, metadata: RequestMetadata) -> Failure | None:
         """Return a failure for an answer that is not the caller's, or says "not run"."""
         seat = answer.seat
         # First of all: a surplus answer says nothing of this request, not even "not run".
-        if answer.facts.request_id and answer.facts.request_id != facts.request_id:
+        if answer.metadata.request_id and answer.metadata.request_id != metadata.request_id:
             answer.connection.close()
             self._balancer.failed(seat, self._loop.time())
             return _mismatch(seat, "it answers another request")
-        if answer.facts.not_run or answer.head.status == MISDIRECTED:
+        if answer.metadata.not_run or answer.head.status == MISDIRECTED:
             await self._drop_refusal(answer)
             if answer.head.status == MISDIRECTED:
                 # Its address has been given to another one: it is not there any more.
@@ -260,8 +260,8 @@
                 step=Step.RESPONDING,
                 peer=seat.record.address,
             )
-        answer.connection.keep_alive_s = answer.facts.keep_alive_s
-        unsigned = not answer.facts.signed or not answer.facts.request_id
+        answer.connection.keep_alive_s = answer.metadata.keep_alive_s
+        unsigned = not answer.metadata.signed or not answer.metadata.request_id
         encoded = find(answer.head.headers, b"content-encoding") is not None
         if unsigned or encoded or answer.head.status in NOT_RUN_STATUSES:
             answer.connection.close()
@@ -269,10 +269,10 @@
             return _mismatch(seat, f"HTTP {answer.head.status} is no answer of a back end")
         return None
 
-    async def _drop_refusal(self, answer: OpenedAnswer) -> None:
+    async def _drop_refusal(self, answer: OpenedResponse) -> None:
         """Read a refusal's short body, so that the connection can be used again."""
         connection = answer.connection
-        connection.keep_alive_s = answer.facts.keep_alive_s
+        connection.keep_alive_s = answer.metadata.keep_alive_s
         try:
             async with asyncio.timeout(REFUSAL_BODY_S):
                 while isinstance(await connection.next_event(), bytes):
@@ -280,7 +280,7 @@
         except TimeoutError:
             connection.close()
             return
-        self._pool.give_back(connection, keep=not answer.facts.closes)
+        self._pool.give_back(connection, keep=not answer.metadata.closes)
 
 
 def _mismatch(seat: RunnerSeat, reason: str) -> Failure:
--- a/src/leverjunction/proxy/caller_connection.py
+++ b/src/leverjunction/proxy/caller_connection.py
@@ -60,7 +60,7 @@
         return self.target.partition(b"?")[2].decode("latin-1")
 
 
-def content_of(request: CallerRequest) -> RequestContent:
+def request_content(request: CallerRequest) -> RequestContent:
     """Return what stays when a caller sends its request again."""
     return RequestContent(
         host=find(request.headers, b"host") or b"",
--- a/src/leverjunction/proxy/decision_log.py
+++ b/src/leverjunction/proxy/decision_log.py
@@ -13,14 +13,14 @@
 from leverjunction.clock import Clock
 from leverjunction.errors import Failure
 from leverjunction.proxy.balancer import Choice
-from leverjunction.proxy.caller_connection import content_of
-from leverjunction.proxy.dialect import RequestFacts
-from leverjunction.proxy.metrics import ProxyCounters
-from leverjunction.proxy.routed_request import Work
+from leverjunction.proxy.caller_connection import request_content
+from leverjunction.proxy.dialect import RequestMetadata
+from leverjunction.proxy.metrics import ProxyMetrics
+from leverjunction.proxy.routed_request import RoutedRequest
 from leverjunction.quarantine.request_key import request_key
 
 if TYPE_CHECKING:
-    from leverjunction.proxy.dispatch import OpenedAnswer
+    from leverjunction.proxy.dispatch import OpenedResponse
 
 LINES_KEPT = 2_000
 """Lines that may wait for a slow reader of the log; beyond it the oldest are lost and counted."""
@@ -97,45 +97,45 @@
             sys.stdout.buffer.flush()
 
 
-class ProxyJournal:
+class DecisionLog:
     """Lines for all that fails, moves or is refused; counters for all.
 
     A send whose answer came at the first try is counted but has no line.
     """
 
-    def __init__(self, clock: Clock, counters: ProxyCounters) -> None:
+    def __init__(self, clock: Clock, metrics: ProxyMetrics) -> None:
         self._clock = clock
-        self._counters = counters
-        self._writer = LineWriter(counters.lines_lost)
+        self._metrics = metrics
+        self._writer = LineWriter(metrics.lines_lost)
 
     def sent(
-        self, work: Work, choice: Choice, answer: OpenedAnswer | Failure, now_s: float
+        self, routed: RoutedRequest, choice: Choice, answer: OpenedResponse | Failure, now_s: float
     ) -> None:
         """Note a send and the head of its answer, or how it failed.
 
         Args:
-            work: The request.
+            routed: The request.
             choice: Back end that was asked.
             answer: Its answer.
             now_s: Monotonic time.
         """
         if not isinstance(answer, Failure):
-            self._counters.sends.labels("answered").inc()
-            waited_s = now_s - work.request.arrived_s
-            self._counters.head_s.labels(work.route.kind.value).observe(waited_s)
+            self._metrics.sends.labels("answered").inc()
+            waited_s = now_s - routed.request.arrived_s
+            self._metrics.head_s.labels(routed.route.kind.value).observe(waited_s)
             return
         told_s = choice.seat.told_s
-        self._counters.sends.labels(answer.kind.value).inc()
+        self._metrics.sends.labels(answer.kind.value).inc()
         self._put(
             DecisionLine(
                 at_ms=self._clock.wall_ms(),
                 event="send_failed",
-                request_id=work.facts.request_id,
-                table=work.table_version,
-                route=work.route.name,
-                service=work.service,
-                waited_ms=_ms(now_s - work.request.arrived_s),
-                allowed_ms=_ms(work.until_s - work.request.arrived_s),
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                allowed_ms=_ms(routed.until_s - routed.request.arrived_s),
                 runner_id=choice.seat.record.start,
                 load=round(choice.load, 2),
                 load_age_ms=_ms(now_s - told_s) if told_s else None,
@@ -146,74 +146,76 @@
             )
         )
 
-    def held(self, work: Work, outcome: str, now_s: float) -> None:
+    def held(self, routed: RoutedRequest, outcome: str, now_s: float) -> None:
         """Note a request that waited here before it was sent or refused."""
-        self._counters.holds.labels(outcome).inc()
+        self._metrics.holds.labels(outcome).inc()
         self._put(
             DecisionLine(
                 at_ms=self._clock.wall_ms(),
                 event="held",
-                request_id=work.facts.request_id,
-                table=work.table_version,
-                route=work.route.name,
-                service=work.service,
-                waited_ms=_ms(now_s - work.request.arrived_s),
-                allowed_ms=_ms(work.until_s - work.request.arrived_s),
-                execution=work.execution.value,
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                allowed_ms=_ms(routed.until_s - routed.request.arrived_s),
+                execution=routed.execution.value,
                 reason=f"no back end could answer in time; then {outcome}",
             )
         )
 
-    def run_lost(self, work: Work, runner_id: str, failure: Failure, now_s: float) -> None:
+    def run_lost(
+        self, routed: RoutedRequest, runner_id: str, failure: Failure, now_s: float
+    ) -> None:
         """Note a run that its back end broke off: which request, and where.
 
         Args:
-            work: The request.
+            routed: The request.
             runner_id: Back end that had the run.
             failure: How its answer ended.
             now_s: Monotonic time.
         """
-        self._counters.lost_runs.inc()
+        self._metrics.lost_runs.inc()
         self._put(
             DecisionLine(
                 at_ms=self._clock.wall_ms(),
                 event="run_lost",
-                request_id=work.facts.request_id,
-                table=work.table_version,
-                route=work.route.name,
-                service=work.service,
-                waited_ms=_ms(now_s - work.request.arrived_s),
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
                 runner_id=runner_id,
-                request_key=request_key(content_of(work.request)),
+                request_key=request_key(request_content(routed.request)),
                 execution=failure.execution.value,
                 step=failure.step.value,
                 reason=failure.reason,
             )
         )
 
-    def ended(self, work: Work, outcome: str, reason: str, now_s: float) -> None:
+    def ended(self, routed: RoutedRequest, outcome: str, reason: str, now_s: float) -> None:
         """Note how a request ended that was passed on."""
-        self._counters.requests.labels(outcome).inc()
+        self._metrics.requests.labels(outcome).inc()
         if outcome == "answered":
             return
         self._put(
             DecisionLine(
                 at_ms=self._clock.wall_ms(),
                 event=outcome,
-                request_id=work.facts.request_id,
-                table=work.table_version,
-                route=work.route.name,
-                service=work.service,
-                waited_ms=_ms(now_s - work.request.arrived_s),
-                allowed_ms=_ms(work.until_s - work.request.arrived_s),
-                execution=work.execution.value,
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                allowed_ms=_ms(routed.until_s - routed.request.arrived_s),
+                execution=routed.execution.value,
                 reason=reason,
             )
         )
 
     def refused(
         self,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         table_version: int,
         status: int,
         failure: Failure,
@@ -222,18 +224,18 @@
         """Note an answer of the proxy's own.
 
         Args:
-            facts: What the request's headers say.
+            metadata: What the request's headers say.
             table_version: Version of the route table in force, 0 for none.
             status: Status of the answer.
             failure: Why.
             waited_s: Time since the request arrived.
         """
-        self._counters.refusals.labels(failure.kind.value).inc()
+        self._metrics.refusals.labels(failure.kind.value).inc()
         self._put(
             DecisionLine(
                 at_ms=self._clock.wall_ms(),
                 event="refused",
-                request_id=facts.request_id,
+                request_id=metadata.request_id,
                 table=table_version,
                 waited_ms=_ms(waited_s),
                 status=status,
--- a/src/leverjunction/proxy/dialect.py
+++ b/src/leverjunction/proxy/dialect.py
@@ -26,7 +26,7 @@
         self.tokens = tokens
 
 
-class RequestFacts:
+class RequestMetadata:
     """What the headers of a request say.
 
     Attributes:
@@ -81,7 +81,7 @@
         self.slots = slots
 
 
-class AnswerFacts:
+class ResponseMetadata:
     """What the headers of a back end's answer say.
 
     Attributes:
@@ -115,11 +115,11 @@
 class Dialect(Protocol):
     """Translates headers."""
 
-    def read_request(self, headers: RawHeaders) -> RequestFacts:
+    def read_request(self, headers: RawHeaders) -> RequestMetadata:
         """Return what a caller's headers say; what is malformed counts as absent."""
         ...
 
-    def forwarded(
+    def forwarded_headers(
         self, headers: RawHeaders, left_ms: float, runner_id: str, last_event_id: str
     ) -> RawHeaders:
         """Return the headers for a back end.
@@ -136,7 +136,7 @@
         """Return the headers of the request that runs an item of a batch job."""
         ...
 
-    def read_answer(self, headers: RawHeaders) -> AnswerFacts:
+    def read_response(self, headers: RawHeaders) -> ResponseMetadata:
         """Return what a back end's headers say."""
         ...
 
@@ -148,6 +148,6 @@
         """Return the load that a back end tells when it is asked, None if it is malformed."""
         ...
 
-    def own_answer(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
+    def own_response_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
         """Return the headers of an answer that the proxy gives by itself."""
         ...
--- a/src/leverjunction/proxy/dispatch.py
+++ b/src/leverjunction/proxy/dispatch.py
@@ -6,8 +6,8 @@
 
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.proxy.caller_connection import CallerRequest
-from leverjunction.proxy.dialect import AnswerFacts, RequestFacts
-from leverjunction.proxy.runner_connection import AnswerHead, RunnerConnection
+from leverjunction.proxy.dialect import RequestMetadata, ResponseMetadata
+from leverjunction.proxy.runner_connection import ResponseHead, RunnerConnection
 from leverjunction.proxy.runner_seat import RunnerSeat
 
 
@@ -38,7 +38,7 @@
 
     Attributes:
         request: The caller's request.
-        facts: What its headers say.
+        metadata: What its headers say.
         seat: Back end that is asked.
         repeatable: The request may run more than once.
         last_event_id: Continue a stream after this event; empty for a whole one.
@@ -47,8 +47,8 @@
     """
 
     __slots__ = (
-        "facts",
         "last_event_id",
+        "metadata",
         "patience",
         "repeatable",
         "request",
@@ -59,7 +59,7 @@
     def __init__(
         self,
         request: CallerRequest,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         seat: RunnerSeat,
         *,
         repeatable: bool,
@@ -68,7 +68,7 @@
         patience: Patience,
     ) -> None:
         self.request = request
-        self.facts = facts
+        self.metadata = metadata
         self.seat = seat
         self.repeatable = repeatable
         self.last_event_id = last_event_id
@@ -76,27 +76,27 @@
         self.patience = patience
 
 
-class OpenedAnswer:
+class OpenedResponse:
     """A back end's answer whose head has come.
 
     Attributes:
         head: Status and headers.
-        facts: What the headers say.
+        metadata: What the headers say.
         connection: Where its body comes.
         seat: The back end.
     """
 
-    __slots__ = ("connection", "facts", "head", "seat")
+    __slots__ = ("connection", "head", "metadata", "seat")
 
     def __init__(
         self,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        metadata: ResponseMetadata,
         connection: RunnerConnection,
         seat: RunnerSeat,
     ) -> None:
         self.head = head
-        self.facts = facts
+        self.metadata = metadata
         self.connection = connection
         self.seat = seat
 
@@ -139,4 +139,4 @@
     )
 
 
-__all__ = ["Dispatch", "LateHead", "OpenedAnswer", "Patience", "late_failure"]
+__all__ = ["Dispatch", "LateHead", "OpenedResponse", "Patience", "late_failure"]
--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -14,9 +14,9 @@
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
-from leverjunction.proxy.decision_log import ProxyJournal
-from leverjunction.proxy.dialect import Dialect, RequestFacts
-from leverjunction.proxy.dispatch import OpenedAnswer
+from leverjunction.proxy.decision_log import DecisionLog
+from leverjunction.proxy.dialect import Dialect, RequestMetadata
+from leverjunction.proxy.dispatch import OpenedResponse
 from leverjunction.proxy.doubt import Doubt
 from leverjunction.proxy.events import EventSplitter
 from leverjunction.proxy.failures import (
@@ -28,8 +28,8 @@
 )
 from leverjunction.proxy.headers import end_to_end, find
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
-from leverjunction.proxy.routed_request import Work
-from leverjunction.proxy.runner_connection import AnswerEnd, AnswerHead
+from leverjunction.proxy.routed_request import RoutedRequest
+from leverjunction.proxy.runner_connection import ResponseEnd, ResponseHead
 from leverjunction.routes.matching import RouteIndex, draw_service
 from leverjunction.routes.types import Route, RouteClass
 
@@ -56,7 +56,7 @@
         sender: Sender,
         balancer: Balancer,
         dialect: Dialect,
-        journal: ProxyJournal,
+        decision_log: DecisionLog,
         random: Random,
         local: LocalHandler,
         gate: AdmissionGate | None = None,
@@ -71,7 +71,7 @@
             sender: Sends them to back ends.
             balancer: Chooses these.
             dialect: Words of the headers.
-            journal: Takes the decisions.
+            decision_log: Takes the decisions.
             random: Draws the services of split routes.
             local: Answers what is no request for a back end.
             gate: Holds requests that cannot be in time; None to send all at once.
@@ -86,7 +86,7 @@
         self._sender = sender
         self._balancer = balancer
         self._dialect = dialect
-        self._journal = journal
+        self._decision_log = decision_log
         self._random = random
         self._local = local
         self._loop = asyncio.get_running_loop()
@@ -94,7 +94,7 @@
         self._gate = gate
         self._quarantine = quarantine or Quarantine()
         self._doubt = Doubt(is_in_doubt)
-        self._asker = Asker(sender, balancer, journal, self._quarantine, self._doubt)
+        self._asker = Asker(sender, balancer, decision_log, self._quarantine, self._doubt)
         self._table_age_s = table_age_s
         self._in_force_s = in_force_s
 
@@ -104,32 +104,34 @@
 
     async def handle(self, request: CallerRequest, responder: Responder) -> None:
         """Answer one request."""
-        facts = self._dialect.read_request(request.headers)
-        await self._doubt.over(request.arrived_s + (facts.deadline_ms or DEFAULT_TIMEOUT_MS) / 1000)
+        metadata = self._dialect.read_request(request.headers)
+        await self._doubt.over(
+            request.arrived_s + (metadata.deadline_ms or DEFAULT_TIMEOUT_MS) / 1000
+        )
         index = self._index
         if index is None:
-            self._refuse(request, facts, responder, no_table())
+            self._refuse(request, metadata, responder, no_table())
             return
         host = (find(request.headers, b"host") or b"").decode("latin-1")
         route = index.find(host, request.path)
         if await self._local(request, responder, index, route):
             return
         if route is None:
-            self._refuse(request, facts, responder, self._no_route(host, request.path))
+            self._refuse(request, metadata, responder, self._no_route(host, request.path))
             return
-        timeout_ms = min(facts.deadline_ms or DEFAULT_TIMEOUT_MS, route.timeout_ms)
+        timeout_ms = min(metadata.deadline_ms or DEFAULT_TIMEOUT_MS, route.timeout_ms)
         until_s = request.arrived_s + timeout_ms / 1000
         service = draw_service(route, self._random)
-        work = Work(request, facts, route, service, index.table.version, until_s)
-        self._asker.admitted(work)
+        routed = RoutedRequest(request, metadata, route, service, index.table.version, until_s)
+        self._asker.admitted(routed)
         try:
-            await self._forward(work, responder)
+            await self._forward(routed, responder)
         except asyncio.CancelledError:
-            self._journal.ended(work, "cancelled", "the caller left", self._loop.time())
+            self._decision_log.ended(routed, "cancelled", "the caller left", self._loop.time())
             raise
         finally:
-            for start in work.trials:
-                self._quarantine.over(work.key, start)
+            for start in routed.trials:
+                self._quarantine.over(routed.key, start)
 
     def _no_route(self, host: str, path: str) -> Failure:
         """Return "not found" only while the table is known to be the one in force."""
@@ -138,57 +140,57 @@
             return unsure_of_route(host, path, age_s)
         return no_route(host, path)
 
-    async def _forward(self, work: Work, responder: Responder) -> None:
-        refusal = self._asker.held_back(work) or await self._admit(work)
+    async def _forward(self, routed: RoutedRequest, responder: Responder) -> None:
+        refusal = self._asker.held_back(routed) or await self._admit(routed)
         if refusal is not None:
-            self._refuse(work.request, work.facts, responder, refusal)
+            self._refuse(routed.request, routed.metadata, responder, refusal)
             return
-        answer = await self._asker.answer(work, "")
+        answer = await self._asker.answer(routed, "")
         while not isinstance(answer, Failure):
             headed_s = self._loop.time()
-            streams = work.route.kind is RouteClass.STREAM and answer.head.status == 200
+            streams = routed.route.kind is RouteClass.STREAM and answer.head.status == 200
             passed = await (
-                self._pass_stream(work, answer, responder)
+                self._pass_stream(routed, answer, responder)
                 if streams
-                else self._pass_whole(work, answer, responder)
+                else self._pass_whole(routed, answer, responder)
             )
             if is_lost_run(passed) and not streams:
-                await self._asker.lost(work, answer.seat, passed)
+                await self._asker.lost(routed, answer.seat, passed)
             if passed is None:
-                self._clear(work)
-                self._note_run(work, headed_s)
-                self._journal.ended(work, "answered", "", self._loop.time())
+                self._clear(routed)
+                self._note_run(routed, headed_s)
+                self._decision_log.ended(routed, "answered", "", self._loop.time())
                 return
-            if responder.started or not work.may_run_again:
+            if responder.started or not routed.may_run_again:
                 answer = passed
                 break
-            answer = await self._asker.answer(work, "")
+            answer = await self._asker.answer(routed, "")
         if responder.started:
-            self._journal.ended(work, "broken_off", answer.reason, self._loop.time())
+            self._decision_log.ended(routed, "broken_off", answer.reason, self._loop.time())
             responder.break_off()
             return
-        self._refuse(work.request, work.facts, responder, _told(answer, work.execution))
+        self._refuse(routed.request, routed.metadata, responder, _told(answer, routed.execution))
 
-    async def _admit(self, work: Work) -> Failure | None:
+    async def _admit(self, routed: RoutedRequest) -> Failure | None:
         """Return once a request is to be sent, or its refusal."""
         if self._gate is None:
             return None
         entered_s = self._loop.time()
-        refusal = await self._gate.enter(work.service, self._ticket(work))
+        refusal = await self._gate.enter(routed.service, self._ticket(routed))
         now_s = self._loop.time()
         if now_s - entered_s >= HELD_LEAST_S:
-            self._journal.held(work, "sent" if refusal is None else "refused", now_s)
+            self._decision_log.held(routed, "sent" if refusal is None else "refused", now_s)
         return refusal
 
-    def _clear(self, work: Work) -> None:
+    def _clear(self, routed: RoutedRequest) -> None:
         """Note a whole answer: if the request was a suspect, it is none."""
-        key = work.key or self._quarantine.find(work.request)
+        key = routed.key or self._quarantine.find(routed.request)
         if key:
             self._quarantine.answered(key)
 
-    def _ticket(self, work: Work) -> Ticket:
-        route, arrived_s = work.route, work.request.arrived_s
-        last_s = work.until_s - (self._balancer.run_s(work.service) or 0.0)
+    def _ticket(self, routed: RoutedRequest) -> Ticket:
+        route, arrived_s = routed.route, routed.request.arrived_s
+        last_s = routed.until_s - (self._balancer.run_s(routed.service) or 0.0)
         if route.head_within_ms:
             last_s = min(last_s, arrived_s + route.head_within_ms / 1000)
         return Ticket(
@@ -198,14 +200,14 @@
             head_s=self._asker.times_of(route).unqueued_s() or 0.0,
         )
 
-    def _note_run(self, work: Work, headed_s: float) -> None:
+    def _note_run(self, routed: RoutedRequest, headed_s: float) -> None:
         """Learn from an answer that came whole for how long a slot was taken."""
-        unqueued_s = self._asker.times_of(work.route).unqueued_s()
-        if unqueued_s is not None and work.runs == 1:
-            self._balancer.ran(work.service, self._loop.time() - headed_s + unqueued_s)
+        unqueued_s = self._asker.times_of(routed.route).unqueued_s()
+        if unqueued_s is not None and routed.runs == 1:
+            self._balancer.ran(routed.service, self._loop.time() - headed_s + unqueued_s)
 
     async def _pass_whole(
-        self, work: Work, answer: OpenedAnswer, responder: Responder
+        self, routed: RoutedRequest, answer: OpenedResponse, responder: Responder
     ) -> Failure | None:
         """Pass an ordinary answer on; returns a failure when it did not come whole."""
         whole = False
@@ -213,23 +215,23 @@
         size_bytes = 0
         headers = end_to_end(answer.head.headers)
         try:
-            async with asyncio.timeout_at(work.until_s):
+            async with asyncio.timeout_at(routed.until_s):
                 while True:
                     event = await answer.connection.next_event()
-                    if isinstance(event, AnswerEnd):
+                    if isinstance(event, ResponseEnd):
                         whole = True
                         break
                     if isinstance(event, Failure):
                         return event
-                    if isinstance(event, AnswerHead):
+                    if isinstance(event, ResponseHead):
                         return _stray(answer)
-                    work.note_output(self._loop.time())
+                    routed.note_output(self._loop.time())
                     size_bytes += len(event)
                     body.append(event)
                     if size_bytes > BUFFERED_BODY_BYTES:
                         if not responder.started:
                             responder.head(answer.head.status, headers)
-                        await responder.data(b"".join(body), work.until_s)
+                        await responder.data(b"".join(body), routed.until_s)
                         body = []
         except TimeoutError:
             return out_of_time(Execution.UNKNOWN)
@@ -237,7 +239,7 @@
             self._sender.finish(answer, whole)
         if responder.started:
             try:
-                await responder.data(b"".join(body), work.until_s)
+                await responder.data(b"".join(body), routed.until_s)
             except TimeoutError:
                 return out_of_time(Execution.UNKNOWN)
             responder.end()
@@ -246,22 +248,22 @@
         return None
 
     async def _pass_stream(
-        self, work: Work, answer: OpenedAnswer, responder: Responder
+        self, routed: RoutedRequest, answer: OpenedResponse, responder: Responder
     ) -> Failure | None:
         """Pass a stream on, event by event; continue it elsewhere where that is allowed."""
-        splitter = EventSplitter(work.facts.last_event_id)
+        splitter = EventSplitter(routed.metadata.last_event_id)
         while True:
-            broken = await self._relay(work, answer, splitter, responder)
+            broken = await self._relay(routed, answer, splitter, responder)
             if broken is None:
                 responder.end()
                 return None
             if is_lost_run(broken):
-                await self._asker.lost(work, answer.seat, broken)
-            again = work.may_run_again and splitter.can_continue
-            if not again or self._loop.time() >= work.until_s:
+                await self._asker.lost(routed, answer.seat, broken)
+            again = routed.may_run_again and splitter.can_continue
+            if not again or self._loop.time() >= routed.until_s:
                 return broken
             self._balancer.failed(answer.seat, self._loop.time())
-            continued = await self._asker.answer(work, splitter.last_id)
+            continued = await self._asker.answer(routed, splitter.last_id)
             if isinstance(continued, Failure):
                 return broken
             if continued.head.status != 200:
@@ -272,49 +274,53 @@
 
     async def _relay(
         self,
-        work: Work,
-        answer: OpenedAnswer,
+        routed: RoutedRequest,
+        answer: OpenedResponse,
         splitter: EventSplitter,
         responder: Responder,
     ) -> Failure | None:
         whole = False
         try:
             while True:
-                async with asyncio.timeout_at(self._silent_until_s(work)):
+                async with asyncio.timeout_at(self._silent_until_s(routed)):
                     event = await answer.connection.next_event()
                 if isinstance(event, Failure):
                     return event
-                if isinstance(event, AnswerHead):
+                if isinstance(event, ResponseHead):
                     return _stray(answer)
                 if not responder.started:
                     responder.head(answer.head.status, end_to_end(answer.head.headers))
-                if isinstance(event, AnswerEnd):
+                if isinstance(event, ResponseEnd):
                     if splitter.pending_bytes:
                         return _stray(answer)
                     whole = True
                     return None
-                work.note_output(self._loop.time())
+                routed.note_output(self._loop.time())
                 events = splitter.feed(event)
                 if events:
-                    await responder.data(events, work.until_s)
+                    await responder.data(events, routed.until_s)
         except TimeoutError:
             return out_of_time(Execution.UNKNOWN)
         finally:
             self._sender.finish(answer, whole)
 
-    def _silent_until_s(self, work: Work) -> float:
-        if not work.may_run_again:
-            return work.until_s
-        return min(work.until_s, self._loop.time() + STREAM_SILENCE_S)
+    def _silent_until_s(self, routed: RoutedRequest) -> float:
+        if not routed.may_run_again:
+            return routed.until_s
+        return min(routed.until_s, self._loop.time() + STREAM_SILENCE_S)
 
     def _refuse(
-        self, request: CallerRequest, facts: RequestFacts, responder: Responder, failure: Failure
+        self,
+        request: CallerRequest,
+        metadata: RequestMetadata,
+        responder: Responder,
+        failure: Failure,
     ) -> None:
         status = status_of(failure)
         version = 0 if self._index is None else self._index.table.version
         waited_s = self._loop.time() - request.arrived_s
-        self._journal.refused(facts, version, status, failure, waited_s)
-        headers = self._dialect.own_answer(facts.request_id, failure.retry_after_s)
+        self._decision_log.refused(metadata, version, status, failure, waited_s)
+        headers = self._dialect.own_response_headers(metadata.request_id, failure.retry_after_s)
         responder.whole(status, headers, failure.reason.encode())
 
 
@@ -331,7 +337,7 @@
     )
 
 
-def _stray(answer: OpenedAnswer) -> Failure:
+def _stray(answer: OpenedResponse) -> Failure:
     return Failure(
         kind=FailureKind.BACKEND_MISMATCH,
         reason="the answer did not end where it should",
--- a/src/leverjunction/proxy/hedging.py
+++ b/src/leverjunction/proxy/hedging.py
@@ -7,15 +7,15 @@
 from typing import Any
 
 from leverjunction.errors import Failure
-from leverjunction.proxy.dispatch import OpenedAnswer
+from leverjunction.proxy.dispatch import OpenedResponse
 
-Outcome = OpenedAnswer | Failure
+Outcome = OpenedResponse | Failure
 
 
 async def first_opened(
     late: Coroutine[Any, Any, Outcome],
     other: Coroutine[Any, Any, Outcome],
-    let_go: Callable[[OpenedAnswer], None],
+    let_go: Callable[[OpenedResponse], None],
 ) -> Outcome:
     """Return the answer that opens first; a failure only when both have failed.
 
@@ -41,7 +41,7 @@
 
 
 def _leave(
-    way: asyncio.Future[Outcome], taken: Outcome | None, let_go: Callable[[OpenedAnswer], None]
+    way: asyncio.Future[Outcome], taken: Outcome | None, let_go: Callable[[OpenedResponse], None]
 ) -> None:
     if not way.done():
         way.cancel()
@@ -49,7 +49,7 @@
     if way.cancelled() or way.exception() is not None:
         return
     outcome = way.result()
-    if isinstance(outcome, OpenedAnswer) and outcome is not taken:
+    if isinstance(outcome, OpenedResponse) and outcome is not taken:
         let_go(outcome)
 
 
--- a/src/leverjunction/proxy/metrics.py
+++ b/src/leverjunction/proxy/metrics.py
@@ -7,7 +7,7 @@
 HEAD_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
 
 
-class ProxyCounters:
+class ProxyMetrics:
     """What a proxy counts."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -21,11 +21,11 @@
     CallerRequest,
     Responder,
 )
-from leverjunction.proxy.decision_log import ProxyJournal
+from leverjunction.proxy.decision_log import DecisionLog
 from leverjunction.proxy.dialect import Dialect
 from leverjunction.proxy.forwarding import Forwarder, LocalHandler
 from leverjunction.proxy.load_port import LoadPort
-from leverjunction.proxy.metrics import ProxyCounters
+from leverjunction.proxy.metrics import ProxyMetrics
 from leverjunction.proxy.quarantine import Quarantine
 from leverjunction.proxy.registry_intake import RegistryIntake
 from leverjunction.proxy.runner_connection import RunnerPool
@@ -69,8 +69,8 @@
         self._balancer = Balancer(config.zone, self._random, config.policies.spread_requests)
         self._pool = RunnerPool()
         self._figures = CollectorRegistry()
-        self._counters = ProxyCounters(self._figures)
-        journal = ProxyJournal(clock, self._counters)
+        self._metrics = ProxyMetrics(self._figures)
+        decision_log = DecisionLog(clock, self._metrics)
         self._index: RouteIndex | None = None
         self._follower = RegistryFollower(
             self._rpc, config.seed_addresses(), "", clock, self._random, self._on_registry
@@ -91,7 +91,7 @@
             sender,
             self._balancer,
             dialect,
-            journal,
+            decision_log,
             self._random,
             make_local(self._rpc, self._follower, config.zone),
             gate if config.policies.hold_late_requests else None,
@@ -201,18 +201,18 @@
 
     async def _answer_figures(self, _request: CallerRequest, responder: Responder) -> None:
         version = self._index.table.version if self._index is not None else 0
-        self._counters.table_version.set(version)
-        self._counters.contact_age_s.set(self._follower.age_s())
-        self._counters.table_age_s.set(self._follower.table_age_s())
-        self._counters.standstills.set(self._follower.standstills)
-        self._counters.failing_receivers.set(self._intake.failing())
+        self._metrics.table_version.set(version)
+        self._metrics.contact_age_s.set(self._follower.age_s())
+        self._metrics.table_age_s.set(self._follower.table_age_s())
+        self._metrics.standstills.set(self._follower.standstills)
+        self._metrics.failing_receivers.set(self._intake.failing())
         suspects, refused = self._quarantine.counts()
-        self._counters.suspects.labels("suspect").set(suspects - refused)
-        self._counters.suspects.labels("refused").set(refused)
-        self._counters.ended_runs.set(self._quarantine.ended_runs)
+        self._metrics.suspects.labels("suspect").set(suspects - refused)
+        self._metrics.suspects.labels("refused").set(refused)
+        self._metrics.ended_runs.set(self._quarantine.ended_runs)
         for service, (held, oldest_s) in self._gate.waiting().items():
-            self._counters.held.labels(service).set(held)
-            self._counters.oldest_held_s.labels(service).set(oldest_s)
+            self._metrics.held.labels(service).set(held)
+            self._metrics.oldest_held_s.labels(service).set(oldest_s)
         headers = [(b"Content-Type", CONTENT_TYPE_LATEST.encode())]
         responder.whole(200, headers, generate_latest(self._figures))
 
--- a/src/leverjunction/proxy/quarantine.py
+++ b/src/leverjunction/proxy/quarantine.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from leverjunction.errors import Execution, Failure, FailureKind, is_failure
-from leverjunction.proxy.caller_connection import CallerRequest, content_of
+from leverjunction.proxy.caller_connection import CallerRequest, request_content
 from leverjunction.quarantine.end_watch import EndWatch
 from leverjunction.quarantine.records import EndedRun, SuspectList
 from leverjunction.quarantine.request_key import request_key
@@ -94,7 +94,7 @@
         if self._suspects.is_empty:
             return ""
         self._expire()
-        return self._suspects.find(content_of(request))
+        return self._suspects.find(request_content(request))
 
     def standing(self, key: str) -> Standing:
         """Return how a request is to be treated."""
@@ -172,7 +172,7 @@
         if now is None or now.state is RunnerState.LEAVING:
             # Its end was announced, so it was not brought about by what it ran.
             return
-        key = request_key(content_of(request))
+        key = request_key(request_content(request))
         run = EndedRun(key=key, start=at.start, route=route, request_id=request_id, ran_on=ran_on)
         self._records[at.start] = at
         self._take(self._watch.lost(run, self._loop.time()))
--- a/src/leverjunction/proxy/routed_request.py
+++ b/src/leverjunction/proxy/routed_request.py
@@ -4,17 +4,17 @@
 
 from leverjunction.errors import Execution
 from leverjunction.proxy.caller_connection import CallerRequest
-from leverjunction.proxy.dialect import RequestFacts
+from leverjunction.proxy.dialect import RequestMetadata
 from leverjunction.proxy.prompt import Prompt
 from leverjunction.routes.types import Route
 
 
-class Work:
+class RoutedRequest:
     """One request on its way.
 
     Attributes:
         request: The caller's request.
-        facts: What its headers say.
+        metadata: What its headers say.
         prompt: Its prompt.
         route: Its route.
         service: Service that was drawn for it.
@@ -31,9 +31,9 @@
 
     __slots__ = (
         "execution",
-        "facts",
         "first_output_s",
         "key",
+        "metadata",
         "prompt",
         "request",
         "route",
@@ -48,15 +48,15 @@
     def __init__(
         self,
         request: CallerRequest,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         route: Route,
         service: str,
         table_version: int,
         until_s: float,
     ) -> None:
         self.request = request
-        self.facts = facts
-        self.prompt = Prompt(facts.parts, facts.tokens_in)
+        self.metadata = metadata
+        self.prompt = Prompt(metadata.parts, metadata.tokens_in)
         self.route = route
         self.service = service
         self.table_version = table_version
@@ -84,4 +84,4 @@
         return self.route.repeatable and self.runs < max(1, self.route.max_attempts)
 
 
-__all__ = ["Work"]
+__all__ = ["RoutedRequest"]
--- a/src/leverjunction/proxy/runner_connection.py
+++ b/src/leverjunction/proxy/runner_connection.py
@@ -16,7 +16,7 @@
 """Unread bytes of an answer beyond which no more are taken from the socket."""
 
 
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a back end's answer."""
 
     __slots__ = ("headers", "status")
@@ -26,13 +26,13 @@
         self.headers = headers
 
 
-class AnswerEnd:
+class ResponseEnd:
     """The answer is complete."""
 
     __slots__ = ()
 
 
-AnswerEvent = AnswerHead | bytes | AnswerEnd | Failure
+ResponseEvent = ResponseHead | bytes | ResponseEnd | Failure
 
 
 class RunnerConnection(asyncio.Protocol):
@@ -50,7 +50,7 @@
         self.keep_alive_s: float | None = None
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._transport: asyncio.Transport | None = None
-        self._events: deque[AnswerEvent] = deque()
+        self._events: deque[ResponseEvent] = deque()
         self._unread_bytes = 0
         self._paused = False
         self._pace_s = 0.0
@@ -111,7 +111,7 @@
         parts.append(self._h11.send(h11.EndOfMessage()) or b"")
         self._transport.write(b"".join(parts))
 
-    async def next_event(self) -> AnswerEvent:
+    async def next_event(self) -> ResponseEvent:
         """Return the next part of the answer; after its end or a failure, nothing more comes."""
         await self.wait_event()
         event = self._events.popleft()
@@ -177,17 +177,17 @@
         if event in (h11.NEED_DATA, h11.PAUSED):
             return False
         if isinstance(event, h11.Response):
-            self._push(AnswerHead(event.status_code, event.headers.raw_items()))
+            self._push(ResponseHead(event.status_code, event.headers.raw_items()))
         elif isinstance(event, h11.Data):
             self._push(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._push(AnswerEnd())
+            self._push(ResponseEnd())
             return False
         elif isinstance(event, h11.ConnectionClosed):
             return False
         return True
 
-    def _push(self, event: AnswerEvent) -> None:
+    def _push(self, event: ResponseEvent) -> None:
         if isinstance(event, bytes):
             self._unread_bytes += len(event)
             self._pause()
--- a/src/testbed/simulation/seeded/routed/broken.py
+++ b/src/testbed/simulation/seeded/routed/broken.py
@@ -12,7 +12,7 @@
 from leverjunction.proxy import forwarding, runner_connection
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
-from leverjunction.proxy.dialect import RequestFacts
+from leverjunction.proxy.dialect import RequestMetadata
 from leverjunction.proxy.failures import no_route
 from leverjunction.proxy.forwarding import Forwarder
 from leverjunction.proxy.process import ProxyNode
@@ -67,12 +67,12 @@
     def sometimes(
         self: Forwarder,
         request: CallerRequest,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         responder: Responder,
         failure: Failure,
     ) -> None:
         if failure.execution is Execution.NOT_RUN:
-            refuse(self, request, facts, responder, failure)
+            refuse(self, request, metadata, responder, failure)
 
     return [mock.patch.object(Forwarder, "_refuse", sometimes)]
 
@@ -92,7 +92,7 @@
         mock.patch.object(
             runner_connection.RunnerConnection,
             "_broken",
-            lambda _self, _reason: runner_connection.AnswerEnd(),
+            lambda _self, _reason: runner_connection.ResponseEnd(),
         )
     ]
 
--- a/tests/unit/proxy_support.py
+++ b/tests/unit/proxy_support.py
@@ -20,9 +20,9 @@
     CallerRequest,
     Responder,
 )
-from leverjunction.proxy.decision_log import ProxyJournal
+from leverjunction.proxy.decision_log import DecisionLog
 from leverjunction.proxy.forwarding import Forwarder
-from leverjunction.proxy.metrics import ProxyCounters
+from leverjunction.proxy.metrics import ProxyMetrics
 from leverjunction.proxy.runner_connection import RunnerPool
 from leverjunction.registry.records import RunnerRecord
 from leverjunction.routes import Route, RouteIndex, RouteTable
@@ -100,7 +100,7 @@
             sender,
             balancer,
             dialect,
-            ProxyJournal(SystemClock(), ProxyCounters(CollectorRegistry())),
+            DecisionLog(SystemClock(), ProxyMetrics(CollectorRegistry())),
             Random(1),
             _nothing_local,
             AdmissionGate(balancer, sender),
--- a/tests/unit/seeded_support.py
+++ b/tests/unit/seeded_support.py
@@ -18,7 +18,7 @@
 from leverjunction.clock import SystemClock
 from leverjunction.config.machine import MachineConfig, MachineElections, MachineListen
 from leverjunction.lots.node import LotsNode
-from leverjunction.platform.gateway_calls import READY_PATH, make_front_calls
+from leverjunction.platform.gateway_calls import READY_PATH, make_gateway_calls
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.proxy.process import ProxyNode
 from leverjunction.registry.node import RegistryNode
@@ -87,7 +87,7 @@
         self._loop.close()
 
     async def _start(self) -> ProxyNode:
-        node = ProxyNode(self._config, PlatformDialect(), READY_PATH, make_front_calls)
+        node = ProxyNode(self._config, PlatformDialect(), READY_PATH, make_gateway_calls)
         await node.start()
         return node
 
--- a/tests/unit/test_platform_forms.py
+++ b/tests/unit/test_platform_forms.py
@@ -117,20 +117,20 @@
 
 def test_what_goes_to_a_back_end() -> None:
     headers = [(b"Host", b"h"), (b"leverjunction-deadline-ms", b"9"), (b"last-event-id", b"1")]
-    sent = PlatformDialect().forwarded(headers, 123.9, "i-1", "")
+    sent = PlatformDialect().forwarded_headers(headers, 123.9, "i-1", "")
     assert sent == [
         (b"Host", b"h"),
         (b"last-event-id", b"1"),
         (b"Leverjunction-Deadline-Ms", b"123"),
         (b"Leverjunction-Expect-Instance", b"i-1"),
     ]
-    continued = PlatformDialect().forwarded(headers, 5.0, "i-1", "4")
+    continued = PlatformDialect().forwarded_headers(headers, 5.0, "i-1", "4")
     assert (b"Last-Event-Id", b"4") in continued
     assert (b"last-event-id", b"1") not in continued
 
 
 def test_what_an_answer_says() -> None:
-    answer = PlatformDialect().read_answer(
+    answer = PlatformDialect().read_response(
         [
             (b"Leverjunction-Request-Id", b"9c41"),
             (b"Leverjunction-Server-Stamp", b"x"),
@@ -147,16 +147,16 @@
 
 @pytest.mark.parametrize("value", [b"", b"3,1", b"3,x,8", b"busy"])
 def test_a_malformed_load_counts_as_absent(value: bytes) -> None:
-    answer = PlatformDialect().read_answer([(b"Leverjunction-Instance-Load", value)])
+    answer = PlatformDialect().read_response([(b"Leverjunction-Instance-Load", value)])
     assert answer.load is None
 
 
 def test_the_proxys_own_answer() -> None:
-    assert PlatformDialect().own_answer("9c41", 0.25) == [
+    assert PlatformDialect().own_response_headers("9c41", 0.25) == [
         (b"Leverjunction-Request-Id", b"9c41"),
         (b"Retry-After", b"0.250"),
     ]
-    assert PlatformDialect().own_answer("", None) == []
+    assert PlatformDialect().own_response_headers("", None) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_proxy_first_opened.py
+++ b/tests/unit/test_proxy_first_opened.py
@@ -8,11 +8,11 @@
 import pytest
 
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.proxy.dispatch import OpenedAnswer
+from leverjunction.proxy.dispatch import OpenedResponse
 from leverjunction.proxy.hedging import Outcome, first_opened
 
-ANSWER = cast(OpenedAnswer, object.__new__(OpenedAnswer))
-OTHER = cast(OpenedAnswer, object.__new__(OpenedAnswer))
+ANSWER = cast(OpenedResponse, object.__new__(OpenedResponse))
+OTHER = cast(OpenedResponse, object.__new__(OpenedResponse))
 LATE = Failure(kind=FailureKind.DEADLINE_EXCEEDED, reason="late", step=Step.RESPONDING)
 NONE = Failure(kind=FailureKind.OVERLOADED, reason="none", step=Step.RESPONDING)
 
@@ -34,8 +34,8 @@
         return self.outcome
 
 
-def _race(late: Way, other: Way) -> tuple[Any, list[OpenedAnswer]]:
-    let_go: list[OpenedAnswer] = []
+def _race(late: Way, other: Way) -> tuple[Any, list[OpenedResponse]]:
+    let_go: list[OpenedResponse] = []
 
     async def race() -> Outcome:
         return await first_opened(late.go(), other.go(), let_go.append)
--- a/tests/unit/test_proxy_runner_connection.py
+++ b/tests/unit/test_proxy_runner_connection.py
@@ -11,8 +11,8 @@
 from leverjunction.errors import Failure
 from leverjunction.proxy.probes import PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES
 from leverjunction.proxy.runner_connection import (
-    AnswerEnd,
-    AnswerHead,
+    ResponseEnd,
+    ResponseHead,
     RunnerConnection,
     RunnerPool,
 )
@@ -50,12 +50,12 @@
     body = b""
     while True:
         event = await connection.next_event()
-        if isinstance(event, AnswerHead):
+        if isinstance(event, ResponseHead):
             connection.pace(pace_s)
         elif isinstance(event, bytes):
             body += event
         else:
-            assert isinstance(event, AnswerEnd)
+            assert isinstance(event, ResponseEnd)
             return body
 
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from leverjunction.proxy.caller_connection import CallerRequest, content_of
+from leverjunction.proxy.caller_connection import CallerRequest, request_content
 from leverjunction.proxy.quarantine import Quarantine
 from leverjunction.quarantine.end_watch import PENDING_MOST, PROOF_S, EndWatch
 from leverjunction.quarantine.records import EndedRun, SuspectList, SuspectRecord
@@ -84,7 +84,7 @@
         ]
         return CallerRequest(b"POST", b"/a/1", headers, b"ask", float(number))
 
-    assert len({request_key(content_of(request(number))) for number in range(5)}) == 1
+    assert len({request_key(request_content(request(number))) for number in range(5)}) == 1
 
 
 def test_a_key_begins_with_its_path() -> None:
--- a/tests/unit/test_untrusted_words.py
+++ b/tests/unit/test_untrusted_words.py
@@ -91,7 +91,7 @@
     assert host
     assert 0 < int(port) < 65_536
     assert 0 < record.slots <= 100_000
-    headers = PlatformDialect().forwarded([(b"Host", b"a")], 100.0, record.runner_id, "")
+    headers = PlatformDialect().forwarded_headers([(b"Host", b"a")], 100.0, record.runner_id, "")
     h11.Connection(h11.CLIENT).send(h11.Request(method=b"GET", target=b"/", headers=headers))
     assert len(record.start) < 300
 
@@ -163,7 +163,7 @@
     assert facts.deadline_ms is None or 0 <= facts.deadline_ms < math.inf
     assert 0 <= facts.tokens_in <= 10**9
     assert all(0 <= part.tokens <= 10**9 for part in facts.parts)
-    answer = dialect.read_answer(headers)
+    answer = dialect.read_response(headers)
     assert answer.keep_alive_s is None or 0 <= answer.keep_alive_s < math.inf
     if answer.load is not None:
         assert min(answer.load.running, answer.load.waiting, answer.load.slots) >= 0
@@ -185,7 +185,7 @@
         splitter.feed(piece)
         item.feed(piece)
     for last_id in (splitter.last_id, item.last_id):
-        headers = PlatformDialect().forwarded([(b"Host", b"a")], 100.0, "i-1", last_id)
+        headers = PlatformDialect().forwarded_headers([(b"Host", b"a")], 100.0, "i-1", last_id)
         h11.Connection(h11.CLIENT).send(h11.Request(method=b"GET", target=b"/", headers=headers))
 
 
