--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -41,7 +41,7 @@
 @_rule
 def _end_what_was_cut() -> None:
     """An answer that broke off looks whole."""
-    caller_connection.Responder.break_off = caller_connection.Responder.end  # type: ignore[method-assign]
+    caller_connection.Responder.abort = caller_connection.Responder.finish  # type: ignore[method-assign]
 
 
 @_rule
--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -83,7 +83,7 @@
         loop = asyncio.get_running_loop()
         if run.silent:
             # A path that goes silent may concern kept connections to other back ends as well.
-            self._sender.distrust(seat)
+            self._sender.close_idle_connections(seat)
         run.was_sent(loop.time())
         answer = await self._sender.send(
             Dispatch(
@@ -137,7 +137,7 @@
         """Take an answer's events; return why it did not come whole, None if it did."""
         whole = False
         loop = asyncio.get_running_loop()
-        answer.connection.pace(READ_INTERVAL_S)
+        answer.connection.set_read_interval(READ_INTERVAL_S)
         try:
             while True:
                 run.was_heard(loop.time())
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -179,7 +179,7 @@
         try:
             load = await self._sender.read_load(seat)
             if load is None:
-                self._sender.distrust(seat)
+                self._sender.close_idle_connections(seat)
                 # The last reading grows old, and then nothing is added there.
                 return
             now_s = self._loop.time()
--- a/src/leverjunction/platform/gateway_calls.py
+++ b/src/leverjunction/platform/gateway_calls.py
@@ -102,7 +102,7 @@
         headers = [_JSON]
         if reply.status in (429, 503):
             headers.append((b"Retry-After", RETRY_AFTER_S))
-        responder.whole(reply.status, headers, reply.body)
+        responder.respond(reply.status, headers, reply.body)
         return True
 
     return handle
--- a/src/leverjunction/proxy/attempt.py
+++ b/src/leverjunction/proxy/attempt.py
@@ -119,11 +119,11 @@
     def finish(self, answer: OpenedResponse, whole: bool) -> None:
         """End the use of an answer; one that is not whole costs its connection."""
         self._count(answer.seat, -1)
-        self._pool.give_back(answer.connection, keep=whole and not answer.metadata.closes)
+        self._pool.release(answer.connection, keep=whole and not answer.metadata.closes)
 
-    def distrust(self, seat: RunnerSeat) -> None:
+    def close_idle_connections(self, seat: RunnerSeat) -> None:
         """Have the next requests to a back end take new connections."""
-        self._pool.distrust(seat.record.address)
+        self._pool.close_idle_connections(seat.record.address)
 
     async def read_load(self, seat: RunnerSeat) -> EngineLoad | None:
         """Ask a back end for its load; None when it does not tell it in time."""
@@ -140,7 +140,7 @@
 
     async def fetch(self, address: str, path: bytes, headers: RawHeaders) -> bytes | Failure:
         """Read a back end's page; its own load is not a request that counts."""
-        connection = await self._pool.take(address, REPEATABLE_IDLE_SHARE, CONNECT_TIMEOUT_S)
+        connection = await self._pool.acquire(address, REPEATABLE_IDLE_SHARE, CONNECT_TIMEOUT_S)
         if isinstance(connection, Failure):
             return connection
         whole = False
@@ -157,7 +157,7 @@
                 if isinstance(event, bytes):
                     body.append(event)
         finally:
-            self._pool.give_back(connection, keep=whole)
+            self._pool.release(connection, keep=whole)
 
     def _count(self, seat: RunnerSeat, change: int) -> None:
         seat.own += change
@@ -167,7 +167,7 @@
     async def _open(self, dispatch: Dispatch) -> OpenedResponse | LateHead | Failure:
         seat = dispatch.seat
         idle_share = REPEATABLE_IDLE_SHARE if dispatch.repeatable else ONCE_IDLE_SHARE
-        connection = await self._pool.take(seat.record.address, idle_share, CONNECT_TIMEOUT_S)
+        connection = await self._pool.acquire(seat.record.address, idle_share, CONNECT_TIMEOUT_S)
         if isinstance(connection, Failure):
             self._balancer.failed(seat, self._loop.time())
             return connection
@@ -280,7 +280,7 @@
         except TimeoutError:
             connection.close()
             return
-        self._pool.give_back(connection, keep=not answer.metadata.closes)
+        self._pool.release(connection, keep=not answer.metadata.closes)
 
 
 def _mismatch(seat: RunnerSeat, reason: str) -> Failure:
--- a/src/leverjunction/proxy/caller_connection.py
+++ b/src/leverjunction/proxy/caller_connection.py
@@ -80,12 +80,12 @@
         self._connection = connection
         self.started = False
 
-    def head(self, status: int, headers: RawHeaders) -> None:
+    def send_head(self, status: int, headers: RawHeaders) -> None:
         """Write status and headers; without a Content-Length the body is chunked."""
         self.started = True
         self._connection.write_head(status, headers)
 
-    async def data(self, data: bytes, until_s: float) -> None:
+    async def send_data(self, data: bytes, until_s: float) -> None:
         """Write a part of the body; waits while the caller does not read.
 
         Raises:
@@ -94,18 +94,18 @@
         self._connection.write_event(h11.Data(data=data))
         await self._connection.writable(until_s)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """End the answer as complete."""
         self._connection.write_event(h11.EndOfMessage())
 
-    def whole(self, status: int, headers: RawHeaders, body: bytes) -> None:
+    def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
         """Write a whole answer."""
-        self.head(status, [*headers, (b"Content-Length", b"%d" % len(body))])
+        self.send_head(status, [*headers, (b"Content-Length", b"%d" % len(body))])
         if body:
             self._connection.write_event(h11.Data(data=body))
-        self.end()
+        self.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection so that the answer does not look complete."""
         self._connection.abort()
 
--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -167,9 +167,11 @@
             answer = await self._asker.answer(routed, "")
         if responder.started:
             self._decision_log.ended(routed, "broken_off", answer.reason, self._loop.time())
-            responder.break_off()
+            responder.abort()
             return
-        self._refuse(routed.request, routed.metadata, responder, _told(answer, routed.execution))
+        self._refuse(
+            routed.request, routed.metadata, responder, _with_execution(answer, routed.execution)
+        )
 
     async def _admit(self, routed: RoutedRequest) -> Failure | None:
         """Return once a request is to be sent, or its refusal."""
@@ -230,8 +232,8 @@
                     body.append(event)
                     if size_bytes > BUFFERED_BODY_BYTES:
                         if not responder.started:
-                            responder.head(answer.head.status, headers)
-                        await responder.data(b"".join(body), routed.until_s)
+                            responder.send_head(answer.head.status, headers)
+                        await responder.send_data(b"".join(body), routed.until_s)
                         body = []
         except TimeoutError:
             return out_of_time(Execution.UNKNOWN)
@@ -239,12 +241,12 @@
             self._sender.finish(answer, whole)
         if responder.started:
             try:
-                await responder.data(b"".join(body), routed.until_s)
+                await responder.send_data(b"".join(body), routed.until_s)
             except TimeoutError:
                 return out_of_time(Execution.UNKNOWN)
-            responder.end()
+            responder.finish()
         else:
-            responder.whole(answer.head.status, headers, b"".join(body))
+            responder.respond(answer.head.status, headers, b"".join(body))
         return None
 
     async def _pass_stream(
@@ -255,7 +257,7 @@
         while True:
             broken = await self._relay(routed, answer, splitter, responder)
             if broken is None:
-                responder.end()
+                responder.finish()
                 return None
             if is_lost_run(broken):
                 await self._asker.lost(routed, answer.seat, broken)
@@ -289,7 +291,7 @@
                 if isinstance(event, ResponseHead):
                     return _stray(answer)
                 if not responder.started:
-                    responder.head(answer.head.status, end_to_end(answer.head.headers))
+                    responder.send_head(answer.head.status, end_to_end(answer.head.headers))
                 if isinstance(event, ResponseEnd):
                     if splitter.pending_bytes:
                         return _stray(answer)
@@ -298,7 +300,7 @@
                 routed.note_output(self._loop.time())
                 events = splitter.feed(event)
                 if events:
-                    await responder.data(events, routed.until_s)
+                    await responder.send_data(events, routed.until_s)
         except TimeoutError:
             return out_of_time(Execution.UNKNOWN)
         finally:
@@ -321,10 +323,10 @@
         waited_s = self._loop.time() - request.arrived_s
         self._decision_log.refused(metadata, version, status, failure, waited_s)
         headers = self._dialect.own_response_headers(metadata.request_id, failure.retry_after_s)
-        responder.whole(status, headers, failure.reason.encode())
+        responder.respond(status, headers, failure.reason.encode())
 
 
-def _told(failure: Failure, execution: Execution) -> Failure:
+def _with_execution(failure: Failure, execution: Execution) -> Failure:
     """Return a failure that says "not run" only when no back end can have run the request."""
     if execution is Execution.NOT_RUN or failure.execution is execution:
         return failure
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -38,7 +38,7 @@
 from leverjunction.wire.rpc_client import RpcClient
 
 LISTEN_BACKLOG = 1024
-KEEP_TAKING_S = 3.0
+ACCEPT_AFTER_STOP_S = 3.0
 """After a stop was asked for: callers are sent here until the platform has looked twice."""
 
 STOP_MARGIN_S = 0.7
@@ -162,7 +162,7 @@
         self._stopping = True
         self._port.leaving = True
         started_s = self._loop.time()
-        await asyncio.sleep(KEEP_TAKING_S)
+        await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         if self._callers is not None:
             self._callers.close()
         end_s = started_s + self._config.bounds.stop_grace_s - STOP_MARGIN_S
@@ -214,11 +214,11 @@
             self._metrics.held.labels(service).set(held)
             self._metrics.oldest_held_s.labels(service).set(oldest_s)
         headers = [(b"Content-Type", CONTENT_TYPE_LATEST.encode())]
-        responder.whole(200, headers, generate_latest(self._figures))
+        responder.respond(200, headers, generate_latest(self._figures))
 
     async def _answer_ready(self, request: CallerRequest, responder: Responder) -> None:
         if request.path != self._ready_path:
-            responder.whole(404, [], b"")
+            responder.respond(404, [], b"")
             return
         ready = self._index is not None and not self._stopping
-        responder.whole(200 if ready else 503, [], b"")
+        responder.respond(200 if ready else 503, [], b"")
--- a/src/leverjunction/proxy/runner_connection.py
+++ b/src/leverjunction/proxy/runner_connection.py
@@ -126,14 +126,14 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
-    def pace(self, interval_s: float) -> None:
+    def set_read_interval(self, interval_s: float) -> None:
         """Take the rest of this answer only so often, several parts at a time.
 
         A stream whose reader is in no hurry costs a wake-up for every event otherwise.
         """
         self._pace_s = interval_s
 
-    def release(self) -> bool:
+    def finish_request(self) -> bool:
         """End the use for one request; return whether the connection may serve another."""
         self._active = False
         self._pace_s = 0.0
@@ -154,7 +154,7 @@
         """Close at once; the back end drops what it runs for this connection."""
         if self._active and not self._ended:
             # Nothing comes any more, and a reader would not learn it from the transport.
-            self._push(self._broken("the connection was closed here"))
+            self._push(self._connection_failure("the connection was closed here"))
         self._ended = True
         if self._rest is not None:
             self._rest.cancel()
@@ -167,7 +167,7 @@
             while self._take_event():
                 pass
         except h11.RemoteProtocolError as error:
-            self._push(self._broken(f"not an answer: {error}"))
+            self._push(self._connection_failure(f"not an answer: {error}"))
             self.close()
 
     def _take_event(self) -> bool:
@@ -200,11 +200,11 @@
             return
         self._ended = True
         if self._active:
-            self._push(self._broken(reason))
+            self._push(self._connection_failure(reason))
         if self._transport is not None:
             self._transport.abort()
 
-    def _broken(self, reason: str) -> Failure:
+    def _connection_failure(self, reason: str) -> Failure:
         return Failure(
             kind=FailureKind.UNREACHABLE,
             reason=reason,
@@ -254,7 +254,7 @@
         self._loop = asyncio.get_running_loop()
         self.opened = 0
 
-    async def take(
+    async def acquire(
         self, address: str, idle_share: float, connect_timeout_s: float
     ) -> RunnerConnection | Failure:
         """Return a connection.
@@ -276,9 +276,9 @@
             connection.close()
         return await self._connect(address, connect_timeout_s)
 
-    def give_back(self, connection: RunnerConnection, keep: bool) -> None:
+    def release(self, connection: RunnerConnection, keep: bool) -> None:
         """Take a connection back after an answer, or close it."""
-        if not connection.release() or not keep:
+        if not connection.finish_request() or not keep:
             connection.close()
             return
         connection.idle_since_s = self._loop.time()
@@ -287,7 +287,7 @@
         if len(idle) > MAX_IDLE:
             idle.pop(0).close()
 
-    def distrust(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         """Close the idle connections to a back end: one to it was silent, so these may be too."""
         for connection in self._idle.pop(address, ()):
             connection.close()
--- a/src/testbed/placement/gateway.py
+++ b/src/testbed/placement/gateway.py
@@ -61,7 +61,7 @@
         seat.told(load, self._loop.time())
         return load
 
-    def distrust(self, seat: RunnerSeat) -> None:
+    def close_idle_connections(self, seat: RunnerSeat) -> None:
         """Do nothing: there are no connections."""
 
 
--- a/src/testbed/simulation/seeded/routed/broken.py
+++ b/src/testbed/simulation/seeded/routed/broken.py
@@ -57,7 +57,7 @@
     def told(failure: Failure, _execution: Execution) -> Failure:
         return msgspec.structs.replace(failure, execution=Execution.NOT_RUN)
 
-    return [mock.patch.object(forwarding, "_told", told)]
+    return [mock.patch.object(forwarding, "_with_execution", told)]
 
 
 def answer_only_what_was_not_run() -> list[Any]:
@@ -91,7 +91,7 @@
     return [
         mock.patch.object(
             runner_connection.RunnerConnection,
-            "_broken",
+            "_connection_failure",
             lambda _self, _reason: runner_connection.ResponseEnd(),
         )
     ]
--- a/src/testbed/simulation/seeded/routed/checkers.py
+++ b/src/testbed/simulation/seeded/routed/checkers.py
@@ -4,7 +4,7 @@
 
 from collections import Counter, defaultdict
 
-from leverjunction.proxy.process import KEEP_TAKING_S
+from leverjunction.proxy.process import ACCEPT_AFTER_STOP_S
 from leverjunction.routes import RouteClass
 from testbed.simulation.checkers.base import Finding, overlaps
 from testbed.simulation.seeded.checkers import IN_FORCE_S
@@ -182,7 +182,7 @@
                 took_s <= STOP_LASTS_S, f"{stop.gateway} takes {took_s:.3f} s for a planned stop"
             )
             for asked in _asked_while_stopping(history, stop):
-                is_early = asked.at_s < stop.asked_s + KEEP_TAKING_S
+                is_early = asked.at_s < stop.asked_s + ACCEPT_AFTER_STOP_S
                 finding.expect(
                     asked.status != 0 or not (is_early or asked.request_id in run),
                     f"{stop.gateway}, asked to stop at {stop.asked_s:.3f} s, cuts "
@@ -194,7 +194,7 @@
 def _asked_while_stopping(history: SeededHistory, stop: PlannedStop) -> list[Asked]:
     """Return the requests whose answers only the stop can have cut."""
     begin_s = stop.asked_s - DEADLINE_S
-    last_s = stop.asked_s + KEEP_TAKING_S
+    last_s = stop.asked_s + ACCEPT_AFTER_STOP_S
     # The stop itself counts as a fault from then on.
     faults = [span for span in history.gateway_disturbed[stop.gateway] if span.begin_s < last_s]
     return [
--- a/src/testbed/simulation/seeded/routed/faults.py
+++ b/src/testbed/simulation/seeded/routed/faults.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from leverjunction.proxy.process import KEEP_TAKING_S
+from leverjunction.proxy.process import ACCEPT_AFTER_STOP_S
 from testbed.simulation.history import Span
 from testbed.simulation.seeded.fault_kinds import SeededFault, SeededFaultKind
 from testbed.simulation.seeded.routed.gateway import RoutedGateway
@@ -127,7 +127,7 @@
         gateway = gateways[fault.target % len(gateways)]
         now_s = self._world.scheduler.now_s
         # It takes requests for a while yet, and is gone then.
-        span = Span(now_s + KEEP_TAKING_S, now_s + STOP_LASTS_S + fault.duration_s)
+        span = Span(now_s + ACCEPT_AFTER_STOP_S, now_s + STOP_LASTS_S + fault.duration_s)
         self._world.history.gateway_disturbed[gateway.machine.name].append(span)
         gateway.stop(lambda: self._later(fault.duration_s, self._start_again(gateway)))
         return True
--- a/tests/unit/test_proxy_runner_connection.py
+++ b/tests/unit/test_proxy_runner_connection.py
@@ -51,7 +51,7 @@
     while True:
         event = await connection.next_event()
         if isinstance(event, ResponseHead):
-            connection.pace(pace_s)
+            connection.set_read_interval(pace_s)
         elif isinstance(event, bytes):
             body += event
         else:
@@ -70,7 +70,7 @@
         before = connection.count
         bodies.append(await _read(connection, pace_s))
         reads.append(connection.count - before)
-        kept.append(connection.release())
+        kept.append(connection.finish_request())
     connection.close()
     server.close()
     return bodies, reads, kept
@@ -96,7 +96,7 @@
         _, connection = await loop.create_connection(lambda: Reads("s"), "127.0.0.1", port)
         connection.send(b"GET", b"/", [(b"Host", b"h")], b"")
         await connection.next_event()
-        connection.pace(PACE_S)
+        connection.set_read_interval(PACE_S)
         await connection.next_event()
         connection.close()
         count = connection.count
@@ -171,14 +171,14 @@
         server = await asyncio.start_server(_stream, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         pool = RunnerPool()
-        taken = [await pool.take(address, 0.8, 1.0) for _ in range(2)]
+        taken = [await pool.acquire(address, 0.8, 1.0) for _ in range(2)]
         kept = [connection for connection in taken if isinstance(connection, RunnerConnection)]
         for connection in kept:
             await _read(connection, 0.0)
-            pool.give_back(connection, keep=True)
-        used_again = await pool.take(address, 0.8, 1.0) in kept
-        pool.distrust(address)
-        after = await pool.take(address, 0.8, 1.0)
+            pool.release(connection, keep=True)
+        used_again = await pool.acquire(address, 0.8, 1.0) in kept
+        pool.close_idle_connections(address)
+        after = await pool.acquire(address, 0.8, 1.0)
         assert isinstance(after, RunnerConnection)
         closed = after not in kept and not kept[0].is_usable
         after.close()
