--- a/tests/unit/test_proxy_admission_gate.py
+++ b/tests/unit/test_proxy_admission_gate.py
@@ -9,7 +9,7 @@
 
 import pytest
 from tests.unit.proxy_support import Proxy, request_headers
-from tests.unit.test_proxy_journal import written
+from tests.unit.test_proxy_decision_log import written
 
 from leverjunction.errors import Execution, Failure
 from leverjunction.proxy.admission import Ticket
