--- a/src/leverjunction/proxy/attempt.py
+++ b/src/leverjunction/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one back end, up to the head of its answer."""
+"""Sends a request to one back end, up to the head of the response."""
 
 from __future__ import annotations
 
@@ -27,57 +27,63 @@
 CONNECT_TIMEOUT_S = 0.4
 REPEATABLE_IDLE_SHARE = 0.8
 ONCE_IDLE_SHARE = 0.3
-"""A request that may run once goes only on connections that were used a short while ago."""
+"""Shares of a back end's keep-alive time after which an idle connection is not reused.
+
+A request that may run only once uses recently used connections only: when a back end closes a
+connection just as a request is sent, it is unknown whether the request ran.
+"""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request was not run."""
+"""Statuses that promise a caller that its request was not run; only the proxy may give them."""
 
-MISDIRECTED = 421
-READ_LOAD_TIMEOUT_S = 0.6
-REFUSAL_BODY_S = 0.05
-"""Longest wait for the body of a refusal, which is read so that its connection can be kept."""
+MISDIRECTED_REQUEST = 421
+LOAD_TIMEOUT_S = 0.6
+REFUSAL_BODY_TIMEOUT_S = 0.05
+"""Longest wait for the body of a refusal, which is read so that the connection can be reused."""
 
 
 class Sender:
-    """Sends requests to back ends; used by one event loop.
+    """Sends requests to back ends and counts the open ones of each.
+
+    All calls must come from one event loop.
 
     Args:
-        pool: Connections to them.
-        balancer: Knows them.
-        dialect: Words of their headers.
-        changed: Called when a request begins or ends at a back end.
+        pool: Connections to back ends.
+        balancer: Informed of each success and failure.
+        dialect: Translates headers.
+        on_change: Called when a request begins or ends at a back end.
     """
 
-    __slots__ = ("_balancer", "_changed", "_dialect", "_loop", "_pool")
+    __slots__ = ("_balancer", "_dialect", "_loop", "_on_change", "_pool")
 
     def __init__(
         self,
         pool: RunnerPool,
         balancer: Balancer,
         dialect: Dialect,
-        changed: Callable[[RunnerSeat], None] | None = None,
+        on_change: Callable[[RunnerSeat], None] | None = None,
     ) -> None:
         self._pool = pool
-        self._changed = changed
+        self._on_change = on_change
         self._balancer = balancer
         self._dialect = dialect
         self._loop = asyncio.get_running_loop()
 
     async def send(self, dispatch: Dispatch) -> OpenedResponse | Failure:
-        """Send a request and wait for the head of the answer, until the hard limit.
+        """Send a request and wait for the response head until the hard limit.
 
         Returns:
-            The answer, counted at its back end until ``finish``; or a failure that says whether
-            the request may have run.
+            The response, which counts as open at its back end until ``finish``, or a failure that
+            states whether the request may have run.
         """
         opened = await self.begin(dispatch)
         return await self.wait(opened) if isinstance(opened, LateHead) else opened
 
     async def begin(self, dispatch: Dispatch) -> OpenedResponse | LateHead | Failure:
-        """Send a request and wait for the head of the answer, until the soft limit.
+        """Send a request and wait for the response head until the soft limit.
 
         Returns:
-            As ``send``, or that the head is late.
+            The same as ``send``, or a ``LateHead`` once the soft limit has passed.
         """
         seat = dispatch.seat
         read_ms = dispatch.metadata.tokens_in / READ_TOKENS_PER_MS
@@ -95,41 +101,46 @@
         return opened
 
     async def wait(self, late: LateHead) -> OpenedResponse | Failure:
-        """Wait on for a late head, until the send's hard limit."""
+        """Continue to wait for a late response head, until the hard limit."""
         late.taken = True
         try:
-            opened = await self._head(late.connection, late.dispatch, late.sent_s)
+            opened = await self._read_head(late.connection, late.dispatch, late.sent_s)
         except BaseException:
-            self._drop(late)
+            self._abort_late(late)
             raise
         if isinstance(opened, Failure):
             self._count(late.dispatch.seat, -1)
         return opened
 
     def abandon(self, late: LateHead) -> None:
-        """Have a back end drop a request whose head is late, unless somebody waits for it."""
+        """Abort a request whose response head is late, unless ``wait`` was called for it."""
         if not late.taken:
             late.taken = True
-            self._drop(late)
+            self._abort_late(late)
 
-    def _drop(self, late: LateHead) -> None:
+    def _abort_late(self, late: LateHead) -> None:
         late.connection.close()
         self._count(late.dispatch.seat, -1)
 
-    def finish(self, answer: OpenedResponse, whole: bool) -> None:
-        """End the use of an answer; one that is not whole costs its connection."""
-        self._count(answer.seat, -1)
-        self._pool.release(answer.connection, keep=whole and not answer.metadata.closes)
+    def finish(self, response: OpenedResponse, whole: bool) -> None:
+        """Stop counting a response and release its connection.
+
+        Args:
+            response: A response from ``send``, ``begin`` or ``wait``.
+            whole: The response was read to its end. If not, its connection is closed.
+        """
+        self._count(response.seat, -1)
+        self._pool.release(response.connection, keep=whole and not response.metadata.closes)
 
     def close_idle_connections(self, seat: RunnerSeat) -> None:
-        """Have the next requests to a back end take new connections."""
+        """Close the idle connections to a back end, so that its next requests open new ones."""
         self._pool.close_idle_connections(seat.record.address)
 
     async def read_load(self, seat: RunnerSeat) -> EngineLoad | None:
-        """Ask a back end for its load; None when it does not tell it in time."""
+        """Query a back end's load; return None if it fails or times out."""
         path, headers = self._dialect.load_request()
         try:
-            async with asyncio.timeout(READ_LOAD_TIMEOUT_S):
+            async with asyncio.timeout(LOAD_TIMEOUT_S):
                 body = await self.fetch(seat.record.address, path, headers)
         except TimeoutError:
             return None
@@ -139,7 +150,7 @@
         return load
 
     async def fetch(self, address: str, path: bytes, headers: RawHeaders) -> bytes | Failure:
-        """Read a back end's page; its own load is not a request that counts."""
+        """Read a document from a back end; this does not count as an open request."""
         connection = await self._pool.acquire(address, REPEATABLE_IDLE_SHARE, CONNECT_TIMEOUT_S)
         if isinstance(connection, Failure):
             return connection
@@ -161,8 +172,8 @@
 
     def _count(self, seat: RunnerSeat, change: int) -> None:
         seat.own += change
-        if self._changed is not None:
-            self._changed(seat)
+        if self._on_change is not None:
+            self._on_change(seat)
 
     async def _open(self, dispatch: Dispatch) -> OpenedResponse | LateHead | Failure:
         seat = dispatch.seat
@@ -177,15 +188,15 @@
                 connection.close()
                 return late_failure(seat, Execution.NOT_RUN)
             sent_s = self._write(connection, dispatch, left_ms)
-            if await self._is_late(connection, dispatch, sent_s):
+            if await self._head_is_late(connection, dispatch, sent_s):
                 return LateHead(dispatch, connection, sent_s)
-            return await self._head(connection, dispatch, sent_s)
+            return await self._read_head(connection, dispatch, sent_s)
         except BaseException:
             connection.close()
             raise
 
     def _write(self, connection: RunnerConnection, dispatch: Dispatch, left_ms: float) -> float:
-        """Write the request on a connection; returns when, in the loop's seconds."""
+        """Write the request to a connection; return the time of it in the loop's seconds."""
         request = dispatch.request
         headers = self._dialect.forwarded_headers(
             end_to_end(request.headers),
@@ -196,10 +207,10 @@
         connection.send(request.method, request.target, headers, request.body)
         return self._loop.time()
 
-    async def _is_late(
+    async def _head_is_late(
         self, connection: RunnerConnection, dispatch: Dispatch, sent_s: float
     ) -> bool:
-        """Wait for a head until the soft limit; returns whether another back end may be asked."""
+        """Wait for the head until the soft limit; return whether it is late and may be hedged."""
         patience = dispatch.patience
         if patience.soft_s >= patience.hard_s:
             return False
@@ -211,7 +222,7 @@
             return patience.may_hedge()
         return False
 
-    async def _head(
+    async def _read_head(
         self, connection: RunnerConnection, dispatch: Dispatch, sent_s: float
     ) -> OpenedResponse | Failure:
         seat = dispatch.seat
@@ -226,12 +237,14 @@
         if not isinstance(head, ResponseHead):
             self._balancer.failed(seat, self._loop.time())
             connection.close()
-            return head if isinstance(head, Failure) else _mismatch(seat, "no head")
-        answer = self._dialect.read_response(head.headers)
-        if answer.load is not None:
-            seat.told(answer.load, self._loop.time())
-        opened = OpenedResponse(head, answer, connection, seat)
-        refusal = await self._refusal(opened, dispatch.metadata)
+            return (
+                head if isinstance(head, Failure) else _mismatch(seat, "a response without a head")
+            )
+        response = self._dialect.read_response(head.headers)
+        if response.load is not None:
+            seat.told(response.load, self._loop.time())
+        opened = OpenedResponse(head, response, connection, seat)
+        refusal = await self._response_failure(opened, dispatch.metadata)
         if refusal is not None:
             return refusal
         self._balancer.succeeded(seat, self._loop.time())
@@ -241,46 +254,55 @@
         now_s = self._loop.time()
         dispatch.seat.answered(now_s - sent_s, dispatch.metadata.tokens_in, now_s)
 
-    async def _refusal(self, answer: OpenedResponse, metadata: RequestMetadata) -> Failure | None:
-        """Return a failure for an answer that is not the caller's, or says "not run"."""
-        seat = answer.seat
-        # First of all: a surplus answer says nothing of this request, not even "not run".
-        if answer.metadata.request_id and answer.metadata.request_id != metadata.request_id:
-            answer.connection.close()
+    async def _response_failure(
+        self, response: OpenedResponse, metadata: RequestMetadata
+    ) -> Failure | None:
+        """Return why a response must not be relayed, or None.
+
+        Rejected are responses to another request, those that did not come from a back end of
+        this deployment, and those that state that the request was not run.
+        """
+        seat = response.seat
+        # Checked first: a surplus response tells nothing about this request, not even "not run".
+        if response.metadata.request_id and response.metadata.request_id != metadata.request_id:
+            response.connection.close()
             self._balancer.failed(seat, self._loop.time())
-            return _mismatch(seat, "it answers another request")
-        if answer.metadata.not_run or answer.head.status == MISDIRECTED:
-            await self._drop_refusal(answer)
-            if answer.head.status == MISDIRECTED:
-                # Its address has been given to another one: it is not there any more.
+            return _mismatch(seat, "the response belongs to another request")
+        if response.metadata.not_run or response.head.status == MISDIRECTED_REQUEST:
+            await self._discard_refusal(response)
+            if response.head.status == MISDIRECTED_REQUEST:
+                # Another back end has this address now, so the expected one is gone.
                 self._balancer.failed(seat, self._loop.time())
             return Failure(
                 kind=FailureKind.OVERLOADED,
-                reason=f"back end {seat.record.runner_id} refused: HTTP {answer.head.status}",
+                reason=f"back end {seat.record.runner_id} refused: HTTP {response.head.status}",
                 step=Step.RESPONDING,
                 peer=seat.record.address,
             )
-        answer.connection.keep_alive_s = answer.metadata.keep_alive_s
-        unsigned = not answer.metadata.signed or not answer.metadata.request_id
-        encoded = find(answer.head.headers, b"content-encoding") is not None
-        if unsigned or encoded or answer.head.status in NOT_RUN_STATUSES:
-            answer.connection.close()
+        response.connection.keep_alive_s = response.metadata.keep_alive_s
+        unsigned = not response.metadata.signed or not response.metadata.request_id
+        encoded = find(response.head.headers, b"content-encoding") is not None
+        if unsigned or encoded or response.head.status in NOT_RUN_STATUSES:
+            response.connection.close()
             self._balancer.failed(seat, self._loop.time())
-            return _mismatch(seat, f"HTTP {answer.head.status} is no answer of a back end")
+            return _mismatch(
+                seat,
+                f"HTTP {response.head.status} is not a valid response of a back end",
+            )
         return None
 
-    async def _drop_refusal(self, answer: OpenedResponse) -> None:
-        """Read a refusal's short body, so that the connection can be used again."""
-        connection = answer.connection
-        connection.keep_alive_s = answer.metadata.keep_alive_s
+    async def _discard_refusal(self, response: OpenedResponse) -> None:
+        """Read the short body of a refusal, so that its connection can be reused."""
+        connection = response.connection
+        connection.keep_alive_s = response.metadata.keep_alive_s
         try:
-            async with asyncio.timeout(REFUSAL_BODY_S):
+            async with asyncio.timeout(REFUSAL_BODY_TIMEOUT_S):
                 while isinstance(await connection.next_event(), bytes):
                     pass
         except TimeoutError:
             connection.close()
             return
-        self._pool.release(connection, keep=not answer.metadata.closes)
+        self._pool.release(connection, keep=not response.metadata.closes)
 
 
 def _mismatch(seat: RunnerSeat, reason: str) -> Failure:
--- a/src/leverjunction/proxy/caller_connection.py
+++ b/src/leverjunction/proxy/caller_connection.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server side of the proxy: one caller's connection, on asyncio and h11.
+"""HTTP/1.1 server side of the proxy: connections of callers, on asyncio and h11.
 
-A request is handled by a task of its own, which is cancelled when the caller goes away. h11 checks
-the framing in both directions, so an answer that ends early never looks complete.
+Each request is handled by its own task, which is cancelled when the caller disconnects. h11 checks
+the framing in both directions, so a truncated response never looks complete.
 """
 
 from __future__ import annotations
@@ -18,24 +18,26 @@
 from leverjunction.quarantine.request_key import RequestContent
 from leverjunction.routes.types import RequestLimits
 
-CONTINUE = 100
+CONTINUE_STATUS = 100
 FIRST_REQUEST_S = 0.5
-"""Time in which a caller that has just connected sends its request: it is on its way by then, and a
-planned stop waits for it.
+"""Time for which a new connection without a request counts as busy.
+
+A caller that has just connected has usually sent its request already, so a planned stop must not
+close the connection yet.
 """
 
 _REASONS = {400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large"}
 
 
 class CallerRequest:
-    """One whole request.
+    """A completely received request.
 
     Attributes:
-        method: Its method.
-        target: Path and query, as they came.
-        headers: Its header fields.
-        body: Its body, without transfer coding.
-        arrived_s: When its last byte came, monotonic seconds.
+        method: HTTP method.
+        target: Path and query as received.
+        headers: Header fields.
+        body: Body with its transfer coding removed.
+        arrived_s: Time at which the last byte arrived, in monotonic seconds.
     """
 
     __slots__ = ("arrived_s", "body", "headers", "method", "target")
@@ -56,12 +58,12 @@
 
     @property
     def query(self) -> str:
-        """The query, without its question mark."""
+        """The query without the question mark."""
         return self.target.partition(b"?")[2].decode("latin-1")
 
 
 def request_content(request: CallerRequest) -> RequestContent:
-    """Return what stays when a caller sends its request again."""
+    """Return the parts of a request that are the same when its caller sends it again."""
     return RequestContent(
         host=find(request.headers, b"host") or b"",
         method=request.method,
@@ -72,7 +74,11 @@
 
 
 class Responder:
-    """Writes the answer to one request."""
+    """Writes the response to one request.
+
+    Attributes:
+        started: The head has been written, so the status can no longer change.
+    """
 
     __slots__ = ("_connection", "started")
 
@@ -81,32 +87,36 @@
         self.started = False
 
     def send_head(self, status: int, headers: RawHeaders) -> None:
-        """Write status and headers; without a Content-Length the body is chunked."""
+        """Write status and headers; without a Content-Length header the body is sent chunked."""
         self.started = True
         self._connection.write_head(status, headers)
 
     async def send_data(self, data: bytes, until_s: float) -> None:
-        """Write a part of the body; waits while the caller does not read.
+        """Write a part of the body and wait until the send buffer has room again.
+
+        Args:
+            data: Part of the body.
+            until_s: Deadline for the wait, in the loop's seconds.
 
         Raises:
-            TimeoutError: The caller took too little until then.
+            TimeoutError: The caller did not read enough before the deadline.
         """
         self._connection.write_event(h11.Data(data=data))
-        await self._connection.writable(until_s)
+        await self._connection.wait_writable(until_s)
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         self._connection.write_event(h11.EndOfMessage())
 
     def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete response; its length is added to the headers."""
         self.send_head(status, [*headers, (b"Content-Length", b"%d" % len(body))])
         if body:
             self._connection.write_event(h11.Data(data=body))
         self.finish()
 
     def abort(self) -> None:
-        """End the connection so that the answer does not look complete."""
+        """Abort the connection, so that the response does not look complete."""
         self._connection.abort()
 
 
@@ -114,36 +124,36 @@
 
 
 class CallerPort:
-    """What all connections of one listening port share.
+    """State shared by all connections of one listening port.
 
     Attributes:
         handler: Answers a request.
-        limits: Bounds on what callers send, as they are at the moment.
-        leaving: True once each answer shall end its connection.
-        connections: Those that are open.
+        limits: Returns the current limits on requests.
+        draining: Each response closes its connection, because the process is stopping.
+        connections: Open connections.
     """
 
-    __slots__ = ("connections", "handler", "leaving", "limits")
+    __slots__ = ("connections", "draining", "handler", "limits")
 
     def __init__(self, handler: Handler, limits: Callable[[], RequestLimits]) -> None:
         self.handler = handler
         self.limits = limits
-        self.leaving = False
+        self.draining = False
         self.connections: set[CallerConnection] = set()
 
-    def busy(self) -> int:
-        """Return on how many connections a request is under way, or about to come."""
+    def count_busy(self) -> int:
+        """Return the number of connections with a request in progress, or probably in transit."""
         return sum(1 for connection in self.connections if connection.is_busy)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way, nor about to come."""
+        """Close the connections that are not busy."""
         for connection in list(self.connections):
             if not connection.is_busy:
                 connection.close()
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection; created by the event loop for each caller that connects."""
+    """One caller's connection; the event loop creates one for each accepted socket."""
 
     def __init__(self, port: CallerPort) -> None:
         self._port = port
@@ -156,26 +166,26 @@
         self._request: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._receiving = False
-        self._writable: asyncio.Future[None] | None = None
-        self._first_until_s = 0.0
+        self._is_receiving = False
+        self._write_resumed: asyncio.Future[None] | None = None
+        self._first_request_until_s = 0.0
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being received or answered, or about to come on a new connection."""
-        is_new = self._loop.time() < self._first_until_s
-        return self._receiving or self._task is not None or is_new
+        """Whether a request is in progress, or the connection is too new to have received one."""
+        is_new = self._loop.time() < self._first_request_until_s
+        return self._is_receiving or self._task is not None or is_new
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for a request."""
+        """Start to wait for a request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._first_until_s = self._loop.time() + FIRST_REQUEST_S
+        self._first_request_until_s = self._loop.time() + FIRST_REQUEST_S
         self._port.connections.add(self)
-        self._wait_idle()
+        self._start_idle_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; those that come while an answer is under way wait for their turn."""
+        """Parse received bytes; pipelined requests wait until the current one is answered."""
         try:
             self._h11.receive_data(data)
         except h11.RemoteProtocolError:
@@ -185,53 +195,60 @@
             self._advance()
 
     def eof_received(self) -> bool:
-        """The caller left: nobody reads the answer any more."""
+        """Cancel the request in progress: the caller has closed its side of the connection."""
         self._cancel()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the work for a caller that left."""
+        """Cancel the request in progress and wake up a writer that waits."""
         self._port.connections.discard(self)
         self._stop_timer()
         self._cancel()
         self.resume_writing()
 
     def pause_writing(self) -> None:
-        """The caller does not read fast enough."""
-        self._writable = self._loop.create_future()
+        """Make writers wait: the transport's send buffer is full."""
+        self._write_resumed = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """The caller reads again, or is gone."""
-        if self._writable is not None and not self._writable.done():
-            self._writable.set_result(None)
-        self._writable = None
-
-    async def writable(self, until_s: float) -> None:
-        """Wait until more may be written; raises TimeoutError when it takes too long."""
-        if self._writable is not None:
+        """Wake up a writer that waits: the send buffer has room, or the connection is lost."""
+        if self._write_resumed is not None and not self._write_resumed.done():
+            self._write_resumed.set_result(None)
+        self._write_resumed = None
+
+    async def wait_writable(self, until_s: float) -> None:
+        """Wait until the send buffer has room.
+
+        Args:
+            until_s: Deadline in the loop's seconds.
+
+        Raises:
+            TimeoutError: The deadline has passed.
+        """
+        if self._write_resumed is not None:
             async with asyncio.timeout_at(until_s):
-                await self._writable
+                await self._write_resumed
 
     def write_head(self, status: int, headers: RawHeaders) -> None:
         """Write status and headers."""
-        if self._port.leaving:
+        if self._port.draining:
             headers = [*headers, (b"Connection", b"close")]
         self.write_event(h11.Response(status_code=status, headers=headers))
 
     def write_event(self, event: h11.Event) -> None:
-        """Write one part of the answer."""
+        """Write one h11 event of the response."""
         data = self._h11.send(event)
         if data and self._transport is not None:
             self._transport.write(data)
 
     def close(self) -> None:
-        """Close after what is written has left."""
+        """Close once everything that was written has been sent."""
         self._stop_timer()
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once; data that was not sent yet is lost."""
         self._stop_timer()
         if self._transport is not None:
             self._transport.abort()
@@ -244,7 +261,7 @@
             self._task.cancel()
 
     def _advance(self) -> None:
-        """Handle what has come, up to the end of one request."""
+        """Process received bytes up to the end of one request."""
         try:
             while self._task is None and self._next_event():
                 pass
@@ -254,24 +271,24 @@
     def _next_event(self) -> bool:
         event = self._h11.next_event()
         if event is h11.NEED_DATA:
-            if not self._receiving and self._h11.trailing_data[0]:
-                self._receiving = True
+            if not self._is_receiving and self._h11.trailing_data[0]:
+                self._is_receiving = True
                 self._set_timer(self._limits.header_timeout_ms, lambda: self._refuse(408))
             if self._h11.they_are_waiting_for_100_continue:
-                self.write_event(h11.InformationalResponse(status_code=CONTINUE, headers=[]))
+                self.write_event(h11.InformationalResponse(status_code=CONTINUE_STATUS, headers=[]))
             return False
         if isinstance(event, h11.Request):
-            self._receiving = True
+            self._is_receiving = True
             self._request = event
             self._set_timer(self._limits.idle_timeout_ms, lambda: self._refuse(408))
             return True
         if isinstance(event, h11.Data):
-            return self._take_body(bytes(event.data))
+            return self._receive_body(bytes(event.data))
         if isinstance(event, h11.EndOfMessage):
-            self._start()
+            self._start_request()
         return False
 
-    def _take_body(self, data: bytes) -> bool:
+    def _receive_body(self, data: bytes) -> bool:
         self._body_bytes += len(data)
         if self._body_bytes > self._limits.max_body_bytes:
             self._refuse(413)
@@ -279,9 +296,9 @@
         self._body.append(data)
         return True
 
-    def _start(self) -> None:
+    def _start_request(self) -> None:
         self._stop_timer()
-        self._first_until_s = 0.0
+        self._first_request_until_s = 0.0
         head = self._request
         assert head is not None
         request = CallerRequest(
@@ -292,7 +309,7 @@
             self._loop.time(),
         )
         self._request, self._body, self._body_bytes = None, [], 0
-        self._receiving = False
+        self._is_receiving = False
         self._task = self._loop.create_task(self._handle(request))
 
     async def _handle(self, request: CallerRequest) -> None:
@@ -303,7 +320,9 @@
             self.abort()
             return
         except Exception:
-            logger.exception("a request was broken off by a fault of this program")
+            logger.exception(
+                "unhandled exception while answering a request; its connection is aborted"
+            )
             self.abort()
             return
         finally:
@@ -311,7 +330,7 @@
         self._finish()
 
     def _finish(self) -> None:
-        """Go on with the next request, or close."""
+        """Continue with the next request on this connection, or close it."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
@@ -319,10 +338,10 @@
             return
         self._h11.start_next_cycle()
         self._limits = self._port.limits()
-        self._wait_idle()
+        self._start_idle_timer()
         self._advance()
 
-    def _wait_idle(self) -> None:
+    def _start_idle_timer(self) -> None:
         self._set_timer(self._limits.idle_timeout_ms, self.close)
 
     def _set_timer(self, after_ms: float, action: Callable[[], None]) -> None:
@@ -335,7 +354,7 @@
             self._timer = None
 
     def _refuse(self, status: int) -> None:
-        """Refuse a request that did not come whole, and close: its end is not known."""
+        """Refuse an incomplete request and close: the start of a next one could not be found."""
         headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
         if self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             with contextlib.suppress(h11.LocalProtocolError):
--- a/src/leverjunction/proxy/failures.py
+++ b/src/leverjunction/proxy/failures.py
@@ -52,7 +52,7 @@
     )
 
 
-def unsure_of_route(host: str, path: str, table_age_s: float) -> Failure:
+def route_unconfirmed(host: str, path: str, table_age_s: float) -> Failure:
     """Return the refusal of a request whose route may be newer than what is known here."""
     return Failure(
         kind=FailureKind.STALE,
--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -1,4 +1,7 @@
-"""Answers a routed request: route, send, repeat where that is allowed, pass the answer on."""
+"""Handles one request: finds its route, sends it to a back end and relays the response.
+
+A request is sent again after a failure only where its route allows that.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,8 @@
     no_route,
     no_table,
     out_of_time,
+    route_unconfirmed,
     status_of,
-    unsure_of_route,
 )
 from leverjunction.proxy.headers import end_to_end, find
 from leverjunction.proxy.quarantine import Quarantine, is_lost_run
@@ -34,22 +37,25 @@
 from leverjunction.routes.types import Route, RouteClass
 
 BUFFERED_BODY_BYTES = 512 * 1024
-"""A longer answer is passed on as it comes, so it can no longer be replaced by another."""
+"""Bodies up to this size are held until complete, so that a retry can replace a broken response."""
 
-HELD_LEAST_S = 0.001
-"""A request that passed sooner did not wait: it was decided on in one step of the event loop."""
+MIN_HOLD_S = 0.001
+"""Shorter times at the admission gate are not logged: the gate decided without waiting."""
 
 STREAM_SILENCE_S = 2.0
-"""Silence after which a stream that may be continued moves to another back end."""
+"""Time without data after which a resumable stream is continued on another back end."""
 
 DEFAULT_TIMEOUT_MS = 30_000.0
 
 LocalHandler = Callable[[CallerRequest, Responder, RouteIndex, Route | None], Awaitable[bool]]
-"""Answers what is no request for a back end; returns whether it did."""
+"""Answers requests that the gateway handles itself; returns whether it answered this one."""
 
 
 class Forwarder:
-    """Thin over ``Sender``; used by one event loop."""
+    """Routes requests, sends them through ``Asker`` and relays the responses.
+
+    All calls must come from one event loop.
+    """
 
     def __init__(
         self,
@@ -58,37 +64,38 @@
         dialect: Dialect,
         decision_log: DecisionLog,
         random: Random,
-        local: LocalHandler,
+        local_handler: LocalHandler,
         gate: AdmissionGate | None = None,
         quarantine: Quarantine | None = None,
         table_age_s: Callable[[], float] = lambda: 0.0,
         in_force_s: float = math.inf,
         is_in_doubt: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Prepare for requests.
+        """Create a forwarder without a route table.
 
         Args:
-            sender: Sends them to back ends.
-            balancer: Chooses these.
-            dialect: Words of the headers.
-            decision_log: Takes the decisions.
-            random: Draws the services of split routes.
-            local: Answers what is no request for a back end.
-            gate: Holds requests that cannot be in time; None to send all at once.
-            quarantine: Knows requests under which back ends ended; None for one that only sees
-                what passes here.
-            table_age_s: Returns how old the route table may be, in seconds.
-            in_force_s: Time in which a change is to be in force; with an older table no caller is
-                told that a route does not exist.
-            is_in_doubt: Returns whether this process stood still and has not heard the registry
-                since; requests wait meanwhile.
+            sender: Sends requests to back ends.
+            balancer: Chooses back ends.
+            dialect: Translates headers.
+            decision_log: Records decisions.
+            random: Chooses among the services of a split route.
+            local_handler: Answers requests that the gateway handles itself.
+            gate: Holds requests that no back end could answer in time; None to send every request
+                at once.
+            quarantine: Tracks requests during which back ends crashed; None to create one that
+                knows only the requests of this gateway.
+            table_age_s: Returns the maximum age of the route table, in seconds.
+            in_force_s: Time within which a change of the route table must take effect, in seconds.
+                While the table is older, an unknown route is refused as 503 instead of 404.
+            is_in_doubt: Returns whether this process stalled and has not heard from the registry
+                since; requests wait until it has.
         """
         self._sender = sender
         self._balancer = balancer
         self._dialect = dialect
         self._decision_log = decision_log
         self._random = random
-        self._local = local
+        self._local_handler = local_handler
         self._loop = asyncio.get_running_loop()
         self._index: RouteIndex | None = None
         self._gate = gate
@@ -99,11 +106,11 @@
         self._in_force_s = in_force_s
 
     def set_table(self, index: RouteIndex) -> None:
-        """Take a newer route table; requests under way keep theirs."""
+        """Replace the route table; requests in progress keep the table they started with."""
         self._index = index
 
     async def handle(self, request: CallerRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Answer one request; a cancelled call means that the caller disconnected."""
         metadata = self._dialect.read_request(request.headers)
         await self._doubt.over(
             request.arrived_s + (metadata.deadline_ms or DEFAULT_TIMEOUT_MS) / 1000
@@ -114,7 +121,7 @@
             return
         host = (find(request.headers, b"host") or b"").decode("latin-1")
         route = index.find(host, request.path)
-        if await self._local(request, responder, index, route):
+        if await self._local_handler(request, responder, index, route):
             return
         if route is None:
             self._refuse(request, metadata, responder, self._no_route(host, request.path))
@@ -127,17 +134,19 @@
         try:
             await self._forward(routed, responder)
         except asyncio.CancelledError:
-            self._decision_log.ended(routed, "cancelled", "the caller left", self._loop.time())
+            self._decision_log.ended(
+                routed, "cancelled", "the caller disconnected", self._loop.time()
+            )
             raise
         finally:
             for start in routed.trials:
                 self._quarantine.over(routed.key, start)
 
     def _no_route(self, host: str, path: str) -> Failure:
-        """Return "not found" only while the table is known to be the one in force."""
+        """Return NOT_FOUND only while the table is recent enough to be in force."""
         age_s = self._table_age_s()
         if age_s > self._in_force_s:
-            return unsure_of_route(host, path, age_s)
+            return route_unconfirmed(host, path, age_s)
         return no_route(host, path)
 
     async def _forward(self, routed: RoutedRequest, responder: Responder) -> None:
@@ -145,52 +154,53 @@
         if refusal is not None:
             self._refuse(routed.request, routed.metadata, responder, refusal)
             return
-        answer = await self._asker.answer(routed, "")
-        while not isinstance(answer, Failure):
-            headed_s = self._loop.time()
-            streams = routed.route.kind is RouteClass.STREAM and answer.head.status == 200
-            passed = await (
-                self._pass_stream(routed, answer, responder)
-                if streams
-                else self._pass_whole(routed, answer, responder)
+        response = await self._asker.answer(routed, "")
+        while not isinstance(response, Failure):
+            head_at_s = self._loop.time()
+            is_stream = routed.route.kind is RouteClass.STREAM and response.head.status == 200
+            failure = await (
+                self._relay_stream(routed, response, responder)
+                if is_stream
+                else self._relay_response(routed, response, responder)
             )
-            if is_lost_run(passed) and not streams:
-                await self._asker.lost(routed, answer.seat, passed)
-            if passed is None:
-                self._clear(routed)
-                self._note_run(routed, headed_s)
+            if is_lost_run(failure) and not is_stream:
+                await self._asker.lost(routed, response.seat, failure)
+            if failure is None:
+                self._clear_suspect(routed)
+                self._record_run_time(routed, head_at_s)
                 self._decision_log.ended(routed, "answered", "", self._loop.time())
                 return
             if responder.started or not routed.may_run_again:
-                answer = passed
+                response = failure
                 break
-            answer = await self._asker.answer(routed, "")
+            response = await self._asker.answer(routed, "")
         if responder.started:
-            self._decision_log.ended(routed, "broken_off", answer.reason, self._loop.time())
+            self._decision_log.ended(routed, "broken_off", response.reason, self._loop.time())
             responder.abort()
             return
         self._refuse(
-            routed.request, routed.metadata, responder, _with_execution(answer, routed.execution)
+            routed.request, routed.metadata, responder, _with_execution(response, routed.execution)
         )
 
     async def _admit(self, routed: RoutedRequest) -> Failure | None:
-        """Return once a request is to be sent, or its refusal."""
+        """Wait for the admission gate; return None to send the request, or its refusal."""
         if self._gate is None:
             return None
         entered_s = self._loop.time()
-        refusal = await self._gate.enter(routed.service, self._ticket(routed))
+        refusal = await self._gate.enter(routed.service, self._admission_ticket(routed))
         now_s = self._loop.time()
-        if now_s - entered_s >= HELD_LEAST_S:
+        if now_s - entered_s >= MIN_HOLD_S:
             self._decision_log.held(routed, "sent" if refusal is None else "refused", now_s)
         return refusal
 
-    def _clear(self, routed: RoutedRequest) -> None:
-        """Note a whole answer: if the request was a suspect, it is none."""
+    def _clear_suspect(self, routed: RoutedRequest) -> None:
+        """Clear a suspect request, which has now been answered completely."""
         key = routed.key or self._quarantine.find(routed.request)
         if key:
             self._quarantine.answered(key)
 
-    def _ticket(self, routed: RoutedRequest) -> Ticket:
+    def _admission_ticket(self, routed: RoutedRequest) -> Ticket:
+        """Return the times by which the admission gate decides on a request."""
         route, arrived_s = routed.route, routed.request.arrived_s
         last_s = routed.until_s - (self._balancer.run_s(routed.service) or 0.0)
         if route.head_within_ms:
@@ -202,43 +212,43 @@
             head_s=self._asker.times_of(route).unqueued_s() or 0.0,
         )
 
-    def _note_run(self, routed: RoutedRequest, headed_s: float) -> None:
-        """Learn from an answer that came whole for how long a slot was taken."""
+    def _record_run_time(self, routed: RoutedRequest, head_at_s: float) -> None:
+        """Update the service's run time after a complete response to a request that ran once."""
         unqueued_s = self._asker.times_of(routed.route).unqueued_s()
         if unqueued_s is not None and routed.runs == 1:
-            self._balancer.ran(routed.service, self._loop.time() - headed_s + unqueued_s)
+            self._balancer.ran(routed.service, self._loop.time() - head_at_s + unqueued_s)
 
-    async def _pass_whole(
-        self, routed: RoutedRequest, answer: OpenedResponse, responder: Responder
+    async def _relay_response(
+        self, routed: RoutedRequest, response: OpenedResponse, responder: Responder
     ) -> Failure | None:
-        """Pass an ordinary answer on; returns a failure when it did not come whole."""
+        """Relay a response that is no stream; return None once all of it has been sent."""
         whole = False
         body: list[bytes] = []
         size_bytes = 0
-        headers = end_to_end(answer.head.headers)
+        headers = end_to_end(response.head.headers)
         try:
             async with asyncio.timeout_at(routed.until_s):
                 while True:
-                    event = await answer.connection.next_event()
+                    event = await response.connection.next_event()
                     if isinstance(event, ResponseEnd):
                         whole = True
                         break
                     if isinstance(event, Failure):
                         return event
                     if isinstance(event, ResponseHead):
-                        return _stray(answer)
+                        return _unexpected_event(response)
                     routed.note_output(self._loop.time())
                     size_bytes += len(event)
                     body.append(event)
                     if size_bytes > BUFFERED_BODY_BYTES:
                         if not responder.started:
-                            responder.send_head(answer.head.status, headers)
+                            responder.send_head(response.head.status, headers)
                         await responder.send_data(b"".join(body), routed.until_s)
                         body = []
         except TimeoutError:
             return out_of_time(Execution.UNKNOWN)
         finally:
-            self._sender.finish(answer, whole)
+            self._sender.finish(response, whole)
         if responder.started:
             try:
                 await responder.send_data(b"".join(body), routed.until_s)
@@ -246,55 +256,56 @@
                 return out_of_time(Execution.UNKNOWN)
             responder.finish()
         else:
-            responder.respond(answer.head.status, headers, b"".join(body))
+            responder.respond(response.head.status, headers, b"".join(body))
         return None
 
-    async def _pass_stream(
-        self, routed: RoutedRequest, answer: OpenedResponse, responder: Responder
+    async def _relay_stream(
+        self, routed: RoutedRequest, response: OpenedResponse, responder: Responder
     ) -> Failure | None:
-        """Pass a stream on, event by event; continue it elsewhere where that is allowed."""
+        """Relay a stream by whole events; continue it on another back end if the route allows."""
         splitter = EventSplitter(routed.metadata.last_event_id)
         while True:
-            broken = await self._relay(routed, answer, splitter, responder)
-            if broken is None:
+            failure = await self._relay_events(routed, response, splitter, responder)
+            if failure is None:
                 responder.finish()
                 return None
-            if is_lost_run(broken):
-                await self._asker.lost(routed, answer.seat, broken)
-            again = routed.may_run_again and splitter.can_continue
-            if not again or self._loop.time() >= routed.until_s:
-                return broken
-            self._balancer.failed(answer.seat, self._loop.time())
+            if is_lost_run(failure):
+                await self._asker.lost(routed, response.seat, failure)
+            may_continue = routed.may_run_again and splitter.can_continue
+            if not may_continue or self._loop.time() >= routed.until_s:
+                return failure
+            self._balancer.failed(response.seat, self._loop.time())
             continued = await self._asker.answer(routed, splitter.last_id)
             if isinstance(continued, Failure):
-                return broken
+                return failure
             if continued.head.status != 200:
                 self._sender.finish(continued, False)
-                return broken
-            answer = continued
+                return failure
+            response = continued
             splitter = EventSplitter(splitter.last_id)
 
-    async def _relay(
+    async def _relay_events(
         self,
         routed: RoutedRequest,
-        answer: OpenedResponse,
+        response: OpenedResponse,
         splitter: EventSplitter,
         responder: Responder,
     ) -> Failure | None:
+        """Relay a stream's events from one back end; return None at its regular end."""
         whole = False
         try:
             while True:
-                async with asyncio.timeout_at(self._silent_until_s(routed)):
-                    event = await answer.connection.next_event()
+                async with asyncio.timeout_at(self._read_deadline_s(routed)):
+                    event = await response.connection.next_event()
                 if isinstance(event, Failure):
                     return event
                 if isinstance(event, ResponseHead):
-                    return _stray(answer)
+                    return _unexpected_event(response)
                 if not responder.started:
-                    responder.send_head(answer.head.status, end_to_end(answer.head.headers))
+                    responder.send_head(response.head.status, end_to_end(response.head.headers))
                 if isinstance(event, ResponseEnd):
                     if splitter.pending_bytes:
-                        return _stray(answer)
+                        return _unexpected_event(response)
                     whole = True
                     return None
                 routed.note_output(self._loop.time())
@@ -304,9 +315,10 @@
         except TimeoutError:
             return out_of_time(Execution.UNKNOWN)
         finally:
-            self._sender.finish(answer, whole)
+            self._sender.finish(response, whole)
 
-    def _silent_until_s(self, routed: RoutedRequest) -> float:
+    def _read_deadline_s(self, routed: RoutedRequest) -> float:
+        """Return how long to wait for a stream's next data, in the loop's seconds."""
         if not routed.may_run_again:
             return routed.until_s
         return min(routed.until_s, self._loop.time() + STREAM_SILENCE_S)
@@ -318,6 +330,7 @@
         responder: Responder,
         failure: Failure,
     ) -> None:
+        """Answer a request with a failure of the proxy's own."""
         status = status_of(failure)
         version = 0 if self._index is None else self._index.table.version
         waited_s = self._loop.time() - request.arrived_s
@@ -327,7 +340,10 @@
 
 
 def _with_execution(failure: Failure, execution: Execution) -> Failure:
-    """Return a failure that says "not run" only when no back end can have run the request."""
+    """Return a failure with the request's execution state, unless the request has not run.
+
+    A failure may state NOT_RUN for the last attempt only, while an earlier one may have run.
+    """
     if execution is Execution.NOT_RUN or failure.execution is execution:
         return failure
     return Failure(
@@ -339,11 +355,11 @@
     )
 
 
-def _stray(answer: OpenedResponse) -> Failure:
+def _unexpected_event(response: OpenedResponse) -> Failure:
     return Failure(
         kind=FailureKind.BACKEND_MISMATCH,
-        reason="the answer did not end where it should",
+        reason="unexpected response head or end of the stream inside an event",
         step=Step.RELAYING,
-        peer=answer.seat.record.address,
+        peer=response.seat.record.address,
         execution=Execution.UNKNOWN,
     )
--- a/src/leverjunction/proxy/process.py
+++ b/src/leverjunction/proxy/process.py
@@ -160,7 +160,7 @@
         """Not ready at once; take what still comes for a while; answer all."""
         logger.info("stopping")
         self._stopping = True
-        self._port.leaving = True
+        self._port.draining = True
         started_s = self._loop.time()
         await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         if self._callers is not None:
@@ -168,7 +168,7 @@
         end_s = started_s + self._config.bounds.stop_grace_s - STOP_MARGIN_S
         while self._loop.time() < end_s:
             self._port.close_idle()
-            if not self._port.busy():
+            if not self._port.count_busy():
                 return
             await asyncio.sleep(POLL_S)
 
--- a/src/leverjunction/proxy/runner_connection.py
+++ b/src/leverjunction/proxy/runner_connection.py
@@ -12,12 +12,12 @@
 from leverjunction.proxy.probes import probe
 
 MAX_HEAD_BYTES = 64 * 1024
-PAUSE_BYTES = 256 * 1024
-"""Unread bytes of an answer beyond which no more are taken from the socket."""
+MAX_UNREAD_BYTES = 256 * 1024
+"""Bytes of a response waiting for its reader above which reading from the socket is paused."""
 
 
 class ResponseHead:
-    """Status and headers of a back end's answer."""
+    """Status and headers of a back end's response."""
 
     __slots__ = ("headers", "status")
 
@@ -27,7 +27,7 @@
 
 
 class ResponseEnd:
-    """The answer is complete."""
+    """Marks the regular end of a response."""
 
     __slots__ = ()
 
@@ -36,12 +36,13 @@
 
 
 class RunnerConnection(asyncio.Protocol):
-    """One connection; carries one request at a time.
+    """A connection to a back end, which carries one request at a time.
 
     Attributes:
         address: ``host:port`` of the back end.
-        idle_since_s: When it last became idle, monotonic seconds.
-        keep_alive_s: How long the back end keeps it idle, None when it did not say.
+        idle_since_s: Time at which the connection last became idle, in monotonic seconds.
+        keep_alive_s: Time for which the back end keeps an idle connection open, in seconds; None
+            if it has not stated one.
     """
 
     def __init__(self, address: str) -> None:
@@ -53,16 +54,16 @@
         self._events: deque[ResponseEvent] = deque()
         self._unread_bytes = 0
         self._paused = False
-        self._pace_s = 0.0
-        self._rest: asyncio.TimerHandle | None = None
+        self._read_interval_s = 0.0
+        self._pause_timer: asyncio.TimerHandle | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._ended = False
-        self._active = False
-        self._heard = False
+        self._in_use = False
+        self._response_started = False
 
     @property
     def is_usable(self) -> bool:
-        """Whether another request may be sent: it is open, and nothing stray came on it."""
+        """Whether another request may be sent: the connection is open and its parser is idle."""
         return (
             not self._ended
             and self._transport is not None
@@ -71,93 +72,102 @@
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and enable TCP keep-alive probes."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         probe(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of an answer; bytes without a request belong to none."""
-        if not self._active:
+        """Parse a part of a response; data without a request closes the connection."""
+        if not self._in_use:
             self.close()
             return
-        self._heard = True
+        self._response_started = True
         self._feed(data)
-        if self._pace_s:
-            self._take_rest()
+        if self._read_interval_s:
+            self._pause_until_next_read()
 
     def eof_received(self) -> bool:
-        """The back end closed: right after an answer without a length, a fault elsewhere."""
-        if self._active:
+        """Handle the back end's close, which regularly ends only a response without a length."""
+        if self._in_use:
             self._feed(b"")
-        self._end("the back end closed the connection")
+        self._on_closed("the back end closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection broke."""
-        self._end(f"the connection broke ({exc})" if exc else "the connection ended")
+        """End the request in progress with a failure."""
+        self._on_closed(f"the connection was lost ({exc})" if exc else "the connection was closed")
 
     def send(self, method: bytes, target: bytes, headers: RawHeaders, body: bytes) -> None:
-        """Send a request whole."""
+        """Send a complete request; Content-Length is added where the method or body needs it."""
         assert self._transport is not None
-        self._active = True
-        self._heard = False
-        framed = [*headers]
+        self._in_use = True
+        self._response_started = False
+        framed_headers = [*headers]
         if body or method not in (b"GET", b"HEAD", b"DELETE"):
-            framed.append((b"Content-Length", b"%d" % len(body)))
-        parts = [self._h11.send(h11.Request(method=method, target=target, headers=framed)) or b""]
+            framed_headers.append((b"Content-Length", b"%d" % len(body)))
+        parts = [
+            self._h11.send(h11.Request(method=method, target=target, headers=framed_headers)) or b""
+        ]
         if body:
             parts.append(self._h11.send(h11.Data(data=body)) or b"")
         parts.append(self._h11.send(h11.EndOfMessage()) or b"")
         self._transport.write(b"".join(parts))
 
     async def next_event(self) -> ResponseEvent:
-        """Return the next part of the answer; after its end or a failure, nothing more comes."""
+        """Return the next part of the response; a ``ResponseEnd`` or a failure is the last one."""
         await self.wait_event()
         event = self._events.popleft()
         if isinstance(event, bytes):
             self._unread_bytes -= len(event)
-            self._resume()
+            self._resume_if_drained()
         return event
 
     async def wait_event(self) -> None:
-        """Return once ``next_event`` has a part of the answer to return."""
+        """Wait until ``next_event`` can return without waiting."""
         while not self._events:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
     def set_read_interval(self, interval_s: float) -> None:
-        """Take the rest of this answer only so often, several parts at a time.
+        """Pause reading after each read, for the rest of this response.
 
-        A stream whose reader is in no hurry costs a wake-up for every event otherwise.
+        This batches the events of a stream whose latency does not matter. Without it every event
+        costs a wake-up of the event loop.
+
+        Args:
+            interval_s: Pause between two reads, in seconds; 0 reads without pauses.
         """
-        self._pace_s = interval_s
+        self._read_interval_s = interval_s
 
     def finish_request(self) -> bool:
-        """End the use for one request; return whether the connection may serve another."""
-        self._active = False
-        self._pace_s = 0.0
-        self._end_rest()
-        clean = (
+        """End the current request; return whether the connection can be reused for another.
+
+        A connection that cannot be reused is closed.
+        """
+        self._in_use = False
+        self._read_interval_s = 0.0
+        self._end_read_pause()
+        is_complete = (
             not self._ended
             and self._h11.our_state is h11.DONE
             and self._h11.their_state is h11.DONE
             and not self._h11.trailing_data[0]
         )
-        if not clean:
+        if not is_complete:
             self.close()
             return False
         self._h11.start_next_cycle()
         return self.is_usable
 
     def close(self) -> None:
-        """Close at once; the back end drops what it runs for this connection."""
-        if self._active and not self._ended:
-            # Nothing comes any more, and a reader would not learn it from the transport.
-            self._push(self._connection_failure("the connection was closed here"))
+        """Close at once; the back end cancels the request that it runs for this connection."""
+        if self._in_use and not self._ended:
+            # The transport does not report this close to a reader that waits for an event.
+            self._emit(self._connection_failure("the connection was closed by this process"))
         self._ended = True
-        if self._rest is not None:
-            self._rest.cancel()
+        if self._pause_timer is not None:
+            self._pause_timer.cancel()
         if self._transport is not None:
             self._transport.abort()
 
@@ -167,7 +177,7 @@
             while self._take_event():
                 pass
         except h11.RemoteProtocolError as error:
-            self._push(self._connection_failure(f"not an answer: {error}"))
+            self._emit(self._connection_failure(f"invalid HTTP response: {error}"))
             self.close()
 
     def _take_event(self) -> bool:
@@ -177,30 +187,30 @@
         if event in (h11.NEED_DATA, h11.PAUSED):
             return False
         if isinstance(event, h11.Response):
-            self._push(ResponseHead(event.status_code, event.headers.raw_items()))
+            self._emit(ResponseHead(event.status_code, event.headers.raw_items()))
         elif isinstance(event, h11.Data):
-            self._push(bytes(event.data))
+            self._emit(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._push(ResponseEnd())
+            self._emit(ResponseEnd())
             return False
         elif isinstance(event, h11.ConnectionClosed):
             return False
         return True
 
-    def _push(self, event: ResponseEvent) -> None:
+    def _emit(self, event: ResponseEvent) -> None:
         if isinstance(event, bytes):
             self._unread_bytes += len(event)
-            self._pause()
+            self._pause_if_full()
         self._events.append(event)
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _end(self, reason: str) -> None:
+    def _on_closed(self, reason: str) -> None:
         if self._ended:
             return
         self._ended = True
-        if self._active:
-            self._push(self._connection_failure(reason))
+        if self._in_use:
+            self._emit(self._connection_failure(reason))
         if self._transport is not None:
             self._transport.abort()
 
@@ -208,17 +218,17 @@
         return Failure(
             kind=FailureKind.UNREACHABLE,
             reason=reason,
-            step=Step.RELAYING if self._heard else Step.RESPONDING,
+            step=Step.RELAYING if self._response_started else Step.RESPONDING,
             peer=self.address,
             execution=Execution.UNKNOWN,
         )
 
-    def _pause(self) -> None:
-        if self._unread_bytes > PAUSE_BYTES:
+    def _pause_if_full(self) -> None:
+        if self._unread_bytes > MAX_UNREAD_BYTES:
             self._stop_reading()
 
-    def _resume(self) -> None:
-        if self._rest is not None or self._unread_bytes > PAUSE_BYTES:
+    def _resume_if_drained(self) -> None:
+        if self._pause_timer is not None or self._unread_bytes > MAX_UNREAD_BYTES:
             return
         if self._paused and self._transport is not None:
             self._paused = False
@@ -231,64 +241,81 @@
         self._paused = True
         self._transport.pause_reading()
 
-    def _take_rest(self) -> None:
-        if self._ended or self._rest is not None:
+    def _pause_until_next_read(self) -> None:
+        if self._ended or self._pause_timer is not None:
             return
         self._stop_reading()
-        self._rest = asyncio.get_running_loop().call_later(self._pace_s, self._end_rest)
+        self._pause_timer = asyncio.get_running_loop().call_later(
+            self._read_interval_s, self._end_read_pause
+        )
 
-    def _end_rest(self) -> None:
-        if self._rest is not None:
-            self._rest.cancel()
-            self._rest = None
-        self._resume()
+    def _end_read_pause(self) -> None:
+        if self._pause_timer is not None:
+            self._pause_timer.cancel()
+            self._pause_timer = None
+        self._resume_if_drained()
 
 
 class RunnerPool:
-    """Idle connections, and how new ones are made."""
+    """Keeps idle connections by back end and opens new ones.
+
+    Attributes:
+        opened_total: Number of connections that were opened.
+    """
 
-    __slots__ = ("_idle", "_loop", "opened")
+    __slots__ = ("_idle", "_loop", "opened_total")
 
     def __init__(self) -> None:
         self._idle: dict[str, list[RunnerConnection]] = {}
         self._loop = asyncio.get_running_loop()
-        self.opened = 0
+        self.opened_total = 0
 
     async def acquire(
         self, address: str, idle_share: float, connect_timeout_s: float
     ) -> RunnerConnection | Failure:
-        """Return a connection.
+        """Return an idle connection, or open a new one.
 
         Args:
             address: ``host:port`` of the back end.
-            idle_share: Share of the kept time after which an idle connection is not used: one
-                that the back end closes meanwhile leaves it open whether the request ran.
-            connect_timeout_s: Longest wait for a new one.
+            idle_share: Share of the back end's keep-alive time after which an idle connection is
+                not reused. If the back end closes a connection just as a request is sent, it is
+                unknown whether the request ran.
+            connect_timeout_s: Timeout for opening a new connection, in seconds.
         """
         idle = self._idle.get(address, [])
         now_s = self._loop.time()
         while idle:
             connection = idle.pop()
-            kept_s = DEFAULT_KEPT_S if connection.keep_alive_s is None else connection.keep_alive_s
-            fresh = now_s - connection.idle_since_s <= kept_s * idle_share
-            if fresh and connection.is_usable:
+            keep_alive_s = (
+                DEFAULT_KEEP_ALIVE_S if connection.keep_alive_s is None else connection.keep_alive_s
+            )
+            is_fresh = now_s - connection.idle_since_s <= keep_alive_s * idle_share
+            if is_fresh and connection.is_usable:
                 return connection
             connection.close()
         return await self._connect(address, connect_timeout_s)
 
     def release(self, connection: RunnerConnection, keep: bool) -> None:
-        """Take a connection back after an answer, or close it."""
+        """Return a connection to the pool after a response.
+
+        Args:
+            connection: A connection from ``acquire``.
+            keep: Whether it may be reused; if not, it is closed.
+        """
         if not connection.finish_request() or not keep:
             connection.close()
             return
         connection.idle_since_s = self._loop.time()
         idle = self._idle.setdefault(connection.address, [])
         idle.append(connection)
-        if len(idle) > MAX_IDLE:
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             idle.pop(0).close()
 
     def close_idle_connections(self, address: str) -> None:
-        """Close the idle connections to a back end: one to it was silent, so these may be too."""
+        """Close the idle connections to a back end.
+
+        After one connection went silent, the others on the same network path may be silent too.
+        """
         for connection in self._idle.pop(address, ()):
             connection.close()
 
@@ -307,19 +334,19 @@
                     lambda: RunnerConnection(address), host, int(port)
                 )
         except (OSError, TimeoutError) as error:
-            refused = isinstance(error, ConnectionRefusedError)
+            is_refused = isinstance(error, ConnectionRefusedError)
             return Failure(
-                kind=FailureKind.NOT_LISTENING if refused else FailureKind.UNREACHABLE,
+                kind=FailureKind.NOT_LISTENING if is_refused else FailureKind.UNREACHABLE,
                 reason=f"no connection: {error or 'timed out'}",
                 step=Step.CONNECTING,
                 peer=address,
             )
-        self.opened += 1
+        self.opened_total += 1
         return connection
 
 
-DEFAULT_KEPT_S = 4.0
-"""Assumed when a back end does not say how long it keeps idle connections."""
+DEFAULT_KEEP_ALIVE_S = 4.0
+"""Keep-alive time of a back end that does not state one."""
 
-MAX_IDLE = 8
-"""Idle connections that are kept to one back end."""
+MAX_IDLE_CONNECTIONS = 8
+"""Limit of idle connections to one back end."""
