--- a/src/leverjunction/platform/control_calls.py
+++ b/src/leverjunction/platform/control_calls.py
@@ -1,4 +1,8 @@
-"""The platform's calls to a control process: runners and the operator (WSGI)."""
+"""WSGI application for the platform's HTTP calls to a control process.
+
+Runners report to it that they are alive or leave; the operator replaces the route table and
+retires runners.
+"""
 
 from __future__ import annotations
 
@@ -16,82 +20,89 @@
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 MAX_BODY_BYTES = 8 * 1024 * 1024
-UNSURE = 503
-_STATUS = {
+UNAVAILABLE_STATUS = 503
+_STATUS_BY_KIND = {
     FailureKind.BAD_REQUEST: 400,
     FailureKind.NOT_FOUND: 404,
     FailureKind.CONFLICT: 409,
     FailureKind.TOO_LARGE: 413,
 }
-_STATES = {"ready": RunnerState.READY, "draining": RunnerState.LEAVING}
+_RUNNER_STATES = {"ready": RunnerState.READY, "draining": RunnerState.LEAVING}
+
 
+MAX_SLOTS = 100_000
+"""Maximum of concurrent requests that a runner may report.
 
-SLOTS_MOST = 100_000
-"""Requests at a time at one runner; more is a mistake, and would draw all work there."""
+A larger number is an error, and would attract all requests to that runner.
+"""
 
 WholeNumber = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
 UnixMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-class _BeatForm(msgspec.Struct, rename="pascal"):
+class _HeartbeatPayload(msgspec.Struct, rename="pascal"):
     service: str
     address: str
     zone: str
-    slots: Annotated[int, msgspec.Meta(gt=0, le=SLOTS_MOST)]
+    slots: Annotated[int, msgspec.Meta(gt=0, le=MAX_SLOTS)]
     state: str
     sequence: WholeNumber = 0
     born: UnixMs = msgspec.field(default=0, name="born")
-    """When the runner started, in Unix milliseconds; the only field in lower case."""
+    """Time at which the runner started, in Unix milliseconds; the only lower-case field name."""
 
 
-class _LeaveForm(msgspec.Struct):
+class _LeavePayload(msgspec.Struct):
     born: UnixMs = 0
 
 
-_BEATS = msgspec.json.Decoder(_BeatForm)
-_LEAVES = msgspec.json.Decoder(_LeaveForm)
+_HEARTBEAT_DECODER = msgspec.json.Decoder(_HeartbeatPayload)
+_LEAVE_DECODER = msgspec.json.Decoder(_LeavePayload)
 
 
-class _StateForm(msgspec.Struct, rename="pascal"):
+class _RetirementPayload(msgspec.Struct, rename="pascal"):
     state: str
 
 
-Answer = tuple[int, bytes]
-Call = Callable[["ControlCalls", str, bytes], Answer]
-_CALLS: dict[tuple[str, str], Call] = {}
+Response = tuple[int, bytes]
+Handler = Callable[["ControlCalls", str, bytes], Response]
+_HANDLERS: dict[tuple[str, str], Handler] = {}
 
 
-def _call(method: str, path: str) -> Callable[[Call], Call]:
-    """Register a call; a path that ends with a slash takes a name after it."""
+def _handler(method: str, path: str) -> Callable[[Handler], Handler]:
+    """Register the handler of a method and path; a path that ends with a slash takes a name."""
 
-    def register(call: Call) -> Call:
-        _CALLS[method, path] = call
-        return call
+    def register(handler: Handler) -> Handler:
+        _HANDLERS[method, path] = handler
+        return handler
 
     return register
 
 
 class ControlCalls:
-    """WSGI application of the platform's calls."""
+    """WSGI application that answers the platform's calls.
+
+    Args:
+        node: Registry node of this control process.
+    """
 
     def __init__(self, node: RegistryNode) -> None:
         self.node = node
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one call."""
-        status, body = self._answer(environ)
+        """Answer one HTTP request."""
+        status, body = self._respond(environ)
         start_response(
             f"{status} {'OK' if status < 300 else 'Refused'}",
             [("Content-Type", "application/json"), ("Content-Length", str(len(body)))],
         )
         return [body]
 
-    def _answer(self, environ: dict[str, Any]) -> Answer:
+    def _respond(self, environ: dict[str, Any]) -> Response:
         path = environ["PATH_INFO"]
         folder, _, name = path.rpartition("/")
         method = environ["REQUEST_METHOD"]
-        call = _CALLS.get((method, path)) or _CALLS.get((method, folder + "/"))
-        if call is None:
+        handler = _HANDLERS.get((method, path)) or _HANDLERS.get((method, folder + "/"))
+        if handler is None:
             return 404, b"{}"
         length = int(environ.get("CONTENT_LENGTH") or 0)
         if length > MAX_BODY_BYTES:
@@ -100,100 +111,102 @@
             body = environ["wsgi.input"].read()
         else:
             body = environ["wsgi.input"].read(length) if length > 0 else b""
-        return call(self, name, body)
+        return handler(self, name, body)
 
 
-def _refused(failure: Failure) -> Answer:
-    status = _STATUS.get(failure.kind, UNSURE)
+def _failure_response(failure: Failure) -> Response:
+    status = _STATUS_BY_KIND.get(failure.kind, UNAVAILABLE_STATUS)
     return status, msgspec.json.encode({"Error": failure.reason})
 
 
-def _outcome(failure: Failure | None) -> Answer:
-    return (200, b"{}") if failure is None else _refused(failure)
+def _result_response(failure: Failure | None) -> Response:
+    return (200, b"{}") if failure is None else _failure_response(failure)
 
 
-@_call("POST", "/api/Config.Replace")
-def _replace(calls: ControlCalls, _name: str, body: bytes) -> Answer:
+@_handler("POST", "/api/Config.Replace")
+def _replace_table(calls: ControlCalls, _name: str, body: bytes) -> Response:
     table = read_table(body)
     if isinstance(table, Failure):
-        return _refused(table)
-    held = calls.node.put_table(table, body.decode("utf8"))
-    if isinstance(held, Failure):
-        logger.warning("route table {} is not taken: {}", table.version, held.reason)
-        return _refused(held)
+        return _failure_response(table)
+    accepted = calls.node.put_table(table, body.decode("utf8"))
+    if isinstance(accepted, Failure):
+        logger.warning(
+            "route table version {} was not accepted: {}", table.version, accepted.reason
+        )
+        return _failure_response(accepted)
     return 200, b"{}"
 
 
-@_call("GET", "/api/Config.Get")
-def _get(calls: ControlCalls, _name: str, _body: bytes) -> Answer:
+@_handler("GET", "/api/Config.Get")
+def _get_table(calls: ControlCalls, _name: str, _body: bytes) -> Response:
     source = calls.node.table_source()
     if isinstance(source, Failure):
-        return _refused(source)
+        return _failure_response(source)
     if not source.source:
-        return UNSURE, b"{}"
+        return UNAVAILABLE_STATUS, b"{}"
     return 200, source.source.encode()
 
 
-@_call("POST", "/api/Instances.Heartbeat/")
-def _heartbeat(calls: ControlCalls, name: str, body: bytes) -> Answer:
-    record = _read_beat(name, body)
+@_handler("POST", "/api/Instances.Heartbeat/")
+def _heartbeat(calls: ControlCalls, name: str, body: bytes) -> Response:
+    record = _parse_heartbeat(name, body)
     if isinstance(record, Failure):
         note_unreadable("heartbeat", name, record.reason)
-        return _refused(record)
-    return _outcome(calls.node.runner_heard(record))
+        return _failure_response(record)
+    return _result_response(calls.node.runner_heard(record))
 
 
-def _read_beat(name: str, body: bytes) -> RunnerRecord | Failure:
-    """Return the record that a heartbeat tells, or why it names no runner to use."""
-    form = read_json(body, _BEATS)
-    if isinstance(form, Failure):
-        return form
-    state = _STATES.get(form.state)
+def _parse_heartbeat(name: str, body: bytes) -> RunnerRecord | Failure:
+    """Return the runner record of a heartbeat, or why the heartbeat is invalid."""
+    payload = read_json(body, _HEARTBEAT_DECODER)
+    if isinstance(payload, Failure):
+        return payload
+    state = _RUNNER_STATES.get(payload.state)
     if state is None:
-        return _unreadable("a state that is not known")
-    if not (is_name(name) and is_name(form.service) and is_name(form.zone)):
-        return _unreadable("an id, a service or a zone that is no name")
-    if not is_address(form.address):
-        return _unreadable("an address that is not HOST:PORT")
+        return _invalid("a state that is not known")
+    if not (is_name(name) and is_name(payload.service) and is_name(payload.zone)):
+        return _invalid("an id, a service or a zone that is no name")
+    if not is_address(payload.address):
+        return _invalid("an address that is not HOST:PORT")
     return RunnerRecord(
         runner_id=name,
-        service=form.service,
-        address=form.address,
-        zone=form.zone,
-        slots=form.slots,
+        service=payload.service,
+        address=payload.address,
+        zone=payload.zone,
+        slots=payload.slots,
         state=state,
-        sequence=form.sequence,
-        born_ms=form.born,
+        sequence=payload.sequence,
+        born_ms=payload.born,
     )
 
 
-@_call("POST", "/api/Instances.Leave/")
-def _leave(calls: ControlCalls, name: str, body: bytes) -> Answer:
-    form = _read_farewell(name, body)
-    if isinstance(form, Failure):
-        note_unreadable("farewell", name, form.reason)
-        return _refused(form)
-    return _outcome(calls.node.runner_left(name, form.born))
+@_handler("POST", "/api/Instances.Leave/")
+def _leave(calls: ControlCalls, name: str, body: bytes) -> Response:
+    payload = _parse_leave(name, body)
+    if isinstance(payload, Failure):
+        note_unreadable("farewell", name, payload.reason)
+        return _failure_response(payload)
+    return _result_response(calls.node.runner_left(name, payload.born))
 
 
-def _read_farewell(name: str, body: bytes) -> _LeaveForm | Failure:
+def _parse_leave(name: str, body: bytes) -> _LeavePayload | Failure:
     if not is_name(name):
-        return _unreadable("an id that is no name")
-    return read_json(body or b"{}", _LEAVES)
+        return _invalid("an id that is no name")
+    return read_json(body or b"{}", _LEAVE_DECODER)
 
 
-def _unreadable(reason: str) -> Failure:
+def _invalid(reason: str) -> Failure:
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.DECODING)
 
 
-@_call("POST", "/api/Retire.Start/")
-def _retire(calls: ControlCalls, name: str, _body: bytes) -> Answer:
-    return _outcome(calls.node.start_retirement(name))
+@_handler("POST", "/api/Retire.Start/")
+def _start_retirement(calls: ControlCalls, name: str, _body: bytes) -> Response:
+    return _result_response(calls.node.start_retirement(name))
 
 
-@_call("GET", "/api/Retire.Get/")
-def _retired(calls: ControlCalls, name: str, _body: bytes) -> Answer:
-    done = calls.node.is_retired(name)
-    if isinstance(done, Failure):
-        return _refused(done)
-    return 200, msgspec.json.encode(_StateForm("done" if done else "running"))
+@_handler("GET", "/api/Retire.Get/")
+def _get_retirement(calls: ControlCalls, name: str, _body: bytes) -> Response:
+    is_done = calls.node.is_retired(name)
+    if isinstance(is_done, Failure):
+        return _failure_response(is_done)
+    return 200, msgspec.json.encode(_RetirementPayload("done" if is_done else "running"))
--- a/src/leverjunction/platform/gateway_calls.py
+++ b/src/leverjunction/platform/gateway_calls.py
@@ -1,4 +1,7 @@
-"""The platform's calls to a gateway that are no requests for a runner: batch jobs."""
+"""The platform's HTTP calls that a gateway answers itself: those on batch jobs.
+
+A lot is the platform's batch job of opaque items, which the stores keep and run.
+"""
 
 from __future__ import annotations
 
@@ -30,15 +33,15 @@
 from leverjunction.wire.rpc_client import RpcClient
 
 READY_PATH = "/api/ready"
-PAGE_BYTES = 900 * 1024
-MOST_ITEMS = 200
-_TARGET = re.compile(r"/[!-~]*")
-_CONTROLS = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
+MAX_PAGE_BYTES = 900 * 1024
+MAX_ITEMS = 200
+_REQUEST_TARGET = re.compile(r"/[!-~]*")
+_CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
 RETRY_AFTER_S = b"0.5"
 _JSON = (b"Content-Type", b"application/json")
 
 
-class _ItemForm(msgspec.Struct, rename="pascal"):
+class _ItemPayload(msgspec.Struct, rename="pascal"):
     id: str
     path: str
     headers: dict[str, str]
@@ -46,24 +49,24 @@
     tokens: int = 0
 
 
-class _LotForm(msgspec.Struct, rename="pascal"):
-    items: list[_ItemForm]
+class _LotPayload(msgspec.Struct, rename="pascal"):
+    items: list[_ItemPayload]
 
 
-class _ResultForm(msgspec.Struct, rename="pascal"):
+class _ResultPayload(msgspec.Struct, rename="pascal"):
     id: str
     state: str
     text: str
 
 
-class _PageForm(msgspec.Struct, rename="pascal"):
+class _PagePayload(msgspec.Struct, rename="pascal"):
     total: int
     next_token: int
-    results: list[_ResultForm]
+    results: list[_ResultPayload]
 
 
-class Reply:
-    """Status and body of an answer to the platform."""
+class Response:
+    """HTTP status and JSON body of a response to the platform."""
 
     __slots__ = ("body", "status")
 
@@ -72,61 +75,69 @@
         self.body = body
 
 
-Call = Callable[[LotsClient, CallerRequest, str], Awaitable[Reply]]
-_CALLS: dict[tuple[bytes, str], Call] = {}
+Handler = Callable[[LotsClient, CallerRequest, str], Awaitable[Response]]
+_HANDLERS: dict[tuple[bytes, str], Handler] = {}
 
 
-def _call(method: bytes, folder: str) -> Callable[[Call], Call]:
-    def register(call: Call) -> Call:
-        _CALLS[method, folder] = call
-        return call
+def _handler(method: bytes, folder: str) -> Callable[[Handler], Handler]:
+    def register(handler: Handler) -> Handler:
+        _HANDLERS[method, folder] = handler
+        return handler
 
     return register
 
 
 def make_gateway_calls(rpc: RpcClient, follower: RegistryFollower, zone: str) -> LocalHandler:
-    """Return the handler of the platform's calls."""
+    """Create the handler of the platform's calls to a gateway.
+
+    Args:
+        rpc: Client for calls to the stores.
+        follower: Knows the addresses of the stores.
+        zone: Zone of this gateway.
+    """
     client = LotsClient(rpc, follower, zone)
 
     async def handle(
         request: CallerRequest, responder: Responder, _index: RouteIndex, route: Route | None
     ) -> bool:
         folder, _, name = request.path.rpartition("/")
-        call = _CALLS.get((request.method, folder + "/"))
-        if call is not None and (route is None or route.kind is RouteClass.BATCH):
-            reply = await call(client, request, name)
+        handler = _HANDLERS.get((request.method, folder + "/"))
+        if handler is not None and (route is None or route.kind is RouteClass.BATCH):
+            response = await handler(client, request, name)
         elif route is not None and route.kind is RouteClass.BATCH:
-            reply = await _submit(client, request, route)
+            response = await _submit(client, request, route)
         else:
             return False
         headers = [_JSON]
-        if reply.status in (429, 503):
+        if response.status in (429, 503):
             headers.append((b"Retry-After", RETRY_AFTER_S))
-        responder.respond(reply.status, headers, reply.body)
+        responder.respond(response.status, headers, response.body)
         return True
 
     return handle
 
 
-def _is_sendable(item: _ItemForm) -> bool:
-    """Return whether HTTP can carry what an item names; it would be tried in vain for good."""
-    words = (*item.headers, *item.headers.values())
-    sendable = _TARGET.fullmatch(item.path) is not None
-    return sendable and not any(_CONTROLS.search(word) for word in words)
+def _is_sendable(item: _ItemPayload) -> bool:
+    """Return whether HTTP can carry an item's path and headers; if not, every run would fail."""
+    texts = (*item.headers, *item.headers.values())
+    sendable = _REQUEST_TARGET.fullmatch(item.path) is not None
+    return sendable and not any(_CONTROL_CHARACTERS.search(text) for text in texts)
 
 
-async def _submit(client: LotsClient, request: CallerRequest, route: Route) -> Reply:
+async def _submit(client: LotsClient, request: CallerRequest, route: Route) -> Response:
     lot_id = (find(request.headers, REQUEST_ID.lower()) or b"").decode("latin-1")
     try:
-        form = msgspec.json.decode(request.body, type=_LotForm)
+        payload = msgspec.json.decode(request.body, type=_LotPayload)
     except msgspec.MsgspecError as error:
-        return Reply(400, msgspec.json.encode({"Error": str(error)}))
-    if not lot_id or not 0 < len(form.items) <= MOST_ITEMS:
-        return Reply(400, msgspec.json.encode({"Error": "an id and 1 to 200 items are expected"}))
-    unsendable = next((item.id for item in form.items if not _is_sendable(item)), None)
+        return Response(400, msgspec.json.encode({"Error": str(error)}))
+    if not lot_id or not 0 < len(payload.items) <= MAX_ITEMS:
+        return Response(
+            400, msgspec.json.encode({"Error": "expected a request id and 1 to 200 items"})
+        )
+    unsendable = next((item.id for item in payload.items if not _is_sendable(item)), None)
     if unsendable is not None:
         reason = f"HTTP cannot carry the path or a header of item {unsendable}"
-        return Reply(400, msgspec.json.encode({"Error": reason}))
+        return Response(400, msgspec.json.encode({"Error": reason}))
     command = SubmitLot(
         lot_id=lot_id,
         host=route.host,
@@ -142,43 +153,43 @@
                 body=item.body,
                 tokens=item.tokens,
             )
-            for item in form.items
+            for item in payload.items
         ),
     )
-    taken = await client.propose(command, LotTaken)
-    if not isinstance(taken, Failure):
-        return Reply(202)
-    # 503 promises that nothing runs; a store that did not answer may have taken it.
-    return Reply(503 if taken.execution is Execution.NOT_RUN else 504)
+    accepted = await client.propose(command, LotTaken)
+    if not isinstance(accepted, Failure):
+        return Response(202)
+    # 503 promises that the lot will not run, but a store that did not answer may have accepted it.
+    return Response(503 if accepted.execution is Execution.NOT_RUN else 504)
 
 
-@_call(b"GET", "/api/lots/")
-async def _read(client: LotsClient, request: CallerRequest, lot_id: str) -> Reply:
+@_handler(b"GET", "/api/lots/")
+async def _get_results(client: LotsClient, request: CallerRequest, lot_id: str) -> Response:
     after = _whole_number(_parameter(request, "AfterRevision"))
-    query = ReadResults(lot_id=lot_id, after=after, most_bytes=PAGE_BYTES)
+    query = ReadResults(lot_id=lot_id, after=after, most_bytes=MAX_PAGE_BYTES)
     page = await client.query(query, ResultsPage)
     if isinstance(page, Failure):
-        return _unsure(page)
-    results = [_ResultForm(item.item_id, item.state.value, item.text) for item in page.results]
-    form = _PageForm(page.total, after + len(results), results)
-    return Reply(200, msgspec.json.encode(form))
+        return _failure_response(page)
+    results = [_ResultPayload(item.item_id, item.state.value, item.text) for item in page.results]
+    payload = _PagePayload(page.total, after + len(results), results)
+    return Response(200, msgspec.json.encode(payload))
 
 
-@_call(b"GET", "/api/items/")
-async def _read_body(client: LotsClient, request: CallerRequest, lot_id: str) -> Reply:
+@_handler(b"GET", "/api/items/")
+async def _get_item_body(client: LotsClient, request: CallerRequest, lot_id: str) -> Response:
     query = ReadBody(lot_id=lot_id, item_id=_parameter(request, "Id"))
     body = await client.query(query, ItemBody)
-    return _unsure(body) if isinstance(body, Failure) else Reply(200, body.body)
+    return _failure_response(body) if isinstance(body, Failure) else Response(200, body.body)
 
 
-@_call(b"DELETE", "/api/lots/")
-async def _end(client: LotsClient, _request: CallerRequest, lot_id: str) -> Reply:
+@_handler(b"DELETE", "/api/lots/")
+async def _end_lot(client: LotsClient, _request: CallerRequest, lot_id: str) -> Response:
     ended = await client.propose(EndLot(lot_id), LotTaken)
-    return _unsure(ended) if isinstance(ended, Failure) else Reply(200)
+    return _failure_response(ended) if isinstance(ended, Failure) else Response(200)
 
 
-def _unsure(failure: Failure) -> Reply:
-    return Reply(404 if failure.kind is FailureKind.NOT_FOUND else 503)
+def _failure_response(failure: Failure) -> Response:
+    return Response(404 if failure.kind is FailureKind.NOT_FOUND else 503)
 
 
 def _parameter(request: CallerRequest, name: str) -> str:
--- a/src/leverjunction/platform/headers.py
+++ b/src/leverjunction/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's header fields."""
+"""Names and formats of the platform's header fields."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 RETRY_AFTER = b"Retry-After"
 REPORT_PATH = b"/api/report"
 
-_READ = {
+_PARSED_FIELDS = {
     name.lower()
     for name in (
         REQUEST_ID,
@@ -50,31 +50,31 @@
         b"Connection",
     )
 }
-_SET = {name.lower() for name in (DEADLINE_MS, EXPECT_INSTANCE)}
+_REPLACED_FIELDS = {name.lower() for name in (DEADLINE_MS, EXPECT_INSTANCE)}
 
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=COUNT_MOST)]
 
 
-class _ReportForm(msgspec.Struct, rename="pascal"):
+class _ReportPayload(msgspec.Struct, rename="pascal"):
     running: Count
     waiting: Count
 
 
-_REPORTS = msgspec.json.Decoder(_ReportForm)
+_REPORT_DECODER = msgspec.json.Decoder(_ReportPayload)
 
 
 class PlatformDialect:
-    """Implements ``proxy.dialect.Dialect``."""
+    """Implements ``proxy.dialect.Dialect`` for the platform's header fields."""
 
     def read_request(self, headers: RawHeaders) -> RequestMetadata:
-        """Return what a caller's headers say; what is malformed counts as absent."""
-        fields = _fields(headers)
-        tokens_in, tokens_out = _pair(fields.get(TOKEN_COUNT.lower(), ""))
+        """Parse the headers of a caller's request; malformed fields count as absent."""
+        fields = _parse_fields(headers)
+        tokens_in, tokens_out = _parse_token_counts(fields.get(TOKEN_COUNT.lower(), ""))
         return RequestMetadata(
             request_id=fields.get(REQUEST_ID.lower(), ""),
             deadline_ms=finite_number(fields.get(DEADLINE_MS.lower(), "")),
-            parts=_parts(fields.get(PROMPT_PREFIX.lower(), "")),
+            parts=_parse_prompt_parts(fields.get(PROMPT_PREFIX.lower(), "")),
             tokens_in=tokens_in,
             tokens_out=tokens_out,
             last_event_id=fields.get(LAST_EVENT_ID.lower(), ""),
@@ -83,69 +83,69 @@
     def forwarded_headers(
         self, headers: RawHeaders, left_ms: float, runner_id: str, last_event_id: str
     ) -> RawHeaders:
-        """Return the headers for a back end."""
-        own = [
+        """Return the headers of a request to a back end."""
+        added = [
             (DEADLINE_MS, b"%d" % max(1, int(left_ms))),
             (EXPECT_INSTANCE, runner_id.encode()),
         ]
-        replaced = _SET
+        replaced = _REPLACED_FIELDS
         if last_event_id:
-            own.append((LAST_EVENT_ID, last_event_id.encode()))
-            replaced = _SET | {LAST_EVENT_ID.lower()}
-        return [item for item in headers if item[0].lower() not in replaced] + own
+            added.append((LAST_EVENT_ID, last_event_id.encode()))
+            replaced = _REPLACED_FIELDS | {LAST_EVENT_ID.lower()}
+        return [item for item in headers if item[0].lower() not in replaced] + added
 
     def item_headers(self, headers: RawHeaders, host: str, item_id: str) -> RawHeaders:
         """Return the headers of the request that runs an item of a batch job."""
-        own = {b"host", REQUEST_ID.lower()}
-        kept = [item for item in headers if item[0].lower() not in own]
+        replaced = {b"host", REQUEST_ID.lower()}
+        kept = [item for item in headers if item[0].lower() not in replaced]
         return [(b"Host", host.encode()), *kept, (REQUEST_ID, item_id.encode())]
 
     def read_response(self, headers: RawHeaders) -> ResponseMetadata:
-        """Return what a back end's headers say."""
-        fields = _fields(headers)
+        """Parse the headers of a back end's response; malformed fields count as absent."""
+        fields = _parse_fields(headers)
         return ResponseMetadata(
             request_id=fields.get(REQUEST_ID.lower(), ""),
             signed=SERVER_STAMP.lower() in fields,
             not_run=NOT_EXECUTED.lower() in fields,
-            load=_load(fields.get(INSTANCE_LOAD.lower(), "")),
-            keep_alive_s=_keep_alive_s(fields.get(b"keep-alive", "")),
+            load=_parse_load(fields.get(INSTANCE_LOAD.lower(), "")),
+            keep_alive_s=_parse_keep_alive(fields.get(b"keep-alive", "")),
             closes="close" in fields.get(b"connection", "").lower(),
         )
 
     def load_request(self) -> tuple[bytes, RawHeaders]:
-        """Return path and headers of the call that reads a back end's load."""
+        """Return path and headers of the request that reads a back end's load."""
         return REPORT_PATH, []
 
     def read_load(self, body: bytes) -> EngineLoad | None:
-        """Return the load that a back end tells when it is asked, None if it is malformed."""
-        form = read_json(body, _REPORTS)
-        if isinstance(form, Failure):
-            note_unreadable("report", "a back end", form.reason)
+        """Parse the response to ``load_request``; return None if it is malformed."""
+        payload = read_json(body, _REPORT_DECODER)
+        if isinstance(payload, Failure):
+            note_unreadable("report", "a back end", payload.reason)
             return None
-        return EngineLoad(form.running, form.waiting, 0)
+        return EngineLoad(payload.running, payload.waiting, 0)
 
     def own_response_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
-        """Return the headers of an answer that the proxy gives by itself."""
+        """Return the headers of a response that the proxy generates itself."""
         headers = [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
         if retry_after_s is not None:
             headers.append((RETRY_AFTER, b"%.3f" % retry_after_s))
         return headers
 
 
-def _fields(headers: RawHeaders) -> dict[bytes, str]:
+def _parse_fields(headers: RawHeaders) -> dict[bytes, str]:
     return {
         name.lower(): value.decode("latin-1").strip()
         for name, value in headers
-        if name.lower() in _READ
+        if name.lower() in _PARSED_FIELDS
     }
 
 
-def _pair(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
     return whole_number(first, TOKENS_MOST), whole_number(second, TOKENS_MOST)
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(",") if text else []:
         key, _, tokens = item.strip().rpartition(":")
@@ -153,7 +153,7 @@
     return tuple(parts)
 
 
-def _load(text: str) -> EngineLoad | None:
+def _parse_load(text: str) -> EngineLoad | None:
     numbers = [finite_number(item) for item in text.split(",")] if text else []
     if len(numbers) != 3:
         return None
@@ -161,7 +161,7 @@
     return EngineLoad(*counts) if len(counts) == len(numbers) else None
 
 
-def _keep_alive_s(text: str) -> float | None:
+def _parse_keep_alive(text: str) -> float | None:
     for item in text.split(","):
         name, _, value = item.strip().partition("=")
         if name.lower() == "timeout":
--- a/src/leverjunction/platform/roles.py
+++ b/src/leverjunction/platform/roles.py
@@ -1,4 +1,4 @@
-"""Starts the processes of the users' platform from their settings file."""
+"""Runs a process of one role (gateway, control or store) from the platform's settings file."""
 
 from __future__ import annotations
 
@@ -23,23 +23,29 @@
 EXIT_STOPPED = 0
 EXIT_CANNOT_START = 1
 EXIT_USAGE = 2
-EXIT_FAULT = 3
-FAULT_POLL_S = 0.5
-FAULT_PAUSE_S = 1.0
-"""Before an end by itself, also in the start: a disk that refuses writes does so for seconds."""
+EXIT_FATAL_ERROR = 3
+FATAL_ERROR_POLL_S = 0.5
+EXIT_PAUSE_S = 1.0
+"""Pause before the process exits because of an error.
+
+The supervisor restarts it at once, and a disk that refuses writes does so for seconds.
+"""
 
 CONTROL_THREADS = 24
 CONTROL_BACKLOG = 512
 CONTROL_IDLE_TIMEOUT_S = 10
-CONTROL_KEPT_CONNECTIONS = 512
+CONTROL_KEEP_ALIVE_CONNECTIONS = 512
 
 Role = Callable[[MachineConfig, float], int]
-"""Takes the settings and when the process started, in monotonic seconds."""
+"""Runs a role to its end and returns the exit status.
+
+The arguments are the settings and the start time of the process in monotonic seconds.
+"""
 
 _ROLES: dict[str, Role] = {}
 
 
-def _role(name: str) -> Callable[[Role], Role]:
+def _register_role(name: str) -> Callable[[Role], Role]:
     def register(role: Role) -> Role:
         _ROLES[name] = role
         return role
@@ -48,18 +54,18 @@
 
 
 def main(arguments: Sequence[str], started_s: float) -> int:
-    """Run a role until it is asked to stop; returns the exit status.
+    """Run a role until the process is asked to stop; return the exit status.
 
     Args:
-        arguments: The role's name.
-        started_s: When the process started, in monotonic seconds.
+        arguments: Command-line arguments: the name of the role.
+        started_s: Start time of the process in monotonic seconds.
     """
     if len(arguments) != 1 or arguments[0] not in _ROLES:
         print(f"usage: start.py {'|'.join(_ROLES)}", file=sys.stderr)
         return EXIT_USAGE
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        print(f"the variable {SETTINGS_VARIABLE} must name the settings file", file=sys.stderr)
+        print(f"set {SETTINGS_VARIABLE} to the path of the settings file", file=sys.stderr)
         return EXIT_USAGE
     config = load_machine_config(Path(path))
     if isinstance(config, Failure):
@@ -71,22 +77,22 @@
     try:
         return _ROLES[arguments[0]](config, started_s)
     except Exception:
-        logger.exception("role {} ends", arguments[0])
-        return EXIT_FAULT
+        logger.exception("role {} exits because of an unhandled exception", arguments[0])
+        return EXIT_FATAL_ERROR
 
 
 def end(status: int) -> NoReturn:
-    """End the process, whatever threads are left.
+    """Exit at once without waiting for threads.
 
-    The interpreter waits for those that serve a port: a process whose start had failed went on
-    answering its peers, without a replica.
+    A regular exit waits for the threads that serve a port: a process that had failed to start
+    continued to answer its peers without a replica.
     """
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(status)
 
 
-@_role("gateway")
+@_register_role("gateway")
 def _gateway(config: MachineConfig, _started_s: float) -> int:
     import asyncio
 
@@ -103,7 +109,7 @@
     return EXIT_STOPPED
 
 
-@_role("control")
+@_register_role("control")
 def _control(config: MachineConfig, started_s: float) -> int:
     from leverjunction.platform.control_calls import ControlCalls
     from leverjunction.registry.node import RegistryNode
@@ -121,70 +127,74 @@
             threads=CONTROL_THREADS,
             backlog=CONTROL_BACKLOG,
             idle_timeout_s=CONTROL_IDLE_TIMEOUT_S,
-            keep_alive_connections=CONTROL_KEPT_CONNECTIONS,
+            keep_alive_connections=CONTROL_KEEP_ALIVE_CONNECTIONS,
         ),
     )
-    stop_asked = _stop_event()
-    fault = node.start()
-    if fault is not None:
-        return _not_started(fault, stop_asked)
-    _serve_figures(config)
+    stop_requested = _stop_event()
+    failure = node.start()
+    if failure is not None:
+        return _report_start_failure(failure, stop_requested)
+    _serve_metrics(config)
     server.start()
-    fault = _wait(stop_asked, node.fault)
+    failure = _wait_for_stop(stop_requested, node.fault)
     server.stop()
     node.stop()
-    return EXIT_STOPPED if fault is None else EXIT_FAULT
+    return EXIT_STOPPED if failure is None else EXIT_FATAL_ERROR
 
 
-@_role("store")
+@_register_role("store")
 def _store(config: MachineConfig, started_s: float) -> int:
     from leverjunction.lots.node import LotsNode
     from leverjunction.platform.headers import PlatformDialect
 
     node = LotsNode(config, PlatformDialect(), SystemClock(), _random(config), started_s)
-    stop_asked = _stop_event()
-    fault = node.start()
-    if fault is not None:
-        return _not_started(fault, stop_asked)
-    _serve_figures(config)
-    fault = _wait(stop_asked, node.fault)
+    stop_requested = _stop_event()
+    failure = node.start()
+    if failure is not None:
+        return _report_start_failure(failure, stop_requested)
+    _serve_metrics(config)
+    failure = _wait_for_stop(stop_requested, node.fault)
     node.stop()
-    return EXIT_STOPPED if fault is None else EXIT_FAULT
+    return EXIT_STOPPED if failure is None else EXIT_FATAL_ERROR
 
 
-def _serve_figures(config: MachineConfig) -> None:
+def _serve_metrics(config: MachineConfig) -> None:
     if config.metrics_port:
         start_http_server(config.metrics_port, config.listen.rpc.rpartition(":")[0])
 
 
 def _random(config: MachineConfig) -> Random:
-    """Return a generator that differs from that of the process's last life, whatever the machine's
-    own source of randomness gives: replica ids are drawn from it.
+    """Return a random generator with a different seed after each start of the process.
+
+    Replica ids are drawn from it. The seed includes the time, in case the machine's entropy source
+    returns the same bytes again.
     """
     return Random(f"{config.name} {SystemClock().wall_ms()} {os.urandom(16).hex()}")
 
 
-def _not_started(fault: Failure, stop_asked: threading.Event) -> int:
-    """Say why a role does not start, and pause: its supervisor may start it again at once."""
-    logger.error("cannot start: {}", fault.reason)
-    stop_asked.wait(FAULT_PAUSE_S)
+def _report_start_failure(failure: Failure, stop_requested: threading.Event) -> int:
+    """Log why a role cannot start, and pause because the supervisor may restart it at once."""
+    logger.error("cannot start: {}", failure.reason)
+    stop_requested.wait(EXIT_PAUSE_S)
     return EXIT_CANNOT_START
 
 
-def _wait(stop_asked: threading.Event, fault: Callable[[], Failure | None]) -> Failure | None:
-    """Wait for a stop; return early with a fault that only another start can mend."""
-    while not stop_asked.wait(FAULT_POLL_S):
-        found = fault()
+def _wait_for_stop(
+    stop_requested: threading.Event, failure: Callable[[], Failure | None]
+) -> Failure | None:
+    """Wait for a stop request; return early with a failure that requires a restart."""
+    while not stop_requested.wait(FATAL_ERROR_POLL_S):
+        found = failure()
         if found is not None:
-            logger.error("ending, to start anew: {}", found.reason)
-            stop_asked.wait(FAULT_PAUSE_S)
+            logger.error("exiting to be restarted: {}", found.reason)
+            stop_requested.wait(EXIT_PAUSE_S)
             return found
     return None
 
 
 def _stop_event() -> threading.Event:
-    stop_asked = threading.Event()
+    stop_requested = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda _number, _frame: stop_asked.set())
+        signal.signal(number, lambda _number, _frame: stop_requested.set())
     signal.signal(signal.SIGHUP, lambda _number, _frame: None)
-    return stop_asked
+    return stop_requested
--- a/src/leverjunction/platform/route_table.py
+++ b/src/leverjunction/platform/route_table.py
@@ -1,4 +1,4 @@
-"""The platform's form of a route table."""
+"""Parses the platform's JSON route table."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 from leverjunction.untrusted import read_json
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteClass.REPEATABLE,
     "non_idempotent": RouteClass.ONCE,
     "streaming": RouteClass.STREAM,
@@ -24,24 +24,26 @@
 }
 
 
-STREAM_GAP_LEAST_MS = 2000.0
+MIN_STREAM_GAP_MS = 2000.0
 STREAM_GAP_TARGETS = 4.0
 STREAM_GAP_PAUSES = 8.0
-"""Callers leave a stream after a gap of two seconds, or so many target latencies, or so many of the
-longest pauses that are in time, whichever is longest; also before its first event.
+"""Callers disconnect from a stream after the longest of three gaps, also before its first event.
+
+These are two seconds, a multiple of the route's target latency, and a multiple of the longest pause
+between events that the route aims for.
 """
 
 
-class _Form(msgspec.Struct, rename="pascal", kw_only=True):
-    """Base of the forms: the platform's fields are the product's in Pascal case."""
+class _Payload(msgspec.Struct, rename="pascal", kw_only=True):
+    """Base class of JSON objects whose field names are those of the attributes in Pascal case."""
 
 
-class _SplitForm(_Form):
+class _SplitPayload(_Payload):
     service: str
     weight: int
 
 
-class _RouteForm(_Form):
+class _RoutePayload(_Payload):
     name: str
     hostname: str
     path_prefix: str
@@ -50,7 +52,7 @@
     target_latency_ms: float = 0.0
     priority: int = 0
     service: str = ""
-    traffic_split: list[_SplitForm] = []
+    traffic_split: list[_SplitPayload] = []
     max_attempts: int = 1
     session_affinity: bool = False
     resumable: bool = False
@@ -59,52 +61,52 @@
     max_wait_s: float = 0.0
 
 
-class _EngineForm(_Form):
+class _EnginePayload(_Payload):
     slots: int = 1
     kv_capacity_tokens: int = 0
 
 
-class _ServiceForm(_Form):
+class _ServicePayload(_Payload):
     name: str
     health_path: str = "/health"
     max_connections: int = 100
-    engine: _EngineForm | None = None
+    engine: _EnginePayload | None = None
 
 
-class _LimitsForm(_Form):
+class _LimitsPayload(_Payload):
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
     header_timeout_ms: float = 3000.0
     idle_timeout_ms: float = 15000.0
 
 
-class _TableForm(_Form):
+class _TablePayload(_Payload):
     version: int
-    routes: list[_RouteForm]
-    services: list[_ServiceForm]
-    limits: _LimitsForm = msgspec.field(default_factory=_LimitsForm)
+    routes: list[_RoutePayload]
+    services: list[_ServicePayload]
+    limits: _LimitsPayload = msgspec.field(default_factory=_LimitsPayload)
 
 
-_DECODER = msgspec.json.Decoder(_TableForm)
+_DECODER = msgspec.json.Decoder(_TablePayload)
 
 
 def read_table(body: bytes) -> RouteTable | Failure:
-    """Read a whole table; what it means is checked by ``routes.check_table``."""
-    form = read_json(body, _DECODER)
-    if isinstance(form, Failure):
-        return _unreadable(form.reason)
+    """Parse a complete table; ``routes.check_table`` validates its contents."""
+    payload = read_json(body, _DECODER)
+    if isinstance(payload, Failure):
+        return _invalid(payload.reason)
     try:
         return RouteTable(
-            version=form.version,
-            routes=tuple(_route(route) for route in form.routes),
-            services=tuple(_service(service) for service in form.services),
-            limits=RequestLimits(**msgspec.structs.asdict(form.limits)),
+            version=payload.version,
+            routes=tuple(_route(route) for route in payload.routes),
+            services=tuple(_service(service) for service in payload.services),
+            limits=RequestLimits(**msgspec.structs.asdict(payload.limits)),
         )
     except KeyError as error:
-        return _unreadable(f"no route is of kind {error}")
+        return _invalid(f"unknown route kind {error}")
 
 
-def _unreadable(reason: str) -> Failure:
+def _invalid(reason: str) -> Failure:
     return Failure(
         kind=FailureKind.BAD_REQUEST,
         reason=f"the table cannot be read: {reason}",
@@ -112,46 +114,46 @@
     )
 
 
-def _route(form: _RouteForm) -> Route:
+def _route(payload: _RoutePayload) -> Route:
     split = [
-        WeightedService(service=part.service, weight=part.weight) for part in form.traffic_split
+        WeightedService(service=part.service, weight=part.weight) for part in payload.traffic_split
     ]
-    services = split or [WeightedService(service=form.service, weight=1)]
+    services = split or [WeightedService(service=payload.service, weight=1)]
     return Route(
-        name=form.name,
-        host=form.hostname.lower(),
-        prefix=form.path_prefix,
-        kind=_KINDS[form.route_kind],
-        timeout_ms=form.timeout_ms,
-        target_ms=form.target_latency_ms,
-        priority=form.priority,
+        name=payload.name,
+        host=payload.hostname.lower(),
+        prefix=payload.path_prefix,
+        kind=_ROUTE_KINDS[payload.route_kind],
+        timeout_ms=payload.timeout_ms,
+        target_ms=payload.target_latency_ms,
+        priority=payload.priority,
         services=tuple(services),
-        max_attempts=form.max_attempts,
-        resumable=form.resumable,
-        affinity=form.session_affinity,
-        head_within_ms=_head_within_ms(form),
-        due_ms=form.due_ms,
-        give_up_s=form.max_wait_s,
+        max_attempts=payload.max_attempts,
+        resumable=payload.resumable,
+        affinity=payload.session_affinity,
+        head_within_ms=_head_within_ms(payload),
+        due_ms=payload.due_ms,
+        give_up_s=payload.max_wait_s,
     )
 
 
-def _head_within_ms(form: _RouteForm) -> float:
-    if _KINDS[form.route_kind] is not RouteClass.STREAM:
+def _head_within_ms(payload: _RoutePayload) -> float:
+    if _ROUTE_KINDS[payload.route_kind] is not RouteClass.STREAM:
         return 0.0
     return max(
-        STREAM_GAP_LEAST_MS,
-        STREAM_GAP_TARGETS * form.target_latency_ms,
-        STREAM_GAP_PAUSES * form.gap_aim_ms,
+        MIN_STREAM_GAP_MS,
+        STREAM_GAP_TARGETS * payload.target_latency_ms,
+        STREAM_GAP_PAUSES * payload.gap_aim_ms,
     )
 
 
-def _service(form: _ServiceForm) -> ServiceSpec:
+def _service(payload: _ServicePayload) -> ServiceSpec:
     engine = None
-    if form.engine is not None:
-        engine = EngineSpec(slots=form.engine.slots, kv_tokens=form.engine.kv_capacity_tokens)
+    if payload.engine is not None:
+        engine = EngineSpec(slots=payload.engine.slots, kv_tokens=payload.engine.kv_capacity_tokens)
     return ServiceSpec(
-        name=form.name,
-        health_path=form.health_path,
-        max_connections=form.max_connections,
+        name=payload.name,
+        health_path=payload.health_path,
+        max_connections=payload.max_connections,
         engine=engine,
     )
--- a/src/leverjunction/routes/__init__.py
+++ b/src/leverjunction/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Route table: which service answers a host and path, by which rules."""
+"""Route table: maps the host and path of a request to a service and its delivery rules."""
 
 from leverjunction.routes.checks import check_table
 from leverjunction.routes.matching import RouteIndex
--- a/src/leverjunction/routes/matching.py
+++ b/src/leverjunction/routes/matching.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request: by host, then by the longest prefix of the path."""
+"""Finds the route of a request by its host and then by the longest matching path prefix."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteIndex:
-    """A table, indexed for look-ups. Immutable, so safe to share."""
+    """A route table, indexed by host. It never changes, so threads may share it."""
 
     __slots__ = ("_by_host", "_services", "table")
 
@@ -23,7 +23,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host (a port in it is ignored) and a path, or None."""
+        """Return the route of a host and a path, or None; a port in the host is ignored."""
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -31,12 +31,12 @@
         return None
 
     def service(self, name: str) -> ServiceSpec | None:
-        """Return a service by its name."""
+        """Return a service by its name, or None."""
         return self._services.get(name)
 
 
 def draw_service(route: Route, random: Random) -> str:
-    """Return the service of one request: each part of a split gets its weight's share."""
+    """Choose the service of one request at random, in proportion to the weights of the route."""
     if len(route.services) == 1:
         return route.services[0].service
     weights = [part.weight for part in route.services]
--- a/src/leverjunction/routes/types.py
+++ b/src/leverjunction/routes/types.py
@@ -1,4 +1,7 @@
-"""Values of a route table. A table is replaced whole, by number; the highest number wins."""
+"""Data types of a route table.
+
+A table is only ever replaced as a whole; the one with the highest version is in force.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class RouteClass(StrEnum):
-    """How often a request of a route may run, and how its answer comes."""
+    """How often a request may run, and in which form its response is delivered."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -17,11 +20,11 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True, kw_only=True):
-    """One part of a split route.
+    """Service that receives a share of a route's requests.
 
     Attributes:
         service: Name of the service.
-        weight: Its share, relative to the other parts' weights.
+        weight: Share of the requests, relative to the other weights of the route.
     """
 
     service: str
@@ -29,24 +32,24 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """One route.
+    """Rules for the requests to a host and path prefix.
 
     Attributes:
-        name: Unique name, for logs.
-        host: Host that requests name, without a port, lower case.
-        prefix: Path prefix; begins and ends with a slash.
-        kind: Class of repetition and form of the answer.
-        timeout_ms: Longest time that a request is held.
-        target_ms: Latency that is aimed at.
-        priority: Rank, 0 is the most urgent.
-        services: Where requests go; several for a split route.
-        max_attempts: Back ends that one request may run on.
+        name: Unique name, used in logs.
+        host: Host name of the requests in lower case, without a port.
+        prefix: Path prefix that begins and ends with a slash.
+        kind: How often a request may run, and the form of its response.
+        timeout_ms: Longest time until the complete response, in milliseconds.
+        target_ms: Target latency in milliseconds.
+        priority: Rank, where 0 is the most urgent.
+        services: Services that receive the requests; several for a split route.
+        max_attempts: Number of back ends on which one request may run.
         resumable: A stream may be continued on another back end.
-        affinity: Requests with the same prompt parts are kept together.
-        head_within_ms: Callers of a stream leave when its first event has not come by then; 0 where
-            only the request's own deadline counts.
-        due_ms: Batch: time in which all items are due.
-        give_up_s: Batch: time after which an item may be given up.
+        affinity: Requests with the same prompt parts go to the same back end where possible.
+        head_within_ms: Time after which callers of a stream disconnect if they have received no
+            event, in milliseconds; 0 if only the request's own deadline applies.
+        due_ms: For batch routes, time in which all items are due, in milliseconds.
+        give_up_s: For batch routes, time after which an item may be given up, in seconds.
     """
 
     name: str
@@ -66,18 +69,18 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Whether a request may run more than once."""
         return self.kind is RouteClass.REPEATABLE or (
             self.kind is RouteClass.STREAM and self.resumable
         )
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a service's model engines.
+    """Properties of a service's model engines.
 
     Attributes:
-        slots: Requests in one batch of an engine.
-        kv_tokens: Tokens that an engine's memory holds.
+        slots: Requests that an engine processes in one batch.
+        kv_tokens: Capacity of an engine's key-value cache, in tokens.
     """
 
     slots: int
@@ -85,13 +88,13 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """One service.
+    """A service, which is run by several back ends.
 
     Attributes:
-        name: Its name.
+        name: Unique name.
         health_path: Path of the back ends' health check.
-        max_connections: Connections that one back end takes from all gateways together.
-        engine: Set when its back ends are model engines.
+        max_connections: Connections that one back end accepts from all gateways together.
+        engine: Properties of its model engines; None if its back ends are no model engines.
     """
 
     name: str
@@ -101,7 +104,15 @@
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on what callers send."""
+    """Limits on the requests of callers.
+
+    Attributes:
+        max_header_bytes: Maximum size of a request's head.
+        max_body_bytes: Maximum size of a request's body.
+        header_timeout_ms: Longest time from the first byte of a request's head to its end.
+        idle_timeout_ms: Longest time without a request on a connection, and longest time from the
+            head of a request to the end of its body.
+    """
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -110,7 +121,7 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole table; version 0 is the empty one from before the first."""
+    """A complete route table; version 0 is the empty table before the first one is received."""
 
     version: int = 0
     routes: tuple[Route, ...] = ()
--- a/tests/unit/test_platform_forms.py
+++ b/tests/unit/test_platform_forms.py
@@ -173,5 +173,5 @@
 def test_an_item_that_http_cannot_carry_is_told_apart(
     path: str, headers: dict[str, str], sendable: bool
 ) -> None:
-    item = gateway_calls._ItemForm(id="i", path=path, headers=headers, body=b"", tokens=1)
+    item = gateway_calls._ItemPayload(id="i", path=path, headers=headers, body=b"", tokens=1)
     assert gateway_calls._is_sendable(item) is sendable
--- a/tests/unit/test_routes.py
+++ b/tests/unit/test_routes.py
@@ -49,7 +49,7 @@
     [
         (table(route(), version=0), "version 0"),
         (table(route(services=(WeightedService(service="x", weight=1),))), "unknown service 'x'"),
-        (table(route("one"), route("two")), "host and prefix of route 'one'"),
+        (table(route("one"), route("two")), "same host and prefix as route 'one'"),
         (table(route(services=split(0, 0))), "weights sum to 0"),
         (table(route(services=split(-1, 2))), "negative weight"),
         (table(route(timeout_ms=0.0)), "timeout of 0 ms"),
