--- a/deploy/start.py
+++ b/deploy/start.py
@@ -10,7 +10,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "src"))
 
 from leverjunction.clock import LOADED_S
-from leverjunction.platform.roles import end, main
+from leverjunction.platform.roles import exit_process, main
 
 if __name__ == "__main__":
-    end(main(sys.argv[1:], LOADED_S))
+    exit_process(main(sys.argv[1:], LOADED_S))
--- a/src/leverjunction/platform/roles.py
+++ b/src/leverjunction/platform/roles.py
@@ -81,7 +81,7 @@
         return EXIT_FATAL_ERROR
 
 
-def end(status: int) -> NoReturn:
+def exit_process(status: int) -> NoReturn:
     """Exit at once without waiting for threads.
 
     A regular exit waits for the threads that serve a port: a process that had failed to start
