--- a/tests/unit/test_proxy_admission_gate.py
+++ b/tests/unit/test_proxy_admission_gate.py
@@ -9,7 +9,7 @@
 
 import pytest
 from tests.unit.proxy_support import Proxy, request_headers
-from tests.unit.test_proxy_decision_log import written
+from tests.unit.test_proxy_decision_log import wait_for_lines
 
 from leverjunction.errors import Execution, Failure
 from leverjunction.proxy.admission import Ticket
@@ -179,7 +179,7 @@
     runner.online = 0
     assert caller.receive().status == 200
     assert len(runner.seen) == 1
-    (line,) = written(capfd, "r1", 1)
+    (line,) = wait_for_lines(capfd, "r1", 1)
     assert (line["event"], line["execution"]) == ("held", "not_run")
     assert int(str(line["waited_ms"])) >= 300
 
--- a/tests/unit/test_proxy_decision_log.py
+++ b/tests/unit/test_proxy_decision_log.py
@@ -19,7 +19,7 @@
     return [line for line in lines if line["request_id"] == request_id]
 
 
-def written(capfd: pytest.CaptureFixture[str], request_id: str, count: int) -> list[Line]:
+def wait_for_lines(capfd: pytest.CaptureFixture[str], request_id: str, count: int) -> list[Line]:
     """Wait for a request's lines: a thread of its own writes them."""
     text = ""
     until_s = time.monotonic() + 5.0
@@ -36,7 +36,7 @@
     table = make_table(route, version=7)
     with RunnerStandIn("i-1", usual="silent") as back_end, Proxy(table, [back_end]) as proxy:
         assert proxy.ask("/short/x", Leverjunction_Request_Id="late").status == 504
-        failed, refused = written(capfd, "late", 2)
+        failed, refused = wait_for_lines(capfd, "late", 2)
     assert (failed["event"], failed["runner_id"], failed["route"]) == (
         "send_failed",
         "i-1",
@@ -53,13 +53,13 @@
 def test_a_request_without_a_route_tells_by_which_table(capfd: pytest.CaptureFixture[str]) -> None:
     with Proxy(make_table(make_route(RouteClass.ONCE), version=9), []) as proxy:
         assert proxy.ask("/nowhere/x", Leverjunction_Request_Id="lost").status == 404
-        (refused,) = written(capfd, "lost", 1)
+        (refused,) = wait_for_lines(capfd, "lost", 1)
     assert (refused["status"], refused["table"], refused["step"]) == (404, 9, "routing")
 
 
 def test_a_request_before_the_first_table_tells_so(capfd: pytest.CaptureFixture[str]) -> None:
     with Proxy(None, []) as proxy:
         assert proxy.ask("/once/x", Leverjunction_Request_Id="early").status == 503
-        (refused,) = written(capfd, "early", 1)
+        (refused,) = wait_for_lines(capfd, "early", 1)
     assert "table" not in refused
     assert "no route table" in str(refused["reason"])
