--- a/tests/unit/test_proxy_contract.py
+++ b/tests/unit/test_proxy_contract.py
@@ -1,4 +1,4 @@
-"""What the proxy promises its callers, for each way in which a back end can misbehave."""
+"""Tests what the proxy guarantees its callers when back ends, callers or the registry fail."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 WHOLE_STREAM = b"".join(b"id: %d\ndata: event %d\n\n" % (n, n) for n in range(1, 6))
 
 
-def full_table() -> RouteTable:
+def make_full_table() -> RouteTable:
     routes = [make_route(kind) for kind in RouteClass]
     resumable = make_route(
         RouteClass.STREAM, name="resumable", prefix="/resumable/", resumable=True, timeout_ms=5000.0
@@ -40,30 +40,30 @@
 
 
 @pytest.fixture
-def alone(first: RunnerStandIn) -> Iterator[Proxy]:
+def proxy(first: RunnerStandIn) -> Iterator[Proxy]:
     """A proxy in front of one back end."""
-    with Proxy(full_table(), [first]) as proxy:
+    with Proxy(make_full_table(), [first]) as proxy:
         yield proxy
 
 
-def until(holds: Callable[[], bool], timeout_s: float = 2.0) -> bool:
-    """Wait for something to hold; return whether it did."""
+def wait_until(condition: Callable[[], bool], timeout_s: float = 2.0) -> bool:
+    """Wait until a condition holds; return whether it did before the timeout."""
     until_s = time.monotonic() + timeout_s
-    while not holds() and time.monotonic() < until_s:
+    while not condition() and time.monotonic() < until_s:
         time.sleep(0.01)
-    return holds()
+    return condition()
 
 
-def both_take(first: RunnerStandIn, second: RunnerStandIn, behaviour: str) -> None:
-    """Have whichever back end is asked first misbehave once."""
+def misbehave_once(first: RunnerStandIn, second: RunnerStandIn, behaviour: str) -> None:
+    """Make the next request misbehave, whichever of the back ends receives it."""
     first.then(behaviour)
     second.then(behaviour)
 
 
 def test_method_path_body_and_headers_reach_the_back_end_unchanged(
-    alone: Proxy, first: RunnerStandIn
+    proxy: Proxy, first: RunnerStandIn
 ) -> None:
-    reply = alone.ask(REPEATABLE, b"\x00body", X_Own="kept", Connection="X-Hop", X_Hop="dropped")
+    reply = proxy.ask(REPEATABLE, b"\x00body", X_Own="kept", Connection="X-Hop", X_Hop="dropped")
     assert (reply.status, reply.complete) == (200, True)
     assert reply.headers["leverjunction-server-stamp"] == "stamp"
     seen = first.seen[0]
@@ -74,26 +74,26 @@
     assert seen.headers["leverjunction-expect-instance"] == "i-1"
 
 
-def test_the_back_end_is_given_what_is_left_of_the_time(alone: Proxy, first: RunnerStandIn) -> None:
-    alone.ask("/short/x")
+def test_the_back_end_receives_the_remaining_time(proxy: Proxy, first: RunnerStandIn) -> None:
+    proxy.ask("/short/x")
     assert 200 <= int(first.seen[0].headers["leverjunction-deadline-ms"]) <= 300
 
 
 @pytest.mark.parametrize("behaviour", ["unprocessable", "fault"])
-def test_a_back_ends_own_failure_is_passed_on_as_it_is(
-    alone: Proxy, first: RunnerStandIn, behaviour: str
+def test_an_error_of_a_back_end_is_relayed_unchanged(
+    proxy: Proxy, first: RunnerStandIn, behaviour: str
 ) -> None:
     first.then(behaviour)
-    reply = alone.ask(ONCE)
+    reply = proxy.ask(ONCE)
     assert reply.status == {"unprocessable": 422, "fault": 500}[behaviour]
     assert reply.headers["leverjunction-server-stamp"] == "stamp"
 
 
-def test_an_answer_without_length_is_whole_when_it_ends_cleanly(
-    alone: Proxy, first: RunnerStandIn
+def test_a_response_without_length_is_complete_when_it_ends_cleanly(
+    proxy: Proxy, first: RunnerStandIn
 ) -> None:
     first.then("no length")
-    reply = alone.ask(ONCE)
+    reply = proxy.ask(ONCE)
     assert (reply.status, reply.body, reply.complete) == (200, b"until the end", True)
 
 
@@ -111,11 +111,11 @@
 
 
 @pytest.mark.parametrize("behaviour", BROKEN)
-def test_what_may_run_once_is_sent_once_and_promises_nothing(
+def test_a_request_that_may_run_once_is_sent_once_and_its_failure_promises_nothing(
     first: RunnerStandIn, second: RunnerStandIn, behaviour: str
 ) -> None:
-    both_take(first, second, behaviour)
-    with Proxy(full_table(), [first, second]) as proxy:
+    misbehave_once(first, second, behaviour)
+    with Proxy(make_full_table(), [first, second]) as proxy:
         reply = proxy.ask(ONCE)
     assert reply.status in (502, 504)
     assert "retry-after" not in reply.headers
@@ -124,12 +124,12 @@
 
 
 @pytest.mark.parametrize("behaviour", BROKEN)
-def test_what_may_be_repeated_is_answered_by_another_back_end(
+def test_a_repeatable_request_is_answered_by_another_back_end(
     first: RunnerStandIn, second: RunnerStandIn, behaviour: str
 ) -> None:
     first.then(behaviour)
     first.usual = behaviour
-    with Proxy(full_table(), [first, second]) as proxy:
+    with Proxy(make_full_table(), [first, second]) as proxy:
         replies = [proxy.ask(REPEATABLE) for _ in range(4)]
     assert [(reply.status, reply.complete) for reply in replies] == [(200, True)] * 4
     assert all(reply.body.startswith(b"answer") for reply in replies)
@@ -137,38 +137,38 @@
 
 
 @pytest.mark.parametrize("path", [ONCE, STREAM])
-def test_a_declined_request_goes_to_another_back_end(
+def test_a_request_that_was_not_run_goes_to_another_back_end(
     first: RunnerStandIn, second: RunnerStandIn, path: str
 ) -> None:
     first.usual = "not run"
-    with Proxy(full_table(), [first, second]) as proxy:
+    with Proxy(make_full_table(), [first, second]) as proxy:
         replies = [proxy.ask(path) for _ in range(3)]
     assert [reply.status for reply in replies] == [200] * 3
 
 
-def test_a_request_that_all_decline_is_refused_as_not_run(
-    alone: Proxy, first: RunnerStandIn
+def test_a_request_that_every_back_end_refuses_is_refused_as_not_run(
+    proxy: Proxy, first: RunnerStandIn
 ) -> None:
     first.usual = "not run"
-    reply = alone.ask(ONCE)
+    reply = proxy.ask(ONCE)
     assert reply.status == 503
     assert float(reply.headers["retry-after"]) > 0
     assert reply.after_s < 0.5
 
 
-def test_a_back_end_that_is_not_the_expected_one_runs_nothing(first: RunnerStandIn) -> None:
-    with Proxy(full_table(), [first]) as proxy:
+def test_a_back_end_with_another_id_does_not_run_the_request(first: RunnerStandIn) -> None:
+    with Proxy(make_full_table(), [first]) as proxy:
         first.runner_id = "i-9"
         reply = proxy.ask(ONCE)
     assert reply.status == 503
     assert "leverjunction-server-stamp" not in reply.headers
 
 
-def test_a_surplus_answer_costs_its_connection_and_reaches_nobody(
-    alone: Proxy, first: RunnerStandIn
+def test_a_surplus_response_closes_its_connection_and_reaches_no_caller(
+    proxy: Proxy, first: RunnerStandIn
 ) -> None:
     first.then("surplus")
-    caller = alone.caller()
+    caller = proxy.caller()
     for number in range(3):
         reply = caller.ask("POST", f"/once/{number}", request_headers())
         assert reply.body == f"answer to /once/{number}".encode()
@@ -176,112 +176,113 @@
     assert first.accepted == 2
 
 
-def test_a_kept_connection_is_used_again(alone: Proxy, first: RunnerStandIn) -> None:
-    caller = alone.caller()
+def test_an_idle_connection_is_reused(proxy: Proxy, first: RunnerStandIn) -> None:
+    caller = proxy.caller()
     assert [caller.ask("POST", ONCE, request_headers()).status for _ in range(3)] == [200] * 3
     assert first.accepted == 1
 
 
 @pytest.mark.parametrize("behaviour", ["silent", "stream that stops"])
-def test_a_caller_that_leaves_frees_the_back_end(
-    alone: Proxy, first: RunnerStandIn, behaviour: str, paused_s: Callable[[], float]
+def test_a_caller_that_disconnects_cancels_its_request_at_the_back_end(
+    proxy: Proxy, first: RunnerStandIn, behaviour: str, paused_s: Callable[[], float]
 ) -> None:
     first.then(behaviour)
-    caller = alone.caller()
+    caller = proxy.caller()
     caller.send("POST", STREAM, request_headers(), b"ask")
-    # On a busy machine the request may take its time; only what has reached the back end counts.
-    assert until(lambda: bool(first.seen))
+    # On a busy machine the request may arrive late; the caller disconnects only after it has.
+    assert wait_until(lambda: bool(first.seen))
     time.sleep(0.2)
     caller.close()
-    assert until(lambda: first.seen[0].gone_after_s is not None)
+    assert wait_until(lambda: first.seen[0].gone_after_s is not None)
     assert first.seen[0].gone_after_s is not None
     assert first.seen[0].gone_after_s < 0.5 + paused_s()
 
 
-def test_a_silent_back_end_ends_with_the_routes_timeout(
-    alone: Proxy, first: RunnerStandIn, paused_s: Callable[[], float]
+def test_a_request_to_a_silent_back_end_ends_at_the_routes_timeout(
+    proxy: Proxy, first: RunnerStandIn, paused_s: Callable[[], float]
 ) -> None:
     first.then("silent")
-    reply = alone.ask("/short/x")
+    reply = proxy.ask("/short/x")
     assert reply.status == 504
     assert 0.25 < reply.after_s < 0.6 + paused_s()
 
 
 @pytest.mark.parametrize("path", [STREAM, ONCE])
-def test_a_caller_that_does_not_read_holds_a_back_end_no_longer_than_its_route_allows(
-    alone: Proxy, first: RunnerStandIn, path: str
+def test_a_caller_that_does_not_read_occupies_a_back_end_until_the_routes_timeout_only(
+    proxy: Proxy, first: RunnerStandIn, path: str
 ) -> None:
-    """A caller whose path had gone silent held its slot until TCP gave up, many minutes.
+    """A caller that stays connected and reads nothing once occupied a slot until TCP gave up.
 
-    Symptom: a back end works on a request long after the route's timeout, and nobody reads.
-    Sequence: a long answer is passed on, the caller stays connected and takes nothing.
-    Cause: waiting for a back end was bounded by the request's time, waiting for the caller was not.
-    Settled by: five seconds after a timeout of two the back end still had the request.
+    Only the wait for the back end was limited by the request's timeout, not the wait for the
+    caller: five seconds after a timeout of two the back end was still running the request. Without
+    a limit this lasts many minutes.
     """
     first.then("long stream")
-    caller = alone.caller()
+    caller = proxy.caller()
     caller.send("POST", path, request_headers(), b"ask")
-    assert until(lambda: bool(first.seen))
-    gone = until(lambda: first.seen[0].gone_after_s is not None, 5.0)
+    assert wait_until(lambda: bool(first.seen))
+    gone = wait_until(lambda: first.seen[0].gone_after_s is not None, 5.0)
     caller.close()
     assert gone
 
 
 @pytest.mark.parametrize("behaviour", ["stream", "stream in halves"])
-def test_a_stream_comes_whole(alone: Proxy, first: RunnerStandIn, behaviour: str) -> None:
+def test_a_stream_is_relayed_completely(proxy: Proxy, first: RunnerStandIn, behaviour: str) -> None:
     first.then(behaviour)
-    reply = alone.ask(STREAM)
+    reply = proxy.ask(STREAM)
     assert (reply.status, reply.body, reply.complete) == (200, WHOLE_STREAM, True)
 
 
 def test_a_resumed_stream_has_each_event_once(first: RunnerStandIn, second: RunnerStandIn) -> None:
     first.usual = "stream cut in an event"
     second.usual = "stream"
-    with Proxy(full_table(), [first, second]) as proxy:
+    with Proxy(make_full_table(), [first, second]) as proxy:
         headers = {"Leverjunction_Deadline_Ms": "5000"}
         replies = [proxy.ask(RESUMABLE, **headers) for _ in range(4)]
     assert [(reply.body, reply.complete) for reply in replies] == [(WHOLE_STREAM, True)] * 4
     assert first.seen
 
 
-def test_a_stream_that_may_not_be_repeated_ends_unclean(alone: Proxy, first: RunnerStandIn) -> None:
+def test_a_stream_that_may_not_be_repeated_ends_incomplete(
+    proxy: Proxy, first: RunnerStandIn
+) -> None:
     first.then("stream cut in an event")
-    reply = alone.ask(STREAM)
+    reply = proxy.ask(STREAM)
     assert reply.status == 200
     assert not reply.complete
     assert reply.body == WHOLE_STREAM[: len(reply.body)]
     assert len(first.seen) == 1
 
 
-def test_without_a_table_nothing_is_denied(first: RunnerStandIn) -> None:
+def test_without_a_route_table_requests_are_refused_with_503(first: RunnerStandIn) -> None:
     with Proxy(None, [first]) as proxy:
         reply = proxy.ask(ONCE)
     assert reply.status == 503
     assert float(reply.headers["retry-after"]) > 0
 
 
-def test_a_path_without_route_is_denied(alone: Proxy) -> None:
-    assert alone.ask("/other/x").status == 404
+def test_a_path_without_route_is_refused_with_404(proxy: Proxy) -> None:
+    assert proxy.ask("/other/x").status == 404
 
 
 @pytest.mark.parametrize(("table_age_s", "status"), [(0.3, 404), (1.9, 404), (2.1, 503)])
-def test_a_route_is_denied_only_while_the_table_is_known_to_be_in_force(
-    alone: Proxy, table_age_s: float, status: int
+def test_an_unknown_route_is_404_only_while_the_table_is_recent(
+    proxy: Proxy, table_age_s: float, status: int
 ) -> None:
-    """404 said that a route did not exist, of which the gateway had not heard yet."""
-    alone.table_age_s = table_age_s
-    reply = alone.ask("/other/x")
+    """A gateway that had not received a new route yet once answered 404 for it."""
+    proxy.table_age_s = table_age_s
+    reply = proxy.ask("/other/x")
     assert reply.status == status
     assert ("retry-after" in reply.headers) == (status == 503)
-    # Whoever asks for a route that is known loses nothing by an old table.
-    assert alone.ask(REPEATABLE).status == 200
+    # Requests of a known route are answered with an old table as well.
+    assert proxy.ask(REPEATABLE).status == 200
 
 
-def test_a_body_beyond_the_limit_is_refused() -> None:
+def test_a_body_above_the_limit_is_refused() -> None:
     table = RouteTable(
         version=1,
-        routes=full_table().routes,
-        services=full_table().services,
+        routes=make_full_table().routes,
+        services=make_full_table().services,
         limits=RequestLimits(max_body_bytes=100),
     )
     with RunnerStandIn() as runner, Proxy(table, [runner]) as proxy:
@@ -289,12 +290,15 @@
         assert not runner.seen
 
 
-def test_a_head_that_does_not_end_is_refused(
+def test_a_request_head_that_does_not_end_times_out(
     first: RunnerStandIn, paused_s: Callable[[], float]
 ) -> None:
     limits = RequestLimits(header_timeout_ms=200.0)
     table = RouteTable(
-        version=1, routes=full_table().routes, services=full_table().services, limits=limits
+        version=1,
+        routes=make_full_table().routes,
+        services=make_full_table().services,
+        limits=limits,
     )
     with Proxy(table, [first]) as proxy:
         caller = proxy.caller()
@@ -304,26 +308,26 @@
         assert time.monotonic() - started_s < 0.6 + paused_s()
 
 
-def test_a_lost_answer_is_asked_for_again_before_it_is_late(
+def test_a_lost_response_is_hedged_before_the_target_latency_is_exceeded(
     first: RunnerStandIn, second: RunnerStandIn, paused_s: Callable[[], float]
 ) -> None:
-    with Proxy(full_table(), [first, second]) as proxy:
+    with Proxy(make_full_table(), [first, second]) as proxy:
         for _ in range(40):
             assert proxy.ask(REPEATABLE).status == 200
         first.usual = "silent"
         replies = [proxy.ask(REPEATABLE) for _ in range(4)]
     assert [reply.status for reply in replies] == [200] * 4
-    # The route aims at 200 ms.
+    # The target latency of the route is 200 ms.
     assert max(reply.after_s for reply in replies) < 0.3 + paused_s()
 
 
-def test_under_overload_requests_are_not_moved_without_end(
+def test_under_overload_the_number_of_hedges_is_bounded(
     first: RunnerStandIn, second: RunnerStandIn
 ) -> None:
-    with Proxy(full_table(), [first, second]) as proxy:
+    with Proxy(make_full_table(), [first, second]) as proxy:
         for _ in range(40):
             assert proxy.ask(REPEATABLE).status == 200
-        served = len(first.seen) + len(second.seen)
+        sent = len(first.seen) + len(second.seen)
         first.usual = second.usual = "silent"
         callers = [proxy.caller() for _ in range(60)]
         headers = request_headers(Leverjunction_Deadline_Ms="900")
@@ -331,15 +335,15 @@
             caller.send("POST", REPEATABLE, headers, b"ask")
         replies = [caller.receive() for caller in callers]
     assert {reply.status for reply in replies} == {504}
-    moved = len(first.seen) + len(second.seen) - served - len(callers)
-    assert moved <= 30
+    retried = len(first.seen) + len(second.seen) - sent - len(callers)
+    assert retried <= 30
 
 
-def test_a_back_end_that_answers_with_faults_gets_less_though_it_answers(
+def test_a_back_end_that_answers_with_errors_gets_fewer_requests(
     first: RunnerStandIn, second: RunnerStandIn
 ) -> None:
     first.usual = "fault"
-    with Proxy(full_table(), [first, second]) as proxy:
+    with Proxy(make_full_table(), [first, second]) as proxy:
         statuses = [proxy.ask(ONCE, Leverjunction_Request_Id=f"r{n}").status for n in range(40)]
     assert 500 in statuses
     assert statuses.count(500) <= 4
--- a/tests/unit/test_proxy_runner_connection.py
+++ b/tests/unit/test_proxy_runner_connection.py
@@ -1,4 +1,4 @@
-"""A back end's connection whose reader is in no hurry."""
+"""Tests connections to back ends: paused reads, closing, TCP keep-alive and the pool."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     RunnerPool,
 )
 
-PACE_S = 0.2
+READ_INTERVAL_S = 0.2
 EVENTS = 40
 EVENT_INTERVAL_S = 0.01
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Reads(RunnerConnection):
-    """Counts how often it is given bytes."""
+class CountingConnection(RunnerConnection):
+    """Counts the reads from the socket."""
 
     def __init__(self, address: str) -> None:
         super().__init__(address)
@@ -35,7 +35,7 @@
         super().data_received(data)
 
 
-async def _stream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def _serve_stream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     while await reader.readuntil(b"\r\n\r\n"):
         writer.write(HEAD)
         for number in range(EVENTS):
@@ -45,13 +45,13 @@
         writer.write(b"0\r\n\r\n")
 
 
-async def _read(connection: RunnerConnection, pace_s: float) -> bytes:
+async def _read(connection: RunnerConnection, read_interval_s: float) -> bytes:
     connection.send(b"GET", b"/", [(b"Host", b"h")], b"")
     body = b""
     while True:
         event = await connection.next_event()
         if isinstance(event, ResponseHead):
-            connection.set_read_interval(pace_s)
+            connection.set_read_interval(read_interval_s)
         elif isinstance(event, bytes):
             body += event
         else:
@@ -59,16 +59,16 @@
             return body
 
 
-async def _answers(*paces_s: float) -> tuple[list[bytes], list[int], list[bool]]:
-    """Read one answer after the other on one connection."""
-    server = await asyncio.start_server(_stream, "127.0.0.1", 0)
+async def _read_responses(*read_intervals_s: float) -> tuple[list[bytes], list[int], list[bool]]:
+    """Read responses one after the other on one connection; return bodies, reads and reuse."""
+    server = await asyncio.start_server(_serve_stream, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     loop = asyncio.get_running_loop()
-    _, connection = await loop.create_connection(lambda: Reads("s"), "127.0.0.1", port)
+    _, connection = await loop.create_connection(lambda: CountingConnection("s"), "127.0.0.1", port)
     bodies, reads, kept = [], [], []
-    for pace_s in paces_s:
+    for read_interval_s in read_intervals_s:
         before = connection.count
-        bodies.append(await _read(connection, pace_s))
+        bodies.append(await _read(connection, read_interval_s))
         reads.append(connection.count - before)
         kept.append(connection.finish_request())
     connection.close()
@@ -76,55 +76,58 @@
     return bodies, reads, kept
 
 
-@pytest.mark.parametrize("paces_s", [(PACE_S, 0.0), (PACE_S, PACE_S)])
-def test_a_paced_answer_is_whole_and_costs_few_reads(paces_s: tuple[float, ...]) -> None:
-    """The stores spent their time on a wake-up for every event of every item."""
-    bodies, reads, kept = asyncio.run(_answers(*paces_s))
+@pytest.mark.parametrize(
+    "read_intervals_s", [(READ_INTERVAL_S, 0.0), (READ_INTERVAL_S, READ_INTERVAL_S)]
+)
+def test_a_response_with_a_read_interval_is_complete_after_few_reads(
+    read_intervals_s: tuple[float, ...],
+) -> None:
+    """Guards against one wake-up per event of each batch item, which kept the stores busy."""
+    bodies, reads, kept = asyncio.run(_read_responses(*read_intervals_s))
     whole = b"".join(b"%04d" % number for number in range(EVENTS))
     assert bodies == [whole, whole]
     assert kept == [True, True]
-    assert reads[0] <= EVENTS * EVENT_INTERVAL_S / PACE_S + 8 < EVENTS
-    if not paces_s[1]:
+    assert reads[0] <= EVENTS * EVENT_INTERVAL_S / READ_INTERVAL_S + 8 < EVENTS
+    if not read_intervals_s[1]:
         assert reads[1] > reads[0]
 
 
-def test_a_connection_that_is_closed_at_rest_stays_closed() -> None:
-    async def close_at_rest() -> bool:
-        server = await asyncio.start_server(_stream, "127.0.0.1", 0)
+def test_a_connection_that_is_closed_during_a_read_pause_stays_closed() -> None:
+    async def close_while_paused() -> bool:
+        server = await asyncio.start_server(_serve_stream, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
-        _, connection = await loop.create_connection(lambda: Reads("s"), "127.0.0.1", port)
+        _, connection = await loop.create_connection(
+            lambda: CountingConnection("s"), "127.0.0.1", port
+        )
         connection.send(b"GET", b"/", [(b"Host", b"h")], b"")
         await connection.next_event()
-        connection.set_read_interval(PACE_S)
+        connection.set_read_interval(READ_INTERVAL_S)
         await connection.next_event()
         connection.close()
         count = connection.count
-        await asyncio.sleep(PACE_S * 2)
+        await asyncio.sleep(READ_INTERVAL_S * 2)
         server.close()
         return connection.count == count
 
     started_s = time.monotonic()
-    assert asyncio.run(close_at_rest())
+    assert asyncio.run(close_while_paused())
     assert time.monotonic() - started_s < 5
 
 
-async def _hold(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+async def _serve_silence(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
     await reader.read()
 
 
-def test_nobody_waits_at_a_connection_that_was_closed_here() -> None:
-    """A reader waited on for good, or until a limit of its own, for an answer that cannot come.
+def test_a_reader_is_told_when_this_process_closes_the_connection() -> None:
+    """A reader once waited without end, or until its own timeout, after ``close``.
 
-    Symptom: a request holds its place after its connection has been closed by this process.
-    Sequence: a request is sent, the connection is closed here, the next event is asked for; or it
-    is asked for already when the connection closes.
-    Cause: only an end that the other side brought about was told to the reader.
-    Settled by: ``next_event`` after ``close`` did not return within a second.
+    Only a close by the other side was reported to the reader, so ``next_event`` did not return,
+    whether it was called before or after ``close``, and the request kept its slot.
     """
 
-    async def play(waits: bool) -> object:
-        server = await asyncio.start_server(_hold, "127.0.0.1", 0)
+    async def run_case(waits: bool) -> object:
+        server = await asyncio.start_server(_serve_silence, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
@@ -140,14 +143,14 @@
         return event
 
     for waits in (True, False):
-        assert isinstance(asyncio.run(play(waits)), Failure)
+        assert isinstance(asyncio.run(run_case(waits)), Failure)
 
 
-def test_a_silent_connection_is_probed() -> None:
-    """A path that goes silent for good shows in nothing else."""
+def test_tcp_keepalive_is_enabled_on_connections() -> None:
+    """Keep-alive probes are the only way to detect a network path that stays silent."""
 
-    async def play() -> list[int]:
-        server = await asyncio.start_server(_hold, "127.0.0.1", 0)
+    async def run_case() -> list[int]:
+        server = await asyncio.start_server(_serve_silence, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         transport, connection = await asyncio.get_running_loop().create_connection(
             lambda: RunnerConnection("s"), "127.0.0.1", port
@@ -161,14 +164,14 @@
         server.close()
         return figures
 
-    assert asyncio.run(play()) == [1, PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES]
+    assert asyncio.run(run_case()) == [1, PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES]
 
 
-def test_a_back_end_that_was_silent_is_sent_nothing_more_on_kept_connections() -> None:
-    """When a path goes silent, it does so for all connections that are open."""
+def test_idle_connections_to_a_back_end_that_was_silent_are_not_reused() -> None:
+    """When a network path goes silent, all open connections on it do."""
 
-    async def play() -> tuple[bool, bool]:
-        server = await asyncio.start_server(_stream, "127.0.0.1", 0)
+    async def run_case() -> tuple[bool, bool]:
+        server = await asyncio.start_server(_serve_stream, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         pool = RunnerPool()
         taken = [await pool.acquire(address, 0.8, 1.0) for _ in range(2)]
@@ -186,4 +189,4 @@
         server.close()
         return used_again, closed
 
-    assert asyncio.run(play()) == (True, True)
+    assert asyncio.run(run_case()) == (True, True)
