--- a/tests/unit/proxy_support.py
+++ b/tests/unit/proxy_support.py
@@ -1,4 +1,4 @@
-"""A gateway's proxy on loopback, in a thread, for contract tests."""
+"""Runs a gateway's proxy on a loopback port in a thread, for tests."""
 
 from __future__ import annotations
 
@@ -32,11 +32,12 @@
 
 
 class Proxy:
-    """The proxy's parts as a gateway process puts them together.
+    """A proxy built from the same parts as in a gateway process.
 
     Attributes:
-        table_age_s: How old its route table may be.
-        is_in_doubt: Whether its process stood still and has not heard the registry since.
+        address: ``host:port`` on which it listens.
+        table_age_s: Maximum age of its route table, in seconds.
+        is_in_doubt: Whether its process stalled and has not heard from the registry since.
     """
 
     def __init__(self, table: RouteTable | None, runners: Iterable[RunnerStandIn]) -> None:
@@ -59,7 +60,7 @@
         self._thread.join()
 
     def call(self, action: Callable[[], None]) -> None:
-        """Have something done on the proxy's own thread."""
+        """Schedule a call on the proxy's thread."""
         self._loop.call_soon_threadsafe(action)
 
     def caller(self) -> RawCaller:
@@ -102,7 +103,7 @@
             dialect,
             DecisionLog(SystemClock(), ProxyMetrics(CollectorRegistry())),
             Random(1),
-            _nothing_local,
+            _answer_nothing,
             AdmissionGate(balancer, sender),
             table_age_s=lambda: self.table_age_s,
             in_force_s=2.0,
@@ -116,7 +117,7 @@
         self.address = f"{host}:{number}"
 
 
-async def _nothing_local(
+async def _answer_nothing(
     _request: CallerRequest, _responder: Responder, _index: RouteIndex, _route: Route | None
 ) -> bool:
     return False
--- a/tests/unit/test_platform_names.py
+++ b/tests/unit/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Names of the users' pages stand in the adapter only."""
+"""Tests that names of the platform's interface appear in its adapter only."""
 
 from __future__ import annotations
 
--- a/tests/unit/test_platform_payloads.py
+++ b/tests/unit/test_platform_payloads.py
@@ -1,4 +1,4 @@
-"""The adapter's translations: headers, tables, calls."""
+"""Tests the platform adapter: header fields, route tables and batch items."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
             "TrafficSplit": [{"Service": "s1", "Weight": 90}, {"Service": "s2", "Weight": 10}],
             "MaxAttempts": 1,
             "Resumable": True,
-            "Later": "a field that nobody knows yet",
+            "Later": "an unknown field",
         },
         {
             "Name": "r2",
@@ -60,7 +60,7 @@
 }
 
 
-def test_a_table_is_translated_whole() -> None:
+def test_a_route_table_is_translated_completely() -> None:
     table = read_table(json.dumps(TABLE).encode())
     assert isinstance(table, RouteTable)
     assert check_table(table) is None
@@ -83,16 +83,16 @@
         {"Routes": [{**TABLE["Routes"][0], "RouteKind": "other"}]},  # type: ignore[index]
     ],
 )
-def test_a_table_that_cannot_be_read_is_refused(change: dict[str, object]) -> None:
+def test_a_malformed_table_is_refused(change: dict[str, object]) -> None:
     assert isinstance(read_table(json.dumps({**TABLE, **change}).encode()), Failure)
 
 
-def test_a_table_that_is_cut_short_is_refused() -> None:
+def test_a_truncated_table_is_refused() -> None:
     assert isinstance(read_table(json.dumps(TABLE).encode()[:-9]), Failure)
 
 
-def test_what_a_request_says() -> None:
-    facts = PlatformDialect().read_request(
+def test_request_headers_are_parsed() -> None:
+    metadata = PlatformDialect().read_request(
         [
             (b"leverjunction-request-id", b"9c41"),
             (b"Leverjunction-Deadline-Ms", b"8000"),
@@ -101,9 +101,13 @@
             (b"Last-Event-Id", b"7"),
         ]
     )
-    assert (facts.request_id, facts.deadline_ms, facts.last_event_id) == ("9c41", 8000.0, "7")
-    assert (facts.tokens_in, facts.tokens_out) == (1460, 80)
-    assert [(part.key, part.tokens) for part in facts.parts] == [
+    assert (metadata.request_id, metadata.deadline_ms, metadata.last_event_id) == (
+        "9c41",
+        8000.0,
+        "7",
+    )
+    assert (metadata.tokens_in, metadata.tokens_out) == (1460, 80)
+    assert [(part.key, part.tokens) for part in metadata.parts] == [
         ("5c1e07a2", 800),
         ("91bd3f06", 410),
     ]
@@ -111,11 +115,11 @@
 
 @pytest.mark.parametrize("value", [b"", b"soon", b"-5", b"nan;"])
 def test_a_malformed_deadline_counts_as_absent(value: bytes) -> None:
-    facts = PlatformDialect().read_request([(b"Leverjunction-Deadline-Ms", value)])
-    assert facts.deadline_ms is None
+    metadata = PlatformDialect().read_request([(b"Leverjunction-Deadline-Ms", value)])
+    assert metadata.deadline_ms is None
 
 
-def test_what_goes_to_a_back_end() -> None:
+def test_headers_of_a_request_to_a_back_end() -> None:
     headers = [(b"Host", b"h"), (b"leverjunction-deadline-ms", b"9"), (b"last-event-id", b"1")]
     sent = PlatformDialect().forwarded_headers(headers, 123.9, "i-1", "")
     assert sent == [
@@ -129,8 +133,8 @@
     assert (b"last-event-id", b"1") not in continued
 
 
-def test_what_an_answer_says() -> None:
-    answer = PlatformDialect().read_response(
+def test_response_headers_are_parsed() -> None:
+    response = PlatformDialect().read_response(
         [
             (b"Leverjunction-Request-Id", b"9c41"),
             (b"Leverjunction-Server-Stamp", b"x"),
@@ -139,19 +143,19 @@
             (b"Connection", b"Close"),
         ]
     )
-    assert (answer.request_id, answer.signed, answer.not_run) == ("9c41", True, False)
-    assert answer.load is not None
-    assert (answer.load.running, answer.load.waiting, answer.load.slots) == (3, 1, 8)
-    assert (answer.keep_alive_s, answer.closes) == (5.0, True)
+    assert (response.request_id, response.signed, response.not_run) == ("9c41", True, False)
+    assert response.load is not None
+    assert (response.load.running, response.load.waiting, response.load.slots) == (3, 1, 8)
+    assert (response.keep_alive_s, response.closes) == (5.0, True)
 
 
 @pytest.mark.parametrize("value", [b"", b"3,1", b"3,x,8", b"busy"])
 def test_a_malformed_load_counts_as_absent(value: bytes) -> None:
-    answer = PlatformDialect().read_response([(b"Leverjunction-Instance-Load", value)])
-    assert answer.load is None
+    response = PlatformDialect().read_response([(b"Leverjunction-Instance-Load", value)])
+    assert response.load is None
 
 
-def test_the_proxys_own_answer() -> None:
+def test_headers_of_the_proxys_own_response() -> None:
     assert PlatformDialect().own_response_headers("9c41", 0.25) == [
         (b"Leverjunction-Request-Id", b"9c41"),
         (b"Retry-After", b"0.250"),
@@ -170,7 +174,7 @@
         ("", {}, False),
     ],
 )
-def test_an_item_that_http_cannot_carry_is_told_apart(
+def test_an_item_that_http_cannot_carry_is_recognized(
     path: str, headers: dict[str, str], sendable: bool
 ) -> None:
     item = gateway_calls._ItemPayload(id="i", path=path, headers=headers, body=b"", tokens=1)
--- a/tests/unit/test_routes.py
+++ b/tests/unit/test_routes.py
@@ -1,4 +1,4 @@
-"""Route tables: what is refused, and which route a request takes."""
+"""Tests the validation of route tables and the choice of a request's route."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "word"),
+    ("bad", "message"),
     [
         (table(route(), version=0), "version 0"),
         (table(route(services=(WeightedService(service="x", weight=1),))), "unknown service 'x'"),
@@ -57,13 +57,13 @@
         (table(route(services=())), "names no service"),
     ],
 )
-def test_an_invalid_table_is_refused_with_its_reason(bad: RouteTable, word: str) -> None:
-    fault = check_table(bad)
-    assert isinstance(fault, Failure)
-    assert word in fault.reason
+def test_an_invalid_table_is_refused_with_its_problem(bad: RouteTable, message: str) -> None:
+    failure = check_table(bad)
+    assert isinstance(failure, Failure)
+    assert message in failure.reason
 
 
-def test_a_sound_table_is_taken() -> None:
+def test_a_valid_table_is_accepted() -> None:
     assert check_table(table(route(), route("two", prefix="/a/b/"))) is None
 
 
@@ -84,7 +84,7 @@
     assert (found.name if found else None) == name
 
 
-def test_a_split_gives_each_part_its_share() -> None:
+def test_requests_of_a_split_route_are_shared_by_weight() -> None:
     parts = (
         WeightedService(service="a", weight=90),
         WeightedService(service="b", weight=10),
--- a/tests/unit/test_untrusted_input.py
+++ b/tests/unit/test_untrusted_input.py
@@ -1,9 +1,9 @@
-"""Words of other writers: unreadable ones name nothing to use, and hide or end nothing else.
+"""Tests that malformed input from other processes is refused or ignored, without side effects.
 
-A caller that said "inf" tokens ended the handling of its request with an error here, without an
-answer; a word nested a hundred thousand deep did the same to a control process's call. A back end
-that gave an address without a port, or an id with a line feed, was listed, and each request that
-was sent to it raised. Of the machine list one entry that could not be read hid all others.
+Failures these tests guard against: a token count of "inf" raised an exception and left the request
+without a response, as did JSON nested a hundred thousand levels deep in a call to a control
+process. A back end whose address had no port, or whose id had a line feed, was accepted, and each
+request sent to it raised. One malformed entry of the machine list hid all others.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 EXAMPLES = settings(
     max_examples=300, deadline=None, suppress_health_check=[HealthCheck.too_slow], database=None
 )
-DEEP = b"[" * 100_000
-HUGE = "9" * 400
+DEEPLY_NESTED = b"[" * 100_000
+HUGE_NUMBER = "9" * 400
 
-odd_values = st.one_of(
+arbitrary_values = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(),
@@ -44,7 +44,7 @@
     st.lists(st.integers(), max_size=3),
     st.dictionaries(st.text(max_size=5), st.integers(), max_size=3),
 )
-SOUND_BEAT = {
+VALID_HEARTBEAT = {
     "Service": "s",
     "Address": "10.0.0.1:80",
     "Zone": "z",
@@ -57,8 +57,8 @@
 }
 
 
-class Node:
-    """Takes what the calls make of words."""
+class RecordingNode:
+    """Stands in for the registry node and records the calls."""
 
     def __init__(self) -> None:
         self.heard: list[RunnerRecord] = []
@@ -73,20 +73,20 @@
         return None
 
 
-def call(node: Node, path: str, body: bytes) -> int:
+def call(node: RecordingNode, path: str, body: bytes) -> int:
     environ: dict[str, Any] = {
         "REQUEST_METHOD": "POST",
         "PATH_INFO": path,
         "CONTENT_LENGTH": str(len(body)),
         "wsgi.input": io.BytesIO(body),
     }
-    told: list[str] = []
-    ControlCalls(node)(environ, lambda status, _headers: told.append(status))  # type: ignore[arg-type]
-    return int(told[0].split()[0])
+    statuses: list[str] = []
+    ControlCalls(node)(environ, lambda status, _headers: statuses.append(status))  # type: ignore[arg-type]
+    return int(statuses[0].split()[0])
 
 
 def assert_usable(record: RunnerRecord) -> None:
-    """Fail if a record would raise where back ends are used."""
+    """Fail if the use of a record would raise an exception."""
     host, _, port = record.address.rpartition(":")
     assert host
     assert 0 < int(port) < 65_536
@@ -97,10 +97,10 @@
 
 
 @EXAMPLES
-@given(st.dictionaries(st.sampled_from([*SOUND_BEAT, "Other"]), odd_values, max_size=4))
-def test_a_word_of_a_back_end_names_one_to_use_or_nothing(changes: dict[str, object]) -> None:
-    node = Node()
-    body = json.dumps({**SOUND_BEAT, **changes}).encode()
+@given(st.dictionaries(st.sampled_from([*VALID_HEARTBEAT, "Other"]), arbitrary_values, max_size=4))
+def test_a_heartbeat_yields_a_usable_record_or_is_refused(changes: dict[str, object]) -> None:
+    node = RecordingNode()
+    body = json.dumps({**VALID_HEARTBEAT, **changes}).encode()
     status = call(node, "/api/Instances.Heartbeat/i-1", body)
     assert status in (200, 400)
     assert bool(node.heard) is (status == 200)
@@ -110,29 +110,37 @@
 
 @EXAMPLES
 @given(st.binary(max_size=60))
-def test_bytes_that_are_no_word(body: bytes) -> None:
+def test_arbitrary_bytes_are_refused(body: bytes) -> None:
     for path in ("/api/Instances.Heartbeat/i-1", "/api/Config.Replace"):
-        assert call(Node(), path, body) == 400
+        assert call(RecordingNode(), path, body) == 400
 
 
 @pytest.mark.parametrize(
-    "body", [DEEP, b'{"x":' + DEEP, b'{"born":' + HUGE.encode() + b"}", b'{"Slots":NaN}']
+    "body",
+    [
+        DEEPLY_NESTED,
+        b'{"x":' + DEEPLY_NESTED,
+        b'{"born":' + HUGE_NUMBER.encode() + b"}",
+        b'{"Slots":NaN}',
+    ],
 )
-def test_words_beyond_any_size(body: bytes) -> None:
+def test_deeply_nested_json_and_huge_numbers_are_refused(body: bytes) -> None:
     for path in ("Instances.Heartbeat/i-1", "Instances.Leave/i-1", "Config.Replace"):
-        assert call(Node(), "/api/" + path, body) == 400
+        assert call(RecordingNode(), "/api/" + path, body) == 400
     assert PlatformDialect().read_load(body) is None
 
 
 @pytest.mark.parametrize(
-    ("runner_id", "is_named"),
+    ("runner_id", "is_accepted"),
     [("i-1", True), ("", False), ("a b", False), ("a\r\nX: y", False), ("x" * 100_000, False)],
 )
-def test_ids_that_can_be_sent(runner_id: str, is_named: bool) -> None:
-    node = Node()
-    body = json.dumps(SOUND_BEAT).encode()
+def test_runner_ids_that_a_header_cannot_carry_are_refused(
+    runner_id: str, is_accepted: bool
+) -> None:
+    node = RecordingNode()
+    body = json.dumps(VALID_HEARTBEAT).encode()
     status = call(node, "/api/Instances.Heartbeat/" + runner_id, body)
-    assert (status == 200) is is_named is bool(node.heard)
+    assert (status == 200) is is_accepted is bool(node.heard)
 
 
 FIELDS = [
@@ -144,42 +152,44 @@
     b"Last-Event-Id",
     b"Leverjunction-Request-Id",
 ]
-odd_fields = st.one_of(
+malformed_fields = st.one_of(
     st.binary(max_size=30),
     st.sampled_from(
         [b"inf", b"-inf,nan", b"1e999,1e999", b"a:inf", b"inf,inf,inf", b"timeout=inf", b"-1,-1,-1"]
     ),
-    st.just(HUGE.encode() + b"," + HUGE.encode()),
+    st.just(HUGE_NUMBER.encode() + b"," + HUGE_NUMBER.encode()),
 )
 
 
 @EXAMPLES
-@given(st.lists(st.tuples(st.sampled_from(FIELDS), odd_fields), max_size=6))
-def test_odd_fields_of_callers_and_back_ends_count_as_absent(
+@given(st.lists(st.tuples(st.sampled_from(FIELDS), malformed_fields), max_size=6))
+def test_malformed_header_fields_count_as_absent(
     headers: list[tuple[bytes, bytes]],
 ) -> None:
     dialect = PlatformDialect()
-    facts = dialect.read_request(headers)
-    assert facts.deadline_ms is None or 0 <= facts.deadline_ms < math.inf
-    assert 0 <= facts.tokens_in <= 10**9
-    assert all(0 <= part.tokens <= 10**9 for part in facts.parts)
-    answer = dialect.read_response(headers)
-    assert answer.keep_alive_s is None or 0 <= answer.keep_alive_s < math.inf
-    if answer.load is not None:
-        assert min(answer.load.running, answer.load.waiting, answer.load.slots) >= 0
-        assert max(answer.load.running, answer.load.waiting, answer.load.slots) <= 10**6
+    metadata = dialect.read_request(headers)
+    assert metadata.deadline_ms is None or 0 <= metadata.deadline_ms < math.inf
+    assert 0 <= metadata.tokens_in <= 10**9
+    assert all(0 <= part.tokens <= 10**9 for part in metadata.parts)
+    response = dialect.read_response(headers)
+    assert response.keep_alive_s is None or 0 <= response.keep_alive_s < math.inf
+    if response.load is not None:
+        assert min(response.load.running, response.load.waiting, response.load.slots) >= 0
+        assert max(response.load.running, response.load.waiting, response.load.slots) <= 10**6
 
 
 @EXAMPLES
-@given(st.dictionaries(st.sampled_from(["Running", "Waiting", "born"]), odd_values, max_size=3))
-def test_odd_reports(fields: dict[str, object]) -> None:
+@given(
+    st.dictionaries(st.sampled_from(["Running", "Waiting", "born"]), arbitrary_values, max_size=3)
+)
+def test_malformed_load_reports_are_ignored(fields: dict[str, object]) -> None:
     load = PlatformDialect().read_load(json.dumps(fields).encode())
     assert load is None or 0 <= load.running + load.waiting <= 2 * 10**6
 
 
 @EXAMPLES
 @given(st.lists(st.binary(max_size=40), max_size=5))
-def test_odd_streams(pieces: list[bytes]) -> None:
+def test_arbitrary_streams_yield_event_ids_that_can_be_sent(pieces: list[bytes]) -> None:
     splitter, item = EventSplitter(), ItemStream()
     for piece in pieces:
         splitter.feed(piece)
@@ -191,11 +201,11 @@
 
 @EXAMPLES
 @given(st.binary(max_size=200))
-def test_odd_datagrams(data: bytes) -> None:
+def test_arbitrary_datagrams_are_refused(data: bytes) -> None:
     assert isinstance(decode_envelope(data, b"key", "peer"), Failure)
 
 
-SOUND_MACHINE = {
+VALID_MACHINE = {
     "id": "m-1",
     "address": "10.0.0.1:80",
     "zone": "z",
@@ -209,16 +219,16 @@
 @given(
     st.lists(
         st.one_of(
-            odd_values,
-            st.dictionaries(st.sampled_from(list(SOUND_MACHINE)), odd_values).map(
-                lambda changes: {**SOUND_MACHINE, "id": "m-2", **changes}
+            arbitrary_values,
+            st.dictionaries(st.sampled_from(list(VALID_MACHINE)), arbitrary_values).map(
+                lambda changes: {**VALID_MACHINE, "id": "m-2", **changes}
             ),
         ),
         max_size=4,
     )
 )
-def test_an_entry_that_cannot_be_read_hides_no_other(entries: list[object]) -> None:
-    text = json.dumps({"as_of_ms": 1, "machines": [SOUND_MACHINE, *entries]})
+def test_a_malformed_entry_of_the_machine_list_hides_no_other(entries: list[object]) -> None:
+    text = json.dumps({"as_of_ms": 1, "machines": [VALID_MACHINE, *entries]})
     listed = read_machine_list(text.encode())
     assert not isinstance(listed, Failure)
     assert listed.machines[0].id == "m-1"
