--- a/src/leverjunction/proxy/attempt.py
+++ b/src/leverjunction/proxy/attempt.py
@@ -34,7 +34,7 @@
 """
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request was not run; only the proxy may give them."""
+"""Statuses that promise a caller that its request was not run; never relayed from back ends."""
 
 MISDIRECTED_REQUEST = 421
 LOAD_TIMEOUT_S = 0.6
@@ -240,10 +240,10 @@
             return (
                 head if isinstance(head, Failure) else _mismatch(seat, "a response without a head")
             )
-        response = self._dialect.read_response(head.headers)
-        if response.load is not None:
-            seat.told(response.load, self._loop.time())
-        opened = OpenedResponse(head, response, connection, seat)
+        metadata = self._dialect.read_response(head.headers)
+        if metadata.load is not None:
+            seat.told(metadata.load, self._loop.time())
+        opened = OpenedResponse(head, metadata, connection, seat)
         refusal = await self._response_failure(opened, dispatch.metadata)
         if refusal is not None:
             return refusal
