--- a/src/leverjunction/proxy/forwarding.py
+++ b/src/leverjunction/proxy/forwarding.py
@@ -52,7 +52,7 @@
 
 
 class Forwarder:
-    """Routes requests, sends them through ``Asker`` and relays the responses.
+    """Routes requests, sends them to back ends and relays the responses.
 
     All calls must come from one event loop.
     """
