--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -29,7 +29,7 @@
 @_rule
 def _repeat_anything() -> None:
     """What may run once is sent again after a reset."""
-    forwarding.Work.may_run_again = property(lambda work: work.runs < 3)  # type: ignore[assignment, method-assign]
+    forwarding.RoutedRequest.may_run_again = property(lambda routed: routed.runs < 3)  # type: ignore[assignment, method-assign]
 
 
 @_rule
@@ -41,7 +41,7 @@
 @_rule
 def _end_what_was_cut() -> None:
     """An answer that broke off looks whole."""
-    caller_connection.Responder.break_off = caller_connection.Responder.end  # type: ignore[method-assign]
+    caller_connection.Responder.abort = caller_connection.Responder.finish  # type: ignore[method-assign]
 
 
 @_rule
--- /dev/null
+++ b/src/leverjunction/proxy/decision_log.py
@@ -0,0 +1,280 @@
+"""Records the proxy's decisions as metrics and as JSON lines on standard output.
+
+A slow reader of the lines never blocks the proxy; the oldest lines are dropped instead.
+"""
+
+from __future__ import annotations
+
+import sys
+import threading
+from collections import deque
+from typing import TYPE_CHECKING
+
+import msgspec
+from prometheus_client import Counter
+
+from leverjunction.clock import Clock
+from leverjunction.errors import Failure
+from leverjunction.proxy.balancer import Choice
+from leverjunction.proxy.caller_connection import request_content
+from leverjunction.proxy.dialect import RequestMetadata
+from leverjunction.proxy.metrics import ProxyMetrics
+from leverjunction.proxy.routed_request import RoutedRequest
+from leverjunction.quarantine.request_key import request_key
+
+if TYPE_CHECKING:
+    from leverjunction.proxy.dispatch import OpenedResponse
+
+MAX_QUEUED_LINES = 2_000
+"""Limit of lines queued for a slow reader of the log; beyond it the oldest are dropped."""
+
+
+class DecisionLine(msgspec.Struct, omit_defaults=True):
+    """A decision about one request, with the data that it is based on.
+
+    Fields with their default value are left out of the line.
+
+    Attributes:
+        at_ms: Wall-clock time in Unix milliseconds.
+        event: Kind of decision.
+        request_id: The caller's id of this attempt.
+        table: Version of the route table that applies to the request.
+        route: Name of the request's route; empty if none matches.
+        service: Service that was chosen for the request.
+        waited_ms: Time since the request arrived, in milliseconds.
+        allowed_ms: Time limit of the request by its caller and its route, in milliseconds.
+        runner_id: Id and start of the back end that the request was sent to.
+        request_key: Key shared by all attempts with the same request content.
+        load: Estimated requests at the back end when it was chosen.
+        load_age_ms: Age of the back end's last load report, in milliseconds; None if there was
+            none.
+        candidates: Number of back ends that were considered.
+        status: HTTP status of the proxy's own response.
+        execution: Whether a back end may have run the request.
+        step: Step of the work at which the request ended.
+        reason: Cause of the decision.
+    """
+
+    at_ms: int
+    event: str
+    request_id: str
+    table: int = 0
+    route: str = ""
+    service: str = ""
+    waited_ms: int = 0
+    allowed_ms: int = 0
+    runner_id: str = ""
+    request_key: str = ""
+    load: float = 0.0
+    load_age_ms: int | None = None
+    candidates: int = 0
+    status: int = 0
+    execution: str = ""
+    step: str = ""
+    reason: str = ""
+
+
+class LineWriter:
+    """Writes lines to standard output on a separate thread.
+
+    Args:
+        lost: Incremented for each line that is dropped.
+    """
+
+    def __init__(self, lost: Counter) -> None:
+        self._lines: deque[bytes] = deque()
+        self._lost = lost
+        self._changed = threading.Condition()
+        threading.Thread(target=self._run, name="decision-lines", daemon=True).start()
+
+    def put(self, line: bytes) -> None:
+        """Queue a line without blocking; a full queue drops its oldest line."""
+        with self._changed:
+            if len(self._lines) >= MAX_QUEUED_LINES:
+                self._lines.popleft()
+                self._lost.inc()
+            self._lines.append(line)
+            self._changed.notify()
+
+    def _run(self) -> None:
+        while True:
+            with self._changed:
+                while not self._lines:
+                    self._changed.wait()
+                batch = b"\n".join(self._lines) + b"\n"
+                self._lines.clear()
+            sys.stdout.buffer.write(batch)
+            sys.stdout.buffer.flush()
+
+
+class DecisionLog:
+    """Counts all sends and requests, and logs those that fail, wait or are refused.
+
+    A request that is answered at the first attempt is counted but not logged.
+    """
+
+    def __init__(self, clock: Clock, metrics: ProxyMetrics) -> None:
+        self._clock = clock
+        self._metrics = metrics
+        self._writer = LineWriter(metrics.lines_lost)
+
+    def sent(
+        self,
+        routed: RoutedRequest,
+        choice: Choice,
+        response: OpenedResponse | Failure,
+        now_s: float,
+    ) -> None:
+        """Record a send to a back end, once its response head has arrived or it has failed.
+
+        Args:
+            routed: The request.
+            choice: The back end that it was sent to.
+            response: The response, or the failure.
+            now_s: Current time in monotonic seconds.
+        """
+        if not isinstance(response, Failure):
+            self._metrics.sends.labels("answered").inc()
+            waited_s = now_s - routed.request.arrived_s
+            self._metrics.head_s.labels(routed.route.kind.value).observe(waited_s)
+            return
+        load_at_s = choice.runner.load_updated_s
+        self._metrics.sends.labels(response.kind.value).inc()
+        self._write(
+            DecisionLine(
+                at_ms=self._clock.wall_ms(),
+                event="send_failed",
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                allowed_ms=_ms(routed.until_s - routed.request.arrived_s),
+                runner_id=choice.runner.record.start,
+                load=round(choice.load, 2),
+                load_age_ms=_ms(now_s - load_at_s) if load_at_s else None,
+                candidates=choice.candidates,
+                execution=response.execution.value,
+                step=response.step.value,
+                reason=response.reason,
+            )
+        )
+
+    def held(self, routed: RoutedRequest, outcome: str, now_s: float) -> None:
+        """Record a request that waited at this gateway before it was sent or refused.
+
+        Args:
+            routed: The request.
+            outcome: ``sent`` or ``refused``.
+            now_s: Current time in monotonic seconds.
+        """
+        self._metrics.holds.labels(outcome).inc()
+        self._write(
+            DecisionLine(
+                at_ms=self._clock.wall_ms(),
+                event="held",
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                allowed_ms=_ms(routed.until_s - routed.request.arrived_s),
+                execution=routed.execution.value,
+                reason=f"no back end could answer in time; then {outcome}",
+            )
+        )
+
+    def run_lost(
+        self, routed: RoutedRequest, runner_id: str, failure: Failure, now_s: float
+    ) -> None:
+        """Record a run that was lost because the back end's connection broke.
+
+        Args:
+            routed: The request.
+            runner_id: Id and start of the back end.
+            failure: Failure that ended the response.
+            now_s: Current time in monotonic seconds.
+        """
+        self._metrics.lost_runs.inc()
+        self._write(
+            DecisionLine(
+                at_ms=self._clock.wall_ms(),
+                event="run_lost",
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                runner_id=runner_id,
+                request_key=request_key(request_content(routed.request)),
+                execution=failure.execution.value,
+                step=failure.step.value,
+                reason=failure.reason,
+            )
+        )
+
+    def ended(self, routed: RoutedRequest, outcome: str, reason: str, now_s: float) -> None:
+        """Record the end of a request that was forwarded.
+
+        Args:
+            routed: The request.
+            outcome: ``answered``, ``broken_off`` or ``cancelled``.
+            reason: Cause, empty for an answered request.
+            now_s: Current time in monotonic seconds.
+        """
+        self._metrics.requests.labels(outcome).inc()
+        if outcome == "answered":
+            return
+        self._write(
+            DecisionLine(
+                at_ms=self._clock.wall_ms(),
+                event=outcome,
+                request_id=routed.metadata.request_id,
+                table=routed.table_version,
+                route=routed.route.name,
+                service=routed.service,
+                waited_ms=_ms(now_s - routed.request.arrived_s),
+                allowed_ms=_ms(routed.until_s - routed.request.arrived_s),
+                execution=routed.execution.value,
+                reason=reason,
+            )
+        )
+
+    def refused(
+        self,
+        metadata: RequestMetadata,
+        table_version: int,
+        status: int,
+        failure: Failure,
+        waited_s: float,
+    ) -> None:
+        """Record a response that the proxy generated itself.
+
+        Args:
+            metadata: Metadata of the request.
+            table_version: Version of the current route table, 0 for none.
+            status: HTTP status of the response.
+            failure: Cause of the response.
+            waited_s: Time since the request arrived, in seconds.
+        """
+        self._metrics.refusals.labels(failure.kind.value).inc()
+        self._write(
+            DecisionLine(
+                at_ms=self._clock.wall_ms(),
+                event="refused",
+                request_id=metadata.request_id,
+                table=table_version,
+                waited_ms=_ms(waited_s),
+                status=status,
+                execution=failure.execution.value,
+                step=failure.step.value,
+                reason=failure.reason,
+            )
+        )
+
+    def _write(self, line: DecisionLine) -> None:
+        self._writer.put(msgspec.json.encode(line))
+
+
+def _ms(duration_s: float) -> int:
+    return round(duration_s * 1000)
--- a/src/leverjunction/proxy/dispatch.py
+++ b/src/leverjunction/proxy/dispatch.py
@@ -6,8 +6,8 @@
 
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.proxy.caller_connection import CallerRequest
-from leverjunction.proxy.dialect import AnswerFacts, RequestFacts
-from leverjunction.proxy.runner_connection import AnswerHead, RunnerConnection
+from leverjunction.proxy.dialect import RequestMetadata, ResponseMetadata
+from leverjunction.proxy.runner_connection import ResponseHead, RunnerConnection
 from leverjunction.proxy.tracked_runner import TrackedRunner
 
 
@@ -38,7 +38,7 @@
 
     Attributes:
         request: The caller's request.
-        facts: Metadata from the request's headers.
+        metadata: Metadata from the request's headers.
         runner: The back end.
         repeatable: Whether the request may run more than once.
         last_event_id: Event after which to continue a stream; empty for a whole stream.
@@ -47,9 +47,9 @@
     """
 
     __slots__ = (
-        "facts",
         "head_timeouts",
         "last_event_id",
+        "metadata",
         "repeatable",
         "request",
         "runner",
@@ -59,7 +59,7 @@
     def __init__(
         self,
         request: CallerRequest,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         runner: TrackedRunner,
         *,
         repeatable: bool,
@@ -68,7 +68,7 @@
         head_timeouts: HeadTimeouts,
     ) -> None:
         self.request = request
-        self.facts = facts
+        self.metadata = metadata
         self.runner = runner
         self.repeatable = repeatable
         self.last_event_id = last_event_id
@@ -76,27 +76,27 @@
         self.head_timeouts = head_timeouts
 
 
-class OpenedAnswer:
+class OpenedResponse:
     """A back end's response whose head has arrived.
 
     Attributes:
         head: Status and headers.
-        facts: Metadata from the headers.
+        metadata: Metadata from the headers.
         connection: Connection on which the body arrives.
         runner: The back end.
     """
 
-    __slots__ = ("connection", "facts", "head", "runner")
+    __slots__ = ("connection", "head", "metadata", "runner")
 
     def __init__(
         self,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        metadata: ResponseMetadata,
         connection: RunnerConnection,
         runner: TrackedRunner,
     ) -> None:
         self.head = head
-        self.facts = facts
+        self.metadata = metadata
         self.connection = connection
         self.runner = runner
 
--- a/src/leverjunction/proxy/hedging.py
+++ b/src/leverjunction/proxy/hedging.py
@@ -7,15 +7,15 @@
 from typing import Any
 
 from leverjunction.errors import Failure
-from leverjunction.proxy.dispatch import OpenedAnswer
+from leverjunction.proxy.dispatch import OpenedResponse
 
-Outcome = OpenedAnswer | Failure
+Outcome = OpenedResponse | Failure
 
 
 async def first_response(
     primary: Coroutine[Any, Any, Outcome],
     hedge: Coroutine[Any, Any, Outcome],
-    discard: Callable[[OpenedAnswer], None],
+    discard: Callable[[OpenedResponse], None],
 ) -> Outcome:
     """Return the response whose head arrives first; a failure only if both attempts fail.
 
@@ -41,7 +41,7 @@
 
 
 def _discard_task(
-    task: asyncio.Future[Outcome], chosen: Outcome | None, discard: Callable[[OpenedAnswer], None]
+    task: asyncio.Future[Outcome], chosen: Outcome | None, discard: Callable[[OpenedResponse], None]
 ) -> None:
     if not task.done():
         task.cancel()
@@ -49,7 +49,7 @@
     if task.cancelled() or task.exception() is not None:
         return
     outcome = task.result()
-    if isinstance(outcome, OpenedAnswer) and outcome is not chosen:
+    if isinstance(outcome, OpenedResponse) and outcome is not chosen:
         discard(outcome)
 
 
--- a/src/leverjunction/proxy/quarantine.py
+++ b/src/leverjunction/proxy/quarantine.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from leverjunction.errors import Execution, Failure, FailureKind, is_failure
-from leverjunction.proxy.caller_connection import CallerRequest, content_of
+from leverjunction.proxy.caller_connection import CallerRequest, request_content
 from leverjunction.quarantine.crash_detector import CrashDetector
 from leverjunction.quarantine.records import EndedRun, SuspectList
 from leverjunction.quarantine.request_key import request_key
@@ -101,7 +101,7 @@
         if self._suspects.is_empty:
             return ""
         self._expire()
-        return self._suspects.find(content_of(request))
+        return self._suspects.find(request_content(request))
 
     def standing(self, key: str) -> Standing:
         """Return how the request with a key from ``find`` is to be treated."""
@@ -179,7 +179,7 @@
         if current is None or current.state is RunnerState.LEAVING:
             # A planned stop is not caused by the request.
             return
-        key = request_key(content_of(request))
+        key = request_key(request_content(request))
         run = EndedRun(
             key=key, start=runner.start, route=route, request_id=request_id, ran_on=ran_on
         )
--- a/src/testbed/placement/gateway.py
+++ b/src/testbed/placement/gateway.py
@@ -61,7 +61,7 @@
         runner.report_load(load, self._loop.time())
         return load
 
-    def distrust(self, runner: TrackedRunner) -> None:
+    def close_idle_connections(self, runner: TrackedRunner) -> None:
         """Do nothing: there are no connections."""
 
 
--- a/src/testbed/simulation/seeded/routed/broken.py
+++ b/src/testbed/simulation/seeded/routed/broken.py
@@ -10,10 +10,10 @@
 
 from leverjunction.errors import Execution, Failure
 from leverjunction.proxy import forwarding, runner_connection
-from leverjunction.proxy.answers import no_route
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.caller_connection import CallerRequest, Responder
-from leverjunction.proxy.dialect import RequestFacts
+from leverjunction.proxy.dialect import RequestMetadata
+from leverjunction.proxy.failures import no_route
 from leverjunction.proxy.forwarding import Forwarder
 from leverjunction.proxy.process import ProxyNode
 from leverjunction.registry.follower import Snapshot
@@ -57,7 +57,7 @@
     def told(failure: Failure, _execution: Execution) -> Failure:
         return msgspec.structs.replace(failure, execution=Execution.NOT_RUN)
 
-    return [mock.patch.object(forwarding, "_told", told)]
+    return [mock.patch.object(forwarding, "_with_execution", told)]
 
 
 def answer_only_what_was_not_run() -> list[Any]:
@@ -67,12 +67,12 @@
     def sometimes(
         self: Forwarder,
         request: CallerRequest,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         responder: Responder,
         failure: Failure,
     ) -> None:
         if failure.execution is Execution.NOT_RUN:
-            refuse(self, request, facts, responder, failure)
+            refuse(self, request, metadata, responder, failure)
 
     return [mock.patch.object(Forwarder, "_refuse", sometimes)]
 
@@ -91,8 +91,8 @@
     return [
         mock.patch.object(
             runner_connection.RunnerConnection,
-            "_broken",
-            lambda _self, _reason: runner_connection.AnswerEnd(),
+            "_connection_failure",
+            lambda _self, _reason: runner_connection.ResponseEnd(),
         )
     ]
 
--- a/tests/unit/test_proxy_first_response.py
+++ b/tests/unit/test_proxy_first_response.py
@@ -8,11 +8,11 @@
 import pytest
 
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.proxy.dispatch import OpenedAnswer
+from leverjunction.proxy.dispatch import OpenedResponse
 from leverjunction.proxy.hedging import Outcome, first_response
 
-PRIMARY = cast(OpenedAnswer, object.__new__(OpenedAnswer))
-HEDGE = cast(OpenedAnswer, object.__new__(OpenedAnswer))
+PRIMARY = cast(OpenedResponse, object.__new__(OpenedResponse))
+HEDGE = cast(OpenedResponse, object.__new__(OpenedResponse))
 LATE = Failure(kind=FailureKind.DEADLINE_EXCEEDED, reason="late", step=Step.RESPONDING)
 NO_BACK_END = Failure(kind=FailureKind.OVERLOADED, reason="no back end", step=Step.RESPONDING)
 
@@ -34,8 +34,8 @@
         return self.outcome
 
 
-def _race(primary: Attempt, hedge: Attempt) -> tuple[Any, list[OpenedAnswer]]:
-    discarded: list[OpenedAnswer] = []
+def _race(primary: Attempt, hedge: Attempt) -> tuple[Any, list[OpenedResponse]]:
+    discarded: list[OpenedResponse] = []
 
     async def race() -> Outcome:
         return await first_response(primary.run(), hedge.run(), discarded.append)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from leverjunction.proxy.caller_connection import CallerRequest, content_of
+from leverjunction.proxy.caller_connection import CallerRequest, request_content
 from leverjunction.proxy.quarantine import Quarantine
 from leverjunction.quarantine.crash_detector import MAX_PENDING_RUNS, PROOF_TIMEOUT_S, CrashDetector
 from leverjunction.quarantine.records import EndedRun, SuspectList, SuspectRecord
@@ -84,7 +84,7 @@
         ]
         return CallerRequest(b"POST", b"/a/1", headers, b"ask", float(number))
 
-    assert len({request_key(content_of(request(number))) for number in range(5)}) == 1
+    assert len({request_key(request_content(request(number))) for number in range(5)}) == 1
 
 
 def test_a_key_starts_with_its_path_part() -> None:
