--- a/src/leverjunction/proxy/dispatch.py
+++ b/src/leverjunction/proxy/dispatch.py
@@ -139,4 +139,4 @@
     )
 
 
-__all__ = ["Dispatch", "HeadTimeouts", "LateHead", "OpenedAnswer", "late_failure"]
+__all__ = ["Dispatch", "HeadTimeouts", "LateHead", "OpenedResponse", "late_failure"]
