--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -10,8 +10,8 @@
 
 from leverjunction.clock import LOADED_S
 from leverjunction.lots import client
+from leverjunction.lots.batch_capacity import TakenSlot
 from leverjunction.lots.commands import EndLot, LotTaken, SubmitLot
-from leverjunction.lots.room import TakenSlot
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.roles import main
 from leverjunction.proxy import caller_connection, forwarding
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -7,9 +7,9 @@
 
 from loguru import logger
 
+from leverjunction.lots.batch_capacity import SeatRoom, ServiceRoom
+from leverjunction.lots.item_status import ServiceSight
 from leverjunction.lots.lost_runs import LostRuns, Report
-from leverjunction.lots.room import SeatRoom, ServiceRoom
-from leverjunction.lots.standing import ServiceSight
 from leverjunction.lots.told_loads import ToldLoads
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
--- a/src/leverjunction/lots/record_trace.py
+++ b/src/leverjunction/lots/record_trace.py
@@ -8,9 +8,9 @@
 from leverjunction.errors import Failure
 from leverjunction.lots import metrics
 from leverjunction.lots.commands import Recorded, RecordRuns
-from leverjunction.lots.harmless import harmless
 from leverjunction.lots.item_lines import ItemLine, ItemLines, ms
 from leverjunction.lots.item_run import ItemKey
+from leverjunction.lots.suppressed_errors import harmless
 
 
 class Tries:
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -20,7 +20,7 @@
 from leverjunction.consensus.api import ReplicatedGroup
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.lots.attempts import Attempts
-from leverjunction.lots.board import Board
+from leverjunction.lots.batch_capacity import TakenSlot
 from leverjunction.lots.commands import (
     OpenItem,
     OpenItems,
@@ -28,14 +28,14 @@
     ReadOpenItems,
     ReadOpenKeys,
 )
+from leverjunction.lots.item_queue import Board
 from leverjunction.lots.item_run import ItemKey, ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
+from leverjunction.lots.loop_watchdog import Pulse
 from leverjunction.lots.node_watch import stack_of
 from leverjunction.lots.outbox import Outbox
-from leverjunction.lots.pulse import Pulse
-from leverjunction.lots.room import TakenSlot
-from leverjunction.lots.sight import RunnerSight, Scene
+from leverjunction.lots.runner_monitor import RunnerSight, Scene
 from leverjunction.lots.urgency import RunTimes, Urgency
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
--- a/src/leverjunction/lots/sight.py
+++ b/src/leverjunction/lots/runner_monitor.py
@@ -16,13 +16,13 @@
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.lots import metrics
 from leverjunction.lots.commands import OpenItem
-from leverjunction.lots.harmless import harmless
 from leverjunction.lots.item_lines import ItemLine, ItemLines, ms
 from leverjunction.lots.item_run import ItemKey, ItemRun
+from leverjunction.lots.item_status import Reason, ServiceSight, Standing, Standings
 from leverjunction.lots.record_trace import RecordTrace
 from leverjunction.lots.run_trace import RunEnd, RunTrace
 from leverjunction.lots.stall_watch import LIVELY_S, StallWatch, Work
-from leverjunction.lots.standing import Reason, ServiceSight, Standing, Standings
+from leverjunction.lots.suppressed_errors import harmless
 from leverjunction.routes.matching import RouteIndex
 
 LOOK_INTERVAL_S = 1.0
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -6,12 +6,12 @@
 from collections.abc import Mapping
 from random import Random
 
-from leverjunction.lots.board import Board
+from leverjunction.lots.batch_capacity import TakenSlot
 from leverjunction.lots.commands import OpenItem
+from leverjunction.lots.item_queue import Board
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
-from leverjunction.lots.room import TakenSlot
 from leverjunction.lots.runner import IDLE_STEP_S, STEP_S
 from leverjunction.lots.urgency import RunTimes, Urgency
 from leverjunction.proxy.balancer import Balancer
--- a/tests/unit/test_lots_room.py
+++ b/tests/unit/test_lots_batch_capacity.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leverjunction.lots.room import (
+from leverjunction.lots.batch_capacity import (
     BUCKET_S,
     MOST_RISE_SHARE_PER_S,
     REACTION_S,
--- a/tests/unit/test_lots_board.py
+++ b/tests/unit/test_lots_item_queue.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from leverjunction.lots import board as board_module
-from leverjunction.lots.board import RANKED_FOR_S, Board
+from leverjunction.lots import item_queue as board_module
 from leverjunction.lots.commands import OpenItem
+from leverjunction.lots.item_queue import RANKED_FOR_S, Board
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.urgency import Urgency
 from leverjunction.routes import RouteClass, RouteIndex
--- a/tests/unit/test_lots_standing.py
+++ b/tests/unit/test_lots_item_status.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 import pytest
-from tests.unit.test_lots_board import item
+from tests.unit.test_lots_item_queue import item
 
 from leverjunction.lots.item_run import ItemRun
+from leverjunction.lots.item_status import Reason, ServiceSight, Standings
 from leverjunction.lots.run_trace import RunEnd, RunTrace
-from leverjunction.lots.standing import Reason, ServiceSight, Standings
 from leverjunction.routes import RouteClass, RouteIndex
 from testbed.routed import SERVICE, make_route, make_table
 
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from leverjunction.lots.item_status import Reason, ServiceSight
 from leverjunction.lots.load_watch import LoadWatch
-from leverjunction.lots.standing import Reason, ServiceSight
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
--- a/tests/unit/test_lots_pulse.py
+++ b/tests/unit/test_lots_loop_watchdog.py
@@ -13,7 +13,7 @@
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.errors import Failure
 from leverjunction.lots import runner as lots_runner
-from leverjunction.lots.pulse import Pulse
+from leverjunction.lots.loop_watchdog import Pulse
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.headers import PlatformDialect
 
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -18,6 +18,7 @@
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.api import ApplyContext, GroupStatus
 from leverjunction.errors import Failure, FailureKind, Step
+from leverjunction.lots.batch_capacity import SeatRoom
 from leverjunction.lots.commands import (
     EndLot,
     ItemProgress,
@@ -35,7 +36,6 @@
     encode_command,
 )
 from leverjunction.lots.item_run import ItemRun
-from leverjunction.lots.room import SeatRoom
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.lots.state_machine import LotsStateMachine
 from leverjunction.platform.headers import PlatformDialect
--- a/tests/unit/test_lots_sight.py
+++ b/tests/unit/test_lots_runner_monitor.py
@@ -13,19 +13,19 @@
 from loguru import logger
 from prometheus_client import REGISTRY
 from tests.unit.seeded_support import wait_until
-from tests.unit.test_lots_board import item
+from tests.unit.test_lots_item_queue import item
 from tests.unit.test_lots_runner import OneStore, submit
 
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.lots import sight as sight_module
+from leverjunction.lots import runner_monitor as sight_module
 from leverjunction.lots.item_lines import INTERVAL_S, ORDINARY_LINES
 from leverjunction.lots.item_run import ItemKey, ItemRun
+from leverjunction.lots.item_status import ServiceSight
 from leverjunction.lots.run_trace import RunEnd
 from leverjunction.lots.runner import LotsRunner
-from leverjunction.lots.sight import LOOK_SHARE, TELL_AFTER_S, RunnerSight, Scene
-from leverjunction.lots.standing import ServiceSight
+from leverjunction.lots.runner_monitor import LOOK_SHARE, TELL_AFTER_S, RunnerSight, Scene
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.registry.follower import Snapshot
 from leverjunction.registry.records import FleetView, RunnerRecord
