--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -10,7 +10,7 @@
 
 from leverjunction.clock import LOADED_S
 from leverjunction.lots import client
-from leverjunction.lots.batch_capacity import TakenSlot
+from leverjunction.lots.batch_capacity import OccupiedSlot
 from leverjunction.lots.commands import EndLot, LotTaken, SubmitLot
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.roles import main
@@ -62,7 +62,7 @@
 def _leave_what_was_cut() -> None:
     """An item whose run was cut waits for an end of that run that never comes."""
 
-    def free_only(_runner: LotsRunner, _run: object, slot: TakenSlot) -> None:
+    def free_only(_runner: LotsRunner, _run: object, slot: OccupiedSlot) -> None:
         slot.free()
 
     LotsRunner._run_ended = free_only  # type: ignore[method-assign, assignment]
--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -84,7 +84,7 @@
         if run.silent:
             # A path that goes silent may concern kept connections to other back ends as well.
             self._sender.distrust(seat)
-        run.was_sent(loop.time())
+        run.mark_sent(loop.time())
         answer = await self._sender.send(
             Dispatch(
                 request,
@@ -140,7 +140,7 @@
         answer.connection.pace(READ_INTERVAL_S)
         try:
             while True:
-                run.was_heard(loop.time())
+                run.mark_heard(loop.time())
                 async with asyncio.timeout(silence_s(run.item.due_ms, run.silent)):
                     event = await answer.connection.next_event()
                 if isinstance(event, Failure | AnswerHead):
@@ -182,14 +182,14 @@
 
     def _follow(self, run: ItemRun) -> bool:
         """Have a run's stream go on from the events that the group has."""
-        if run.follows:
+        if run.progress_loaded:
             return True
         raw = self._group.query_local(encode(ReadProgress(*run.key)))
         progress = decode_reply(raw, KnownProgress)
         if isinstance(progress, Failure):
             return False
         run.stream = ItemStream(progress.count, progress.last_id)
-        run.follows = True
+        run.progress_loaded = True
         return True
 
     def _request(self, item: OpenItem) -> CallerRequest | None:
--- a/src/leverjunction/lots/batch_capacity.py
+++ b/src/leverjunction/lots/batch_capacity.py
@@ -120,7 +120,7 @@
         return self._rises.most(now_s)
 
 
-class SeatRoom:
+class RunnerCapacity:
     """What is known of one back end's load.
 
     Attributes:
@@ -207,13 +207,13 @@
         return max(0, self.slots - self.online - self.own)
 
 
-class TakenSlot:
+class OccupiedSlot:
     """One batch run's slot at a back end; it is freed once, however often that is asked."""
 
     __slots__ = ("_room",)
 
-    def __init__(self, room: SeatRoom) -> None:
-        self._room: SeatRoom | None = room
+    def __init__(self, room: RunnerCapacity) -> None:
+        self._room: RunnerCapacity | None = room
         room.started()
 
     def free(self) -> None:
@@ -223,7 +223,7 @@
             self._room = None
 
 
-class ServiceRoom:
+class ServiceCapacity:
     """All back ends of one service.
 
     Attributes:
@@ -246,7 +246,7 @@
     )
 
     def __init__(self) -> None:
-        self.seats: dict[str, SeatRoom] = {}
+        self.seats: dict[str, RunnerCapacity] = {}
         self.held = 0
         self.tellers = 0
         self._sources = (0, 0)
@@ -257,13 +257,13 @@
         self._rise_seen = 0
         self._first_s: float | None = None
 
-    def seat(self, key: str, slots: int) -> SeatRoom:
+    def seat(self, key: str, slots: int) -> RunnerCapacity:
         """Return a back end's part, new if it is not known."""
         if key not in self.seats:
-            self.seats[key] = SeatRoom(slots)
+            self.seats[key] = RunnerCapacity(slots)
         return self.seats[key]
 
-    def read(self, now_s: float) -> list[tuple[str, SeatRoom]]:
+    def read(self, now_s: float) -> list[tuple[str, RunnerCapacity]]:
         """Return the back ends whose reading is recent, with their ids."""
         return [(key, seat) for key, seat in self.seats.items() if not seat.is_stale(now_s)]
 
@@ -338,7 +338,7 @@
         online = sum(seat.online for seat in read)
         return self.allowance(now_s), self._most_online(slots, now_s), online, slots
 
-    def _read(self, now_s: float) -> list[SeatRoom]:
+    def _read(self, now_s: float) -> list[RunnerCapacity]:
         return [seat for _, seat in self.read(now_s)]
 
     def _most_online(self, slots: int, now_s: float) -> int:
--- a/src/leverjunction/lots/item_queue.py
+++ b/src/leverjunction/lots/item_queue.py
@@ -19,7 +19,7 @@
 """How long a ranking is used; what is parked or fails meanwhile waits for the next one."""
 
 
-class Board:
+class ItemQueue:
     """Used by one event loop."""
 
     __slots__ = ("_queue", "_ranked_s", "_services", "_services_of", "runs")
--- a/src/leverjunction/lots/item_run.py
+++ b/src/leverjunction/lots/item_run.py
@@ -22,7 +22,7 @@
     Attributes:
         item: What is run.
         stream: Its events so far, kept from run to run.
-        follows: Whether the stream goes on from what the group has; it is read before a run.
+        progress_loaded: Whether the stream goes on from what the group has; read before a run.
         task: What runs it, None while nothing does.
         failures: Runs that failed, those not replicated yet included.
         parking: Its run is being stopped, to go on later.
@@ -43,11 +43,11 @@
         "_routed_by",
         "failures",
         "first_output_s",
-        "follows",
         "heard_s",
         "item",
         "lost_runs",
         "parking",
+        "progress_loaded",
         "raised",
         "runner_id",
         "sent_s",
@@ -62,7 +62,7 @@
     def __init__(self, item: OpenItem) -> None:
         self.item = item
         self.stream = ItemStream()
-        self.follows = False
+        self.progress_loaded = False
         self.task: asyncio.Task[None] | None = None
         self.failures = item.failures
         self.parking = False
@@ -96,18 +96,18 @@
         """Name of the route that it was last found on, empty before."""
         return self._route.name if self._route is not None else ""
 
-    def begin_at(self, runner_id: str) -> None:
+    def assign_to(self, runner_id: str) -> None:
         """Note the back end where it is run from now on."""
         self.runner_id = runner_id
         self.parking = False
         self.sent_s = None
 
-    def was_sent(self, now_s: float) -> None:
+    def mark_sent(self, now_s: float) -> None:
         """Note that its back end is asked now."""
         self.sent_s = self.heard_s = now_s
         self.first_output_s = None
 
-    def was_heard(self, now_s: float) -> None:
+    def mark_heard(self, now_s: float) -> None:
         """Note a sign of life of its run: the answer's head, or a part of it."""
         self.heard_s = now_s
 
@@ -140,5 +140,5 @@
 
     def restart(self) -> None:
         """Go on from what the group has: what is here does not follow on that."""
-        self.follows = False
+        self.progress_loaded = False
         self.stop()
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from leverjunction.lots.batch_capacity import SeatRoom, ServiceRoom
+from leverjunction.lots.batch_capacity import RunnerCapacity, ServiceCapacity
 from leverjunction.lots.item_status import ServiceSight
 from leverjunction.lots.lost_runs import LostRuns, Report
 from leverjunction.lots.told_loads import ToldLoads
@@ -50,7 +50,7 @@
         self._balancer = balancer
         self._zone = zone
         self._read_one = read
-        self._rooms: dict[str, ServiceRoom] = {}
+        self._rooms: dict[str, ServiceCapacity] = {}
         self._reading: dict[str, asyncio.Task[None]] = {}
         self._logged_s = float("-inf")
         self.lost_runs = LostRuns()
@@ -67,7 +67,7 @@
             room.keep(runner_ids)
         self.lost_runs.keep(runner_ids)
 
-    def read(self, services: Iterable[str]) -> None:
+    def poll(self, services: Iterable[str]) -> None:
         """Ask every back end of these services for its load, a few times a second."""
         now_s = self._loop.time()
         for service in services:
@@ -79,7 +79,7 @@
                 if key not in self._reading:
                     self._reading[key] = self._loop.create_task(self._read(seat, pause_s))
 
-    def tell(self, loads: ToldLoads) -> None:
+    def apply_announced(self, loads: ToldLoads) -> None:
         """Take what gateways tell of their online requests."""
         now_s = self._loop.time()
         loads.expire(now_s)
@@ -95,7 +95,7 @@
         rooms = self._rooms.values()
         return {key: seat.online for room in rooms for key, seat in room.read(now_s)}
 
-    def room_at(self, seat: RunnerSeat) -> SeatRoom:
+    def capacity_at(self, seat: RunnerSeat) -> RunnerCapacity:
         """Return what is known of one back end."""
         return self._room(seat.record.service).seat(seat.record.start, seat.record.slots)
 
@@ -105,7 +105,7 @@
         if self._room(service).allowance(now_s) <= 0:
             return None
         free = [
-            (self.room_at(seat).free(now_s), seat)
+            (self.capacity_at(seat).free(now_s), seat)
             for seat in self._balancer.seats(service)
             if seat.ejected_until_s <= now_s
         ]
@@ -166,8 +166,8 @@
                 *room.figures(now_s),
             )
 
-    def _room(self, service: str) -> ServiceRoom:
-        return self._rooms.setdefault(service, ServiceRoom())
+    def _room(self, service: str) -> ServiceCapacity:
+        return self._rooms.setdefault(service, ServiceCapacity())
 
     def _preference(self, candidate: tuple[int, RunnerSeat]) -> tuple[bool, int, str]:
         """Rank back ends: with room in this zone, as bodies are large; then by room."""
@@ -183,7 +183,7 @@
                 # The last reading grows old, and then nothing is added there.
                 return
             now_s = self._loop.time()
-            room = self.room_at(seat)
+            room = self.capacity_at(seat)
             room.read(load.running, load.waiting, now_s)
             report = Report(now_s, load.running + load.waiting)
             self.lost_runs.note(seat.record.start, report)
--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -290,7 +290,7 @@
         self._watch.registry(self._follower.age_s())
         runner = self._runner
         if runner is not None:
-            self._watch.steps(runner.step_age_s(), runner.whereabouts)
+            self._watch.steps(runner.step_age_s(), runner.describe_thread)
 
     def _keep_places(self) -> None:
         """As leader, work towards the voters that the registry names; forget old lots."""
--- a/src/leverjunction/lots/node_watch.py
+++ b/src/leverjunction/lots/node_watch.py
@@ -37,21 +37,21 @@
     def registry(self, age_s: float) -> None:
         """Take the time since a control process answered."""
         metrics.REGISTRY_AGE_S.set(age_s)
-        word = self._registry.look(age_s, self._clock.monotonic_s())
+        word = self._registry.update(age_s, self._clock.monotonic_s())
         if word:
             logger.warning("{}", word)
 
-    def steps(self, age_s: float, whereabouts: Callable[[], str]) -> None:
+    def steps(self, age_s: float, describe_thread: Callable[[], str]) -> None:
         """Take the time since the runner's last step.
 
         Args:
             age_s: That time.
-            whereabouts: Tells what its thread is doing; asked for when a line is written.
+            describe_thread: Tells what its thread is doing; asked for when a line is written.
         """
         metrics.STEP_AGE_S.set(age_s)
-        word = self._steps.look(age_s, self._clock.monotonic_s())
+        word = self._steps.update(age_s, self._clock.monotonic_s())
         if word:
-            logger.warning("{}; {}", word, whereabouts())
+            logger.warning("{}; {}", word, describe_thread())
 
 
 def stack_of(thread: threading.Thread) -> str:
--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -198,7 +198,9 @@
             return []
         self._progress_s = now_s
         waiting = [
-            run for run in runs if run.stream.count and run.follows and not self.has_result(run)
+            run
+            for run in runs
+            if run.stream.count and run.progress_loaded and not self.has_result(run)
         ]
         # Should there be too much for one command, those come first that would lose most.
         return sorted(waiting, key=lambda run: run.stream.count, reverse=True)
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -20,7 +20,7 @@
 from leverjunction.consensus.api import ReplicatedGroup
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.lots.attempts import Attempts
-from leverjunction.lots.batch_capacity import TakenSlot
+from leverjunction.lots.batch_capacity import OccupiedSlot
 from leverjunction.lots.commands import (
     OpenItem,
     OpenItems,
@@ -28,7 +28,7 @@
     ReadOpenItems,
     ReadOpenKeys,
 )
-from leverjunction.lots.item_queue import Board
+from leverjunction.lots.item_queue import ItemQueue
 from leverjunction.lots.item_run import ItemKey, ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
@@ -112,7 +112,7 @@
         self._index: RouteIndex | None = None
         self._snapshot: Snapshot | None = None
         self._taken: Snapshot | None = None
-        self._board = Board()
+        self._queue = ItemQueue()
         self._times = RunTimes()
         self._sight = RunnerSight(clock)
         self._stepped_s = clock.monotonic_s()
@@ -157,7 +157,7 @@
         """Return the seconds since the loop last took a step."""
         return self._clock.monotonic_s() - self._stepped_s
 
-    def whereabouts(self) -> str:
+    def describe_thread(self) -> str:
         """Return where the loop's thread is, for a person."""
         return stack_of(self._thread)
 
@@ -187,7 +187,7 @@
         self._loop = asyncio.get_running_loop()
         self._wake = asyncio.Event()
         # All is read from the group: what an earlier loop had belongs to its tasks.
-        self._board = Board()
+        self._queue = ItemQueue()
         self._taken = None
         self._dirty = True
         pool = RunnerPool()
@@ -230,7 +230,7 @@
             status=self._group.status(),
             index=self._index,
             back_ends=0 if self._taken is None else len(self._taken.view.runners),
-            runs=self._board.runs,
+            runs=self._queue.runs,
             service=self._loads.sight,
             has_result=self._outbox.has_result,
             waiting=self._outbox.waiting,
@@ -242,18 +242,18 @@
         return None if opened is None else opened.keys
 
     def _has_work(self) -> bool:
-        return bool(self._board.runs)
+        return bool(self._queue.runs)
 
     def _give_way(self) -> None:
         """Make room at once for online requests that a gateway told of; fill it a little later."""
-        self._loads.tell(self._listener.loads)
+        self._loads.apply_announced(self._listener.loads)
         self._park()
         assert self._wake is not None
         self._wake.set()
 
     async def _pause(self) -> None:
         assert self._wake is not None
-        busy = bool(self._board.runs) or not self._outbox.is_empty
+        busy = bool(self._queue.runs) or not self._outbox.is_empty
         try:
             async with asyncio.timeout(STEP_S if busy else IDLE_STEP_S):
                 await self._wake.wait()
@@ -273,10 +273,10 @@
         self._read_if_due()
         self._take_registry()
         index = self._index
-        if index is None or not self._board.runs:
+        if index is None or not self._queue.runs:
             return
-        self._loads.read(self._board.services(index))
-        self._loads.tell(self._listener.loads)
+        self._loads.poll(self._queue.services(index))
+        self._loads.apply_announced(self._listener.loads)
         self._log()
         self._park()
         self._end_lost()
@@ -287,7 +287,7 @@
     def _record(self) -> None:
         """Replicate what is new, beside all else: batch gives way also in a long commit."""
         if self._recording is None or self._recording.done():
-            recording = self._outbox.record(self._board.runs.values())
+            recording = self._outbox.record(self._queue.runs.values())
             self._recording = asyncio.get_running_loop().create_task(_logged(recording))
 
     def _take_registry(self) -> None:
@@ -302,9 +302,9 @@
         self._taken = snapshot
 
     def _drop_all(self) -> None:
-        for run in self._board.running():
+        for run in self._queue.running():
             run.stop()
-        self._board.clear()
+        self._queue.clear()
         self._outbox.clear()
         self._loads.clear()
 
@@ -334,16 +334,16 @@
         if opened is None:
             return False
         keys = frozenset(opened.keys)
-        for run in self._board.keep(keys):
+        for run in self._queue.keep(keys):
             run.stop()
         self._outbox.keep(keys)
         whole = True
-        for lot_id in self._board.unknown_lots(opened.keys):
+        for lot_id in self._queue.unknown_lots(opened.keys):
             items = self._query(ReadOpenItems(lot_id), OpenItems)
             if items is None:
                 whole = False
             else:
-                self._board.add(items.items)
+                self._queue.add(items.items)
                 self._sight.taken_in(lot_id, items.items, self._group.status)
         return whole
 
@@ -353,14 +353,14 @@
 
     def _log(self) -> None:
         if self._loads.is_to_log():
-            self._loads.log(len(self._board.runs), sum(1 for _ in self._board.running()))
+            self._loads.log(len(self._queue.runs), sum(1 for _ in self._queue.running()))
 
     def _park(self) -> None:
         """Give way to online requests: those runs stop that have most time left."""
         parked = self._loads.to_park()
         if not parked:
             return
-        running = [run for run in self._board.running() if not run.parking]
+        running = [run for run in self._queue.running() if not run.parking]
         for runner_id in parked:
             here = [run for run in running if run.runner_id == runner_id and not run.parking]
             if not here:
@@ -372,21 +372,21 @@
     def _end_lost(self) -> None:
         """End the runs that their back ends do not have any more."""
         now_s = asyncio.get_running_loop().time()
-        for run in self._loads.lost_runs.find(self._board.running(), now_s):
+        for run in self._loads.lost_runs.find(self._queue.running(), now_s):
             run.lost(now_s)
 
     def _give_up_late(self) -> None:
-        if not self._board.rank(asyncio.get_running_loop().time(), self._urgency):
+        if not self._queue.rank(asyncio.get_running_loop().time(), self._urgency):
             return
-        for run in self._board.runs.values():
+        for run in self._queue.runs.values():
             if run.task is None and self._is_over(run.item) and not self._outbox.has_result(run):
                 self._outbox.dead(run, "its time is over")
 
     def _start_runs(self, index: RouteIndex) -> None:
         """Start what is most urgent, as long as there is room for it."""
-        roomy = {item for item in self._board.services(index) if self._loads.free_seat(item)}
+        roomy = {item for item in self._queue.services(index) if self._loads.free_seat(item)}
         blocked: list[ItemRun] = []
-        waiting = self._board.take() if roomy else iter(())
+        waiting = self._queue.take() if roomy else iter(())
         for run in waiting:
             route = run.route(index)
             if route is None or self._outbox.has_result(run) or self._is_held(run):
@@ -401,7 +401,7 @@
             if not roomy:
                 break
         for run in reversed(blocked):
-            self._board.put_back(run)
+            self._queue.put_back(run)
 
     def _is_held(self, run: ItemRun) -> bool:
         """Return whether an item waits until it may be run again without harm.
@@ -412,14 +412,14 @@
 
     def _start(self, run: ItemRun, seat: RunnerSeat) -> None:
         # Counted at once, so that the next item sees this one.
-        slot = TakenSlot(self._loads.room_at(seat))
-        run.begin_at(seat.record.start)
+        slot = OccupiedSlot(self._loads.capacity_at(seat))
+        run.assign_to(seat.record.start)
         self._sight.started(run)
         run.task = asyncio.get_running_loop().create_task(self._run(run, seat, slot))
         # A task that is cancelled before its first step runs none of its own code.
         run.task.add_done_callback(lambda _task: self._run_ended(run, slot))
 
-    def _run_ended(self, run: ItemRun, slot: TakenSlot) -> None:
+    def _run_ended(self, run: ItemRun, slot: OccupiedSlot) -> None:
         slot.free()
         task, run.task = run.task, None
         self._sight.ended(run, task)
@@ -435,7 +435,7 @@
         age_s = (self._clock.wall_ms() - item.accepted_ms) / 1000
         return item.give_up_s > 0 and age_s > item.give_up_s + GIVE_UP_MARGIN_S
 
-    async def _run(self, run: ItemRun, seat: RunnerSeat, slot: TakenSlot) -> None:
+    async def _run(self, run: ItemRun, seat: RunnerSeat, slot: OccupiedSlot) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         ended = False
--- a/src/leverjunction/lots/runner_monitor.py
+++ b/src/leverjunction/lots/runner_monitor.py
@@ -234,7 +234,7 @@
             recorded_s=max(self.records.taken_s, self._led_s),
             reasons=", ".join(f"{count} {reason}" for reason, count in counts.items() if count),
         )
-        word = self._stall.look(work, now_s)
+        word = self._stall.update(work, now_s)
         metrics.STALLED.set(self._stall.stalled)
         if word:
             logger.warning("{}", word) if self._stall.stalled else logger.info("{}", word)
--- a/src/leverjunction/lots/stall_watch.py
+++ b/src/leverjunction/lots/stall_watch.py
@@ -68,7 +68,7 @@
         """Whether work lies still."""
         return self._since_s is not None
 
-    def look(self, work: Work, now_s: float) -> str:
+    def update(self, work: Work, now_s: float) -> str:
         """Take the figures of this moment; return what is to be told, mostly nothing."""
         if not work.is_still(now_s):
             since_s, self._since_s = self._since_s, None
@@ -103,7 +103,7 @@
         self._limit_s = limit_s
         self._since_s: float | None = None
 
-    def look(self, age_s: float, now_s: float) -> str:
+    def update(self, age_s: float, now_s: float) -> str:
         """Take the age of this moment; return what is to be told, mostly nothing."""
         if age_s >= self._limit_s:
             known, self._since_s = self._since_s, now_s - age_s
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 from random import Random
 
-from leverjunction.lots.batch_capacity import TakenSlot
+from leverjunction.lots.batch_capacity import OccupiedSlot
 from leverjunction.lots.commands import OpenItem
-from leverjunction.lots.item_queue import Board
+from leverjunction.lots.item_queue import ItemQueue
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
@@ -49,7 +49,7 @@
         self._wake = asyncio.Event()
         self._balancer = Balancer(zone, Random(0))
         self._balancer.replace(records)
-        self._board = Board()
+        self._queue = ItemQueue()
         self._times = RunTimes()
         self.done_s: dict[str, float] = {}
         self.cuts = 0
@@ -58,7 +58,7 @@
         self._loads = LoadWatch(reader, self._balancer, zone, self._wake.set)  # type: ignore[arg-type]
         self._listener = LoadListener(
             CLUSTER_KEY,
-            lambda: bool(self._board.runs),
+            lambda: bool(self._queue.runs),
             self._give_way,
             self._loads.online,
             lambda: self._balancer.order,
@@ -73,17 +73,17 @@
 
     def submit(self, items: list[OpenItem]) -> None:
         """Take items."""
-        self._board.add(items)
+        self._queue.add(items)
         self._wake.set()
 
     @property
     def open_items(self) -> int:
         """Items that are not done."""
-        return len(self._board.runs)
+        return len(self._queue.runs)
 
     async def _pause(self) -> None:
         try:
-            async with asyncio.timeout(STEP_S if self._board.runs else IDLE_STEP_S):
+            async with asyncio.timeout(STEP_S if self._queue.runs else IDLE_STEP_S):
                 await self._wake.wait()
         except TimeoutError:
             return
@@ -91,27 +91,27 @@
         await asyncio.sleep(STEP_S / 4)
 
     def _give_way(self) -> None:
-        self._loads.tell(self._listener.loads)
+        self._loads.apply_announced(self._listener.loads)
         self._park()
         self._wake.set()
 
     def _step(self) -> None:
-        if not self._board.runs:
+        if not self._queue.runs:
             return
-        self._loads.read([SERVICE])
-        self._loads.tell(self._listener.loads)
+        self._loads.poll([SERVICE])
+        self._loads.apply_announced(self._listener.loads)
         self._park()
-        self._board.rank(self._loop.time(), self._urgency)
-        for run in self._board.take():
+        self._queue.rank(self._loop.time(), self._urgency)
+        for run in self._queue.take():
             seat = self._loads.free_seat(SERVICE)
             if seat is None:
-                self._board.put_back(run)
+                self._queue.put_back(run)
                 return
             self._start(run, seat)
 
     def _park(self) -> None:
         parked = self._loads.to_park()
-        running = [run for run in self._board.running() if not run.parking]
+        running = [run for run in self._queue.running() if not run.parking]
         for runner_id in parked:
             here = [run for run in running if run.runner_id == runner_id and not run.parking]
             if here:
@@ -121,18 +121,18 @@
                 run.stop()
 
     def _start(self, run: ItemRun, seat: RunnerSeat) -> None:
-        slot = TakenSlot(self._loads.room_at(seat))
-        run.begin_at(seat.record.runner_id)
+        slot = OccupiedSlot(self._loads.capacity_at(seat))
+        run.assign_to(seat.record.runner_id)
         self.runs += 1
         run.task = self._loop.create_task(self._run(run, slot))
         run.task.add_done_callback(lambda _task: self._ended(run, slot))
 
-    def _ended(self, run: ItemRun, slot: TakenSlot) -> None:
+    def _ended(self, run: ItemRun, slot: OccupiedSlot) -> None:
         slot.free()
         run.task = None
         self._wake.set()
 
-    async def _run(self, run: ItemRun, slot: TakenSlot) -> None:
+    async def _run(self, run: ItemRun, slot: OccupiedSlot) -> None:
         back_end = self._back_ends[run.runner_id]
         await asyncio.sleep(WAY_S)
         engine_run = back_end.come(is_batch=True)
@@ -148,8 +148,8 @@
             self._loop.call_later(WAY_S, back_end.leave, engine_run)
         self._times.ended(run.worked_s)
         self.done_s[run.item.item_id] = self._loop.time()
-        keys = frozenset(key for key in self._board.runs if key != run.key)
-        self._board.keep(keys)
+        keys = frozenset(key for key in self._queue.runs if key != run.key)
+        self._queue.keep(keys)
 
     def _urgency(self, run: ItemRun) -> Urgency:
         due_in_s = run.item.due_ms / 1000 + run.item.accepted_ms / 1000 - self._loop.time()
--- a/tests/unit/test_lots_batch_capacity.py
+++ b/tests/unit/test_lots_batch_capacity.py
@@ -12,23 +12,23 @@
     TOLD_LAG_S,
     TOLD_REACTION_S,
     WINDOW_S,
-    SeatRoom,
-    ServiceRoom,
+    RunnerCapacity,
+    ServiceCapacity,
 )
 
 NOW_S = 100.0
 SLOTS = 12
 
 
-def service(*online: int) -> ServiceRoom:
+def service(*online: int) -> ServiceCapacity:
     """Back ends that were watched for long; ``online`` is what each has now."""
-    room = ServiceRoom()
+    room = ServiceCapacity()
     tell(room, NOW_S - WINDOW_S * 2, *(0 for _ in online))
     tell(room, NOW_S, *online)
     return room
 
 
-def tell(room: ServiceRoom, now_s: float, *online: int) -> None:
+def tell(room: ServiceCapacity, now_s: float, *online: int) -> None:
     for number, count in enumerate(online):
         seat = room.seat(str(number), SLOTS)
         seat.read(count + seat.own, 0, now_s)
@@ -36,8 +36,8 @@
 
 
 def test_without_a_reading_nothing_is_added() -> None:
-    assert ServiceRoom().allowance(NOW_S) == 0
-    assert SeatRoom(SLOTS).free(NOW_S) == 0
+    assert ServiceCapacity().allowance(NOW_S) == 0
+    assert RunnerCapacity(SLOTS).free(NOW_S) == 0
 
 
 def test_an_idle_service_is_filled_but_for_a_margin() -> None:
@@ -93,7 +93,7 @@
 def test_many_small_back_ends_are_not_left_half_empty() -> None:
     """A slot of each was left free beside the reserve, and readings that wavered made that large:
     batch had 24 of 72 slots with 26 online requests, and hundreds of items waited."""
-    room = ServiceRoom()
+    room = ServiceCapacity()
     tell(room, NOW_S - WINDOW_S * 2, *[3] * 8)
     tell(room, NOW_S, *[5] * 8)
     tell(room, NOW_S + 1, *[3] * 8)
@@ -161,7 +161,7 @@
 
 def test_a_lull_is_not_filled_before_a_burst_can_have_been_seen() -> None:
     """A new leader filled the lull after its start, and the next burst waited behind it."""
-    room = ServiceRoom()
+    room = ServiceCapacity()
     tell(room, NOW_S, 0, 0)
     assert room.allowance(NOW_S) == 24 - 8
     tell(room, NOW_S + 1, 9, 9)
@@ -177,7 +177,7 @@
     assert room.allowance(NOW_S) == 11
 
 
-def hear(room: ServiceRoom, now_s: float, *online: int, held: int = 0) -> None:
+def hear(room: ServiceCapacity, now_s: float, *online: int, held: int = 0) -> None:
     """Gateways tell how many online requests each back end has."""
     for number, count in enumerate(online):
         room.seat(str(number), SLOTS).tell(count, now_s)
@@ -185,7 +185,7 @@
     room.note(now_s)
 
 
-def heard(*online: int) -> ServiceRoom:
+def heard(*online: int) -> ServiceCapacity:
     """Back ends whose online requests gateways have told of for long."""
     room = service(*online)
     for step in range(3):
@@ -239,7 +239,7 @@
 
 def test_what_one_more_gateway_tells_is_no_rise() -> None:
     """After each change of leader all that ran already looked like a burst for eight seconds."""
-    room = ServiceRoom()
+    room = ServiceCapacity()
     tell(room, NOW_S - WINDOW_S, 8, 8)
     tell(room, NOW_S, 8, 8)
     hear(room, NOW_S + 0.01, 8, 8)
@@ -256,7 +256,7 @@
 
 
 def test_a_new_leader_keeps_less_where_gateways_tell_it() -> None:
-    room = ServiceRoom()
+    room = ServiceCapacity()
     tell(room, NOW_S, 0, 0)
     hear(room, NOW_S, 0, 0)
     kept = round(24 * MOST_RISE_SHARE_PER_S * TOLD_REACTION_S)
--- a/tests/unit/test_lots_item_queue.py
+++ b/tests/unit/test_lots_item_queue.py
@@ -6,7 +6,7 @@
 
 from leverjunction.lots import item_queue as board_module
 from leverjunction.lots.commands import OpenItem
-from leverjunction.lots.item_queue import RANKED_FOR_S, Board
+from leverjunction.lots.item_queue import RANKED_FOR_S, ItemQueue
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.urgency import Urgency
 from leverjunction.routes import RouteClass, RouteIndex
@@ -33,24 +33,24 @@
     return Urgency(False, run.item.due_ms)
 
 
-def names(board: Board) -> list[str]:
+def names(board: ItemQueue) -> list[str]:
     return [run.item.item_id for run in board.take()]
 
 
 @pytest.fixture
-def board() -> Board:
-    made = Board()
+def board() -> ItemQueue:
+    made = ItemQueue()
     made.add([item("c", 3), item("a", 1), item("b", 2)])
     return made
 
 
-def test_what_waits_is_taken_by_urgency_and_once(board: Board) -> None:
+def test_what_waits_is_taken_by_urgency_and_once(board: ItemQueue) -> None:
     assert board.rank(0.0, by_due)
     assert names(board) == ["a", "b", "c"]
     assert names(board) == []
 
 
-def test_a_ranking_is_used_for_a_while(board: Board) -> None:
+def test_a_ranking_is_used_for_a_while(board: ItemQueue) -> None:
     """Ranking hundreds of items at each step took the leader's time: it lost its lease."""
     board.rank(0.0, by_due)
     assert not board.rank(RANKED_FOR_S / 2, by_due)
@@ -59,14 +59,14 @@
     assert names(board) == ["a", "b", "c"]
 
 
-def test_new_items_are_ranked_at_once(board: Board) -> None:
+def test_new_items_are_ranked_at_once(board: ItemQueue) -> None:
     board.rank(0.0, by_due)
     board.add([item("new", 0), item("a", 9)])
     assert board.rank(0.01, by_due)
     assert names(board) == ["new", "a", "b", "c"]
 
 
-def test_what_ended_meanwhile_is_not_taken(board: Board) -> None:
+def test_what_ended_meanwhile_is_not_taken(board: ItemQueue) -> None:
     board.rank(0.0, by_due)
     gone = board.keep(frozenset({("lot", "a"), ("lot", "c")}))
     assert [run.item.item_id for run in gone] == ["b"]
@@ -74,7 +74,7 @@
     assert names(board) == ["a", "c"]
 
 
-def test_what_could_not_run_comes_first_the_next_time(board: Board) -> None:
+def test_what_could_not_run_comes_first_the_next_time(board: ItemQueue) -> None:
     board.rank(0.0, by_due)
     waiting = board.take()
     first = next(waiting)
@@ -82,13 +82,13 @@
     assert names(board) == ["a", "b", "c"]
 
 
-def test_only_lots_with_unknown_items_are_read(board: Board) -> None:
+def test_only_lots_with_unknown_items_are_read(board: ItemQueue) -> None:
     keys = [("lot", "a"), ("lot", "b"), ("other", "x")]
     assert board.unknown_lots(keys) == {"other"}
 
 
 def test_services_are_those_of_the_open_items(
-    board: Board, monkeypatch: pytest.MonkeyPatch
+    board: ItemQueue, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     index = RouteIndex(make_table(make_route(RouteClass.BATCH)))
     assert board.services(index) == {SERVICE}
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -38,7 +38,7 @@
         now_s = asyncio.get_running_loop().time()
         for number, seat in enumerate(balancer.seats(SERVICE)):
             if number in read:
-                watch.room_at(seat).read(running, 0, now_s)
+                watch.capacity_at(seat).read(running, 0, now_s)
             if number in ejected:
                 seat.ejected_until_s = now_s + 5.0
         return watch.sight(SERVICE), watch.free_seat(SERVICE) is not None
@@ -78,7 +78,7 @@
         watch, balancer = watch_over(1200)
         now_s = asyncio.get_running_loop().time()
         for seat in balancer.seats(SERVICE):
-            watch.room_at(seat).read(0, 0, now_s)
+            watch.capacity_at(seat).read(0, 0, now_s)
             seat.ejected_until_s = now_s + 5.0 * (seat.record.runner_id.endswith("1"))
         begun_s = time.thread_time()
         assert watch.sight(SERVICE).room > 0
--- a/tests/unit/test_lots_lost_runs.py
+++ b/tests/unit/test_lots_lost_runs.py
@@ -37,9 +37,9 @@
         give_up_s=0.0,
     )
     run = ItemRun(item)
-    run.begin_at(runner_id)
-    run.was_sent(sent_s)
-    run.was_heard(heard_s)
+    run.assign_to(runner_id)
+    run.mark_sent(sent_s)
+    run.mark_heard(heard_s)
     return run
 
 
@@ -139,7 +139,7 @@
         # It is heard of again, and goes silent again: a back end that does not report a run that it
         # has preempted would have it ended at every pause.
         run.silent = 0
-        run.was_sent(NOW_S - 9)
+        run.mark_sent(NOW_S - 9)
     assert make_reports(0).find([run], NOW_S) == []
 
 
@@ -152,7 +152,7 @@
 
 def test_a_run_that_is_not_sent_yet_is_not_lost() -> None:
     run = make_run("a", NOW_S - 9, NOW_S - 9)
-    run.begin_at("i-1")
+    run.assign_to("i-1")
     assert make_reports(0).find([run], NOW_S) == []
 
 
--- a/tests/unit/test_lots_node_watch.py
+++ b/tests/unit/test_lots_node_watch.py
@@ -56,17 +56,17 @@
     assert hangs.wait(5.0)
     watch = NodeWatch(SystemClock())
     wait_until(lambda: runner.step_age_s() > 0.3)
-    (word,) = hear(lambda: watch.steps(runner.step_age_s() + 3.0, runner.whereabouts))
+    (word,) = hear(lambda: watch.steps(runner.step_age_s() + 3.0, runner.describe_thread))
     assert word.startswith("the runner of lots has not taken a step for 3.")
     assert "thread lots-runner is in" in word
     assert "_step (runner.py:" in word
-    assert hear(lambda: watch.steps(runner.step_age_s() + 3.5, runner.whereabouts)) == []
+    assert hear(lambda: watch.steps(runner.step_age_s() + 3.5, runner.describe_thread)) == []
     let_go.set()
     wait_until(lambda: runner.step_age_s() < 0.3)
-    (over,) = hear(lambda: watch.steps(runner.step_age_s(), runner.whereabouts))
+    (over,) = hear(lambda: watch.steps(runner.step_age_s(), runner.describe_thread))
     assert over.startswith("the runner of lots has not taken a step: over, after ")
     runner.stop()
-    assert runner.whereabouts() == "thread lots-runner has ended"
+    assert runner.describe_thread() == "thread lots-runner has ended"
 
 
 def test_a_store_without_control_processes_tells_so(
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -90,7 +90,7 @@
         assert isinstance(opened, OpenItems)
         runs = [ItemRun(item) for item in opened.items]
         for run in runs:
-            run.follows = True
+            run.progress_loaded = True
         return runs
 
     def progress(self) -> KnownProgress | Failure:
@@ -239,7 +239,7 @@
         assert group.results() == {f"item-{n}": ("done", WHOLE_TEXT) for n in (0, 2)}
         # It is run again, from what the group has.
         assert not outbox.has_result(runs[1])
-        assert not runs[1].follows
+        assert not runs[1].progress_loaded
 
     asyncio.run(play())
 
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -18,7 +18,7 @@
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.api import ApplyContext, GroupStatus
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.lots.batch_capacity import SeatRoom
+from leverjunction.lots.batch_capacity import RunnerCapacity
 from leverjunction.lots.commands import (
     EndLot,
     ItemProgress,
@@ -273,7 +273,7 @@
     submit(store, 1)
     wait_until(lambda: len(back_end.seen) == 1)
     time.sleep(0.1)
-    (run,) = runner._board.runs.values()
+    (run,) = runner._queue.runs.values()
     assert (run.task is not None, run.sent_s) == (True, None)
 
 
@@ -343,9 +343,9 @@
     """Room at one back end."""
 
     def __init__(self) -> None:
-        self.room = SeatRoom(8)
+        self.room = RunnerCapacity(8)
 
-    def room_at(self, _seat: RunnerSeat) -> SeatRoom:
+    def capacity_at(self, _seat: RunnerSeat) -> RunnerCapacity:
         return self.room
 
 
--- a/tests/unit/test_lots_stall_watch.py
+++ b/tests/unit/test_lots_stall_watch.py
@@ -42,33 +42,33 @@
 )
 def test_what_is_a_stall(figures: Work, stalled: bool) -> None:
     watch = StallWatch()
-    assert bool(watch.look(figures, NOW_S)) is stalled
+    assert bool(watch.update(figures, NOW_S)) is stalled
     assert watch.stalled is stalled
 
 
 def test_a_stall_is_told_once_in_a_while_and_when_it_is_over() -> None:
     watch = StallWatch()
-    first = watch.look(work(), NOW_S)
+    first = watch.update(work(), NOW_S)
     assert first == (
         "stalled: 3 open items, room for 4, no run started for 50.0 s, nothing recorded for"
         " 50.0 s; 3 task_left"
     )
-    assert watch.look(work(), NOW_S + 1) == ""
-    assert watch.look(work(), NOW_S + AGAIN_S).startswith("stalled:")
-    over = watch.look(work(lively=1), NOW_S + AGAIN_S + 1)
+    assert watch.update(work(), NOW_S + 1) == ""
+    assert watch.update(work(), NOW_S + AGAIN_S).startswith("stalled:")
+    over = watch.update(work(lively=1), NOW_S + AGAIN_S + 1)
     assert over == "stalled no longer, after 81.0 s: 3 open"
     assert not watch.stalled
-    assert watch.look(work(lively=1), NOW_S + AGAIN_S + 2) == ""
-    assert watch.look(work(), NOW_S + AGAIN_S + 3).startswith("stalled:")
+    assert watch.update(work(lively=1), NOW_S + AGAIN_S + 2) == ""
+    assert watch.update(work(), NOW_S + AGAIN_S + 3).startswith("stalled:")
 
 
 def test_an_age_is_told_when_it_passes_its_limit_and_when_it_is_over() -> None:
     watch = AgeWatch("nothing is heard of X", 5.0)
-    assert watch.look(4.9, 100.0) == ""
-    assert watch.look(5.5, 101.0) == "nothing is heard of X for 5.5 s"
-    assert watch.look(6.5, 102.0) == ""
-    assert watch.look(0.5, 103.0) == "nothing is heard of X: over, after 7.0 s"
-    assert watch.look(0.5, 104.0) == ""
+    assert watch.update(4.9, 100.0) == ""
+    assert watch.update(5.5, 101.0) == "nothing is heard of X for 5.5 s"
+    assert watch.update(6.5, 102.0) == ""
+    assert watch.update(0.5, 103.0) == "nothing is heard of X: over, after 7.0 s"
+    assert watch.update(0.5, 104.0) == ""
 
 
 def test_lines_of_one_kind_do_not_take_the_place_of_another() -> None:
