--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -79,7 +79,7 @@
                 if key not in self._reading:
                     self._reading[key] = self._loop.create_task(self._read(seat, pause_s))
 
-    def apply_announced(self, loads: ToldLoads) -> None:
+    def apply_gateway_loads(self, loads: ToldLoads) -> None:
         """Take what gateways tell of their online requests."""
         now_s = self._loop.time()
         loads.expire(now_s)
@@ -99,7 +99,7 @@
         """Return what is known of one back end."""
         return self._room(seat.record.service).seat(seat.record.start, seat.record.slots)
 
-    def free_seat(self, service: str) -> RunnerSeat | None:
+    def pick_runner(self, service: str) -> RunnerSeat | None:
         """Return the back end with most room for batch; None while online requests need it all."""
         now_s = self._loop.time()
         if self._room(service).allowance(now_s) <= 0:
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -246,7 +246,7 @@
 
     def _give_way(self) -> None:
         """Make room at once for online requests that a gateway told of; fill it a little later."""
-        self._loads.apply_announced(self._listener.loads)
+        self._loads.apply_gateway_loads(self._listener.loads)
         self._park()
         assert self._wake is not None
         self._wake.set()
@@ -276,7 +276,7 @@
         if index is None or not self._queue.runs:
             return
         self._loads.poll(self._queue.services(index))
-        self._loads.apply_announced(self._listener.loads)
+        self._loads.apply_gateway_loads(self._listener.loads)
         self._log()
         self._park()
         self._end_lost()
@@ -384,7 +384,7 @@
 
     def _start_runs(self, index: RouteIndex) -> None:
         """Start what is most urgent, as long as there is room for it."""
-        roomy = {item for item in self._queue.services(index) if self._loads.free_seat(item)}
+        roomy = {item for item in self._queue.services(index) if self._loads.pick_runner(item)}
         blocked: list[ItemRun] = []
         waiting = self._queue.take() if roomy else iter(())
         for run in waiting:
@@ -392,7 +392,7 @@
             if route is None or self._outbox.has_result(run) or self._is_held(run):
                 continue
             service = draw_service(route, self._random)
-            seat = self._loads.free_seat(service) if service in roomy else None
+            seat = self._loads.pick_runner(service) if service in roomy else None
             if seat is not None:
                 self._start(run, seat)
                 continue
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -91,7 +91,7 @@
         await asyncio.sleep(STEP_S / 4)
 
     def _give_way(self) -> None:
-        self._loads.apply_announced(self._listener.loads)
+        self._loads.apply_gateway_loads(self._listener.loads)
         self._park()
         self._wake.set()
 
@@ -99,11 +99,11 @@
         if not self._queue.runs:
             return
         self._loads.poll([SERVICE])
-        self._loads.apply_announced(self._listener.loads)
+        self._loads.apply_gateway_loads(self._listener.loads)
         self._park()
         self._queue.rank(self._loop.time(), self._urgency)
         for run in self._queue.take():
-            seat = self._loads.free_seat(SERVICE)
+            seat = self._loads.pick_runner(SERVICE)
             if seat is None:
                 self._queue.put_back(run)
                 return
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -41,7 +41,7 @@
                 watch.capacity_at(seat).read(running, 0, now_s)
             if number in ejected:
                 seat.ejected_until_s = now_s + 5.0
-        return watch.sight(SERVICE), watch.free_seat(SERVICE) is not None
+        return watch.sight(SERVICE), watch.pick_runner(SERVICE) is not None
 
     return asyncio.run(play())
 
