--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -38,7 +38,7 @@
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
 
-NOT_HEARD = Failure(
+INCOMPLETE = Failure(
     kind=FailureKind.DEADLINE_EXCEEDED,
     reason="the run was ended here, or nothing more came of it",
     step=Step.RELAYING,
@@ -67,13 +67,13 @@
 
     async def attempt(self, run: ItemRun, seat: RunnerSeat) -> bool:
         """Run an item once; return whether it has ended."""
-        request = self._request(run.item)
-        if request is None or not self._follow(run):
-            run.trace.over(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
+        request = self._build_request(run.item)
+        if request is None or not self._load_progress(run):
+            run.trace.set_end(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
             return False
         run.suspect_key = self._quarantine.find(request)
         if not self._quarantine.may_begin(run.suspect_key, seat.record.start):
-            run.trace.over(RunEnd.QUARANTINED)
+            run.trace.set_end(RunEnd.QUARANTINED)
             return False
         with self._quarantine.trial(run.suspect_key, seat.record.start):
             return await self._run(run, seat, request)
@@ -81,11 +81,11 @@
     async def _run(self, run: ItemRun, seat: RunnerSeat, request: CallerRequest) -> bool:
         """Send an item's request and take its answer; return whether the item has ended."""
         loop = asyncio.get_running_loop()
-        if run.silent:
+        if run.silent_runs:
             # A path that goes silent may concern kept connections to other back ends as well.
             self._sender.distrust(seat)
         run.mark_sent(loop.time())
-        answer = await self._sender.send(
+        response = await self._sender.send(
             Dispatch(
                 request,
                 self._dialect.read_request(request.headers),
@@ -93,32 +93,32 @@
                 repeatable=True,
                 last_event_id=run.stream.last_id,
                 until_s=loop.time() + RUN_TIMEOUT_S,
-                patience=Patience.until(loop.time() + silence_s(run.item.due_ms, run.silent)),
+                patience=Patience.until(loop.time() + silence_s(run.item.due_ms, run.silent_runs)),
             )
         )
-        if isinstance(answer, Failure):
-            run.trace.not_answered(answer)
-            self._note_end(run, seat, request, answer)
-            if answer.kind is FailureKind.DEADLINE_EXCEEDED:
-                _silent(run, loop.time())
+        if isinstance(response, Failure):
+            run.trace.record_failure(response)
+            self._note_failure(run, seat, request, response)
+            if response.kind is FailureKind.DEADLINE_EXCEEDED:
+                _note_silence(run, loop.time())
             return False
-        run.trace.heard(loop.time())
-        broken: Failure | None = NOT_HEARD
+        run.trace.mark_heard(loop.time())
+        failure: Failure | None = INCOMPLETE
         try:
-            broken = await self._read_answer(run, answer)
+            failure = await self._read_response(run, response)
         finally:
             # Also when it is parked: a later run continues after the last whole event.
-            if broken is not None:
+            if failure is not None:
                 run.stream.broken()
-        if broken is not None:
-            self._note_end(run, seat, request, broken)
+        if failure is not None:
+            self._note_failure(run, seat, request, failure)
             return False
         run.suspect_key = run.suspect_key or self._quarantine.find(request)
         if run.suspect_key:
             self._quarantine.answered(run.suspect_key)
-        return self._judge(run, answer.head.status)
+        return self._handle_status(run, response.head.status)
 
-    def _note_end(
+    def _note_failure(
         self, run: ItemRun, seat: RunnerSeat, request: CallerRequest, failure: Failure
     ) -> None:
         """Note what a failed run says of its back end, and of the item itself."""
@@ -133,37 +133,39 @@
                 ran_on=ran_on(run.first_output_s, asyncio.get_running_loop().time()),
             )
 
-    async def _read_answer(self, run: ItemRun, answer: OpenedAnswer) -> Failure | None:
+    async def _read_response(self, run: ItemRun, response: OpenedAnswer) -> Failure | None:
         """Take an answer's events; return why it did not come whole, None if it did."""
-        whole = False
+        complete = False
         loop = asyncio.get_running_loop()
-        answer.connection.pace(READ_INTERVAL_S)
+        response.connection.pace(READ_INTERVAL_S)
         try:
             while True:
                 run.mark_heard(loop.time())
-                async with asyncio.timeout(silence_s(run.item.due_ms, run.silent)):
-                    event = await answer.connection.next_event()
+                async with asyncio.timeout(silence_s(run.item.due_ms, run.silent_runs)):
+                    event = await response.connection.next_event()
                 if isinstance(event, Failure | AnswerHead):
-                    run.trace.over(RunEnd.CUT, event.reason if isinstance(event, Failure) else "")
-                    return event if isinstance(event, Failure) else NOT_HEARD
+                    run.trace.set_end(
+                        RunEnd.CUT, event.reason if isinstance(event, Failure) else ""
+                    )
+                    return event if isinstance(event, Failure) else INCOMPLETE
                 if isinstance(event, AnswerEnd):
-                    whole = True
+                    complete = True
                     return None
-                run.silent = 0
+                run.silent_runs = 0
                 run.note_output(loop.time())
-                if answer.head.status == OK:
+                if response.head.status == OK:
                     run.stream.feed(event)
-                run.trace.heard(loop.time())
+                run.trace.mark_heard(loop.time())
         except TimeoutError:
-            run.trace.over(RunEnd.SILENT, f"nothing came for {loop.time() - run.heard_s:.1f} s")
-            _silent(run, loop.time())
-            return NOT_HEARD
+            run.trace.set_end(RunEnd.SILENT, f"nothing came for {loop.time() - run.heard_s:.1f} s")
+            _note_silence(run, loop.time())
+            return INCOMPLETE
         finally:
-            self._sender.finish(answer, whole)
+            self._sender.finish(response, complete)
 
-    def _judge(self, run: ItemRun, status: int) -> bool:
+    def _handle_status(self, run: ItemRun, status: int) -> bool:
         """Note what a whole answer means for the item; return whether it has ended."""
-        run.trace.judged(status, run.stream.is_between_events)
+        run.trace.record_status(status, run.stream.is_between_events)
         if status == OK and run.stream.is_between_events:
             self._outbox.done(run)
             return True
@@ -180,7 +182,7 @@
         self._outbox.dead(run, f"{run.failures} runs failed")
         return True
 
-    def _follow(self, run: ItemRun) -> bool:
+    def _load_progress(self, run: ItemRun) -> bool:
         """Have a run's stream go on from the events that the group has."""
         if run.progress_loaded:
             return True
@@ -192,7 +194,7 @@
         run.progress_loaded = True
         return True
 
-    def _request(self, item: OpenItem) -> CallerRequest | None:
+    def _build_request(self, item: OpenItem) -> CallerRequest | None:
         raw = self._group.query_local(encode(ReadBody(item.lot_id, item.item_id)))
         body = decode_reply(raw, ItemBody)
         if isinstance(body, Failure):
@@ -203,10 +205,10 @@
         return CallerRequest(b"POST", item.path.encode(), headers, body.body, now_s)
 
 
-def _silent(run: ItemRun, now_s: float) -> None:
+def _note_silence(run: ItemRun, now_s: float) -> None:
     """Note that a run ends because nothing came."""
     lot_id, item_id = run.key
-    run.silent += 1
+    run.silent_runs += 1
     logger.info(
         "item {} of lot {} is run again: back end {} was silent for {:.1f} s",
         item_id,
--- a/src/leverjunction/lots/item_lines.py
+++ b/src/leverjunction/lots/item_lines.py
@@ -12,10 +12,10 @@
 LINES_PER_INTERVAL = 20
 """Of one kind (event and reason): all items of a usual job."""
 
-ORDINARY_LINES = 4
+FREQUENT_LINES = 4
 """Of a kind that a backlog and its giving way bring: a few items tell what hundreds wait for."""
 
-ORDINARY = frozenset(
+FREQUENT_KINDS = frozenset(
     {"waits no_room", "waits waits_turn", "moves_on runs", "run_started", "run_ended parked"}
 )
 
@@ -76,21 +76,21 @@
         left_out: Lines of each kind that were left out.
     """
 
-    __slots__ = ("_begun_s", "_taken", "left_out")
+    __slots__ = ("_started_s", "_taken", "left_out")
 
     def __init__(self) -> None:
-        self._begun_s = float("-inf")
+        self._started_s = float("-inf")
         self._taken: dict[str, int] = {}
         self.left_out: dict[str, int] = {}
 
-    def has(self, kind: str) -> bool:
+    def allows(self, kind: str) -> bool:
         """Return whether one more line of a kind may be written."""
-        most = ORDINARY_LINES if kind in ORDINARY else LINES_PER_INTERVAL
-        return self._taken.get(kind, 0) < most
+        limit = FREQUENT_LINES if kind in FREQUENT_KINDS else LINES_PER_INTERVAL
+        return self._taken.get(kind, 0) < limit
 
     def take(self, kind: str) -> bool:
         """Return whether one more line of a kind may be written; if not it is counted."""
-        if not self.has(kind):
+        if not self.allows(kind):
             self.left_out[kind] = self.left_out.get(kind, 0) + 1
             return False
         self._taken[kind] = self._taken.get(kind, 0) + 1
@@ -98,15 +98,15 @@
 
     def renew(self, now_s: float) -> dict[str, int]:
         """Begin an interval if the last one is over; return what was left out in that."""
-        if now_s - self._begun_s < INTERVAL_S:
+        if now_s - self._started_s < INTERVAL_S:
             return {}
-        self._begun_s = now_s
+        self._started_s = now_s
         left_out, self.left_out = self.left_out, {}
         self._taken.clear()
         return left_out
 
 
-class ItemLines:
+class ItemLineWriter:
     """Writes them; used by one thread."""
 
     __slots__ = ("_budget", "_clock", "_writer")
@@ -116,11 +116,11 @@
         self._budget = LineBudget()
         self._writer: LineWriter | None = None
 
-    def has(self, event: str, reason: str) -> bool:
+    def allows(self, event: str, reason: str) -> bool:
         """Return whether one more such line may be written."""
-        return self._budget.has(_kind(event, reason))
+        return self._budget.allows(_kind(event, reason))
 
-    def put(self, line: ItemLine) -> None:
+    def write(self, line: ItemLine) -> None:
         """Write a line if its kind's bound allows; count it if not."""
         if self._budget.take(_kind(line.event, line.reason)):
             self._write(line)
--- a/src/leverjunction/lots/item_queue.py
+++ b/src/leverjunction/lots/item_queue.py
@@ -15,26 +15,26 @@
 from leverjunction.lots.urgency import Urgency
 from leverjunction.routes.matching import RouteIndex
 
-RANKED_FOR_S = 0.25
+RANKING_MAX_AGE_S = 0.25
 """How long a ranking is used; what is parked or fails meanwhile waits for the next one."""
 
 
 class ItemQueue:
     """Used by one event loop."""
 
-    __slots__ = ("_queue", "_ranked_s", "_services", "_services_of", "runs")
+    __slots__ = ("_queue", "_ranked_s", "_services", "_services_index", "runs")
 
     def __init__(self) -> None:
         self.runs: dict[ItemKey, ItemRun] = {}
         self._queue: deque[ItemRun] = deque()
         self._ranked_s = float("-inf")
         self._services: frozenset[str] = frozenset()
-        self._services_of: RouteIndex | None = None
+        self._services_index: RouteIndex | None = None
 
     def clear(self) -> None:
         """Forget all items."""
         self.runs.clear()
-        self._forget_order()
+        self._discard_ranking()
 
     def unknown_lots(self, keys: Iterable[ItemKey]) -> set[str]:
         """Return the lots with open items that are not here."""
@@ -45,7 +45,7 @@
         for item in items:
             run = ItemRun(item)
             self.runs.setdefault(run.key, run)
-        self._forget_order()
+        self._discard_ranking()
 
     def keep(self, keys: frozenset[ItemKey]) -> list[ItemRun]:
         """Drop items that are not open any more; return them."""
@@ -53,7 +53,7 @@
         for run in gone:
             del self.runs[run.key]
         if gone:
-            self._forget_order()
+            self._discard_ranking()
         return gone
 
     def running(self) -> Iterator[ItemRun]:
@@ -62,17 +62,17 @@
 
     def services(self, index: RouteIndex) -> frozenset[str]:
         """Return the services of the open items."""
-        if self._services_of is not index:
+        if self._services_index is not index:
             routes = {run.route(index) for run in self.runs.values()}
             self._services = frozenset(
                 part.service for route in routes if route is not None for part in route.services
             )
-            self._services_of = index
+            self._services_index = index
         return self._services
 
     def rank(self, now_s: float, urgency: Callable[[ItemRun], Urgency]) -> bool:
         """Rank what waits if the last ranking is old; return whether it was."""
-        if now_s - self._ranked_s < RANKED_FOR_S:
+        if now_s - self._ranked_s < RANKING_MAX_AGE_S:
             return False
         waiting = [run for run in self.runs.values() if run.task is None]
         self._queue = deque(sorted(waiting, key=urgency))
@@ -90,7 +90,7 @@
         """Have an item that could not be run come first in the next call."""
         self._queue.appendleft(run)
 
-    def _forget_order(self) -> None:
+    def _discard_ranking(self) -> None:
         self._queue.clear()
         self._ranked_s = float("-inf")
-        self._services_of = None
+        self._services_index = None
--- a/src/leverjunction/lots/item_run.py
+++ b/src/leverjunction/lots/item_run.py
@@ -41,6 +41,7 @@
     __slots__ = (
         "_route",
         "_routed_by",
+        "consecutive_errors",
         "failures",
         "first_output_s",
         "heard_s",
@@ -48,10 +49,9 @@
         "lost_runs",
         "parking",
         "progress_loaded",
-        "raised",
         "runner_id",
         "sent_s",
-        "silent",
+        "silent_runs",
         "stream",
         "suspect_key",
         "task",
@@ -71,9 +71,9 @@
         self.trace = RunTrace()
         self.sent_s: float | None = None
         self.heard_s = 0.0
-        self.silent = 0
+        self.silent_runs = 0
         self.lost_runs = 0
-        self.raised = 0
+        self.consecutive_errors = 0
         self.suspect_key = ""
         self.first_output_s: float | None = None
         self._route: Route | None = None
@@ -121,13 +121,13 @@
         if self.task is not None:
             self.task.cancel()
 
-    def lost(self, now_s: float) -> None:
+    def end_lost(self, now_s: float) -> None:
         """End the run whose back end does not have it any more; the next one continues."""
         if self.parking:
             return
-        self.silent += 1
+        self.silent_runs += 1
         self.lost_runs += 1
-        self.trace.over(RunEnd.SILENT, "its back end has it no more")
+        self.trace.set_end(RunEnd.SILENT, "its back end has it no more")
         logger.info(
             "item {} of lot {} is run again: back end {} has it no more, silent for {:.1f} s",
             self.item.item_id,
--- a/src/leverjunction/lots/item_status.py
+++ b/src/leverjunction/lots/item_status.py
@@ -49,7 +49,7 @@
     """Its run is over and was not given back. Never expected."""
 
 
-class ServiceSight:
+class ServiceAvailability:
     """What decides on a service's room.
 
     Attributes:
@@ -61,27 +61,27 @@
         free_ejected: Most free slots at one that is ejected.
     """
 
-    __slots__ = ("allowance", "free", "free_ejected", "known", "read", "sound")
+    __slots__ = ("allowance", "free", "free_ejected", "known", "not_ejected", "with_recent_load")
 
     def __init__(
         self,
         *,
         known: int = 0,
-        sound: int = 0,
-        read: int = 0,
+        not_ejected: int = 0,
+        with_recent_load: int = 0,
         allowance: int = 0,
         free: int = 0,
         free_ejected: int = 0,
     ) -> None:
         self.known = known
-        self.sound = sound
-        self.read = read
+        self.not_ejected = not_ejected
+        self.with_recent_load = with_recent_load
         self.allowance = allowance
         self.free = free
         self.free_ejected = free_ejected
 
     @property
-    def room(self) -> int:
+    def startable_runs(self) -> int:
         """Runs that may be started at once at the best back end."""
         return max(0, min(self.allowance, self.free))
 
@@ -89,11 +89,11 @@
         """Return what an item of this service waits for."""
         if not self.known:
             return Reason.NO_BACK_END
-        if not self.sound:
+        if not self.not_ejected:
             return Reason.EJECTED
-        if not self.read:
+        if not self.with_recent_load:
             return Reason.NOT_READ
-        if self.room:
+        if self.startable_runs:
             return Reason.WAITS_TURN
         only_ejected = self.allowance > 0 and self.free_ejected > 0
         return Reason.EJECTED if only_ejected else Reason.NO_ROOM
@@ -101,11 +101,11 @@
     def __str__(self) -> str:
         return (
             f"{self.allowance} may be added, {self.free} free at the best back end;"
-            f" {self.known} back ends, {self.sound} not ejected, {self.read} read"
+            f" {self.known} back ends, {self.not_ejected} not ejected, {self.with_recent_load} read"
         )
 
 
-class Standing:
+class ItemStatus:
     """Why an item does not run.
 
     Attributes:
@@ -115,24 +115,26 @@
         name: Its name.
     """
 
-    __slots__ = ("key", "name", "reason", "service")
+    __slots__ = ("key", "reason", "service", "service_name")
 
-    def __init__(self, reason: Reason, service: ServiceSight | None = None, name: str = "") -> None:
+    def __init__(
+        self, reason: Reason, service: ServiceAvailability | None = None, service_name: str = ""
+    ) -> None:
         self.reason = reason
         self.key = reason.value
         self.service = service
-        self.name = name
-
-
-_NO_TABLE = Standing(Reason.NO_TABLE)
-_NO_ROUTE = Standing(Reason.NO_ROUTE)
-_UNREADABLE = Standing(Reason.UNREADABLE)
-_RUNS = Standing(Reason.RUNS)
-_PAUSES = Standing(Reason.PAUSES)
-_STOPS = Standing(Reason.STOPS)
-_RESULT_WAITS = Standing(Reason.RESULT_WAITS)
-_TASK_LEFT = Standing(Reason.TASK_LEFT)
-_NEAREST = (
+        self.service_name = service_name
+
+
+_NO_TABLE = ItemStatus(Reason.NO_TABLE)
+_NO_ROUTE = ItemStatus(Reason.NO_ROUTE)
+_UNREADABLE = ItemStatus(Reason.UNREADABLE)
+_RUNS = ItemStatus(Reason.RUNS)
+_PAUSES = ItemStatus(Reason.PAUSES)
+_STOPS = ItemStatus(Reason.STOPS)
+_RESULT_WAITS = ItemStatus(Reason.RESULT_WAITS)
+_TASK_LEFT = ItemStatus(Reason.TASK_LEFT)
+_CLOSEST_TO_START = (
     Reason.WAITS_TURN,
     Reason.NO_ROOM,
     Reason.EJECTED,
@@ -142,7 +144,7 @@
 """Of several services, the one where least is missing tells why."""
 
 
-class Standings:
+class StatusClassifier:
     """The standings of one moment: each route is looked at once.
 
     Args:
@@ -156,22 +158,22 @@
     def __init__(
         self,
         index: RouteIndex | None,
-        service: Callable[[str], ServiceSight],
+        service: Callable[[str], ServiceAvailability],
         has_result: Callable[[ItemRun], bool],
     ) -> None:
         self._index = index
         self._service = service
         self._has_result = has_result
-        self._by_route: dict[int, Standing] = {}
+        self._by_route: dict[int, ItemStatus] = {}
 
-    def of(self, run: ItemRun) -> Standing:
+    def classify(self, run: ItemRun) -> ItemStatus:
         """Return why an item does not run now."""
         if self._has_result(run):
             return _RESULT_WAITS
         if run.trace.end is not None and run.trace.end in UNREADABLE:
             return _UNREADABLE
         if run.task is not None:
-            return _of_task(run)
+            return _task_status(run)
         if self._index is None:
             return _NO_TABLE
         route = run.route(self._index)
@@ -180,24 +182,28 @@
         known = self._by_route.get(id(route))
         if known is None:
             names = [part.service for part in route.services]
-            known = self._by_route[id(route)] = self._waits_for(names)
+            known = self._by_route[id(route)] = self._service_status(names)
         return known
 
-    def room(self, runs: Iterable[ItemRun]) -> int:
+    def startable_runs(self, runs: Iterable[ItemRun]) -> int:
         """Return how many of these could be started at once at the best back end, task or not."""
         if self._index is None:
             return 0
         routes = {id(route): route for run in runs if (route := run.route(self._index))}
         names = {part.service for route in routes.values() for part in route.services}
-        return max((self._service(name).room for name in names), default=0)
+        return max(
+            (self._service(service_name).startable_runs for service_name in names), default=0
+        )
 
-    def _waits_for(self, names: list[str]) -> Standing:
-        each = [(name, self._service(name)) for name in names]
-        name, service = min(each, key=lambda pair: _NEAREST.index(pair[1].reason()))
-        return Standing(service.reason(), service, name)
+    def _service_status(self, names: list[str]) -> ItemStatus:
+        each = [(service_name, self._service(service_name)) for service_name in names]
+        service_name, service = min(
+            each, key=lambda pair: _CLOSEST_TO_START.index(pair[1].reason())
+        )
+        return ItemStatus(service.reason(), service, service_name)
 
 
-def _of_task(run: ItemRun) -> Standing:
+def _task_status(run: ItemRun) -> ItemStatus:
     if run.task is not None and run.task.done():
         return _TASK_LEFT
     if run.trace.end is not None:
--- a/src/leverjunction/lots/lost_runs.py
+++ b/src/leverjunction/lots/lost_runs.py
@@ -18,7 +18,7 @@
 nothing. With the settling time, a lost answer is found after some 1.6 s.
 """
 
-LEAST_REPORTS = 3
+MIN_SAMPLES = 3
 """Reports in that time at least; where back ends are read less often, it becomes longer."""
 
 SETTLE_S = 0.5
@@ -31,18 +31,18 @@
 it, it would have to go elsewhere soon, and those that are let finish are heard of.
 """
 
-TRUSTED_ENDS = 3
+MAX_TRUSTED_ENDS = 3
 """Runs of an item that reports may end: more, and the reports are wrong rather than the answers
 lost. From then on only silence ends its runs.
 """
 
-FIRST_SILENCE_MOST_S = 10.0
+MAX_FIRST_SILENCE_S = 10.0
 """Seconds of silence that are borne of an item's first run at most, and where none is due."""
 
-MOST_SILENCE_S = 60.0
+MAX_SILENCE_S = 60.0
 """Seconds of silence that end any run: as long as a whole run may take (``attempts``)."""
 
-LEAST_SILENCE_S = 2.0
+MIN_SILENCE_S = 2.0
 """Seconds of silence that are borne however soon an item is due; a queue takes that long."""
 
 SILENCE_DUE_SHARE = 0.2
@@ -59,13 +59,13 @@
         silent: Runs in a row that were ended in silence: each doubles the time, so that an item
             whose runs begin slowly everywhere is run to its end after all.
     """
-    first_s = FIRST_SILENCE_MOST_S
+    first_s = MAX_FIRST_SILENCE_S
     if due_ms > 0:
-        first_s = min(first_s, max(LEAST_SILENCE_S, due_ms / 1000 * SILENCE_DUE_SHARE))
-    return min(MOST_SILENCE_S, first_s * 2.0 ** min(silent, 8))
+        first_s = min(first_s, max(MIN_SILENCE_S, due_ms / 1000 * SILENCE_DUE_SHARE))
+    return min(MAX_SILENCE_S, first_s * 2.0 ** min(silent, 8))
 
 
-class Report(NamedTuple):
+class LoadSample(NamedTuple):
     """What was known of a back end at one moment.
 
     Attributes:
@@ -80,27 +80,29 @@
 class LostRuns:
     """Compares what back ends report with the runs that this process has there."""
 
-    __slots__ = ("_present", "_reports")
+    __slots__ = ("_present", "_samples")
 
     def __init__(self) -> None:
-        self._reports: dict[str, deque[Report]] = {}
+        self._samples: dict[str, deque[LoadSample]] = {}
         self._present: frozenset[str] = frozenset()
 
     def clear(self) -> None:
         """Forget all reports."""
-        self._reports.clear()
+        self._samples.clear()
 
     def keep(self, runner_ids: frozenset[str]) -> None:
         """Take the back ends that are there; forget the others."""
         self._present = runner_ids
-        self._reports = {key: held for key, held in self._reports.items() if key in runner_ids}
+        self._samples = {
+            key: samples for key, samples in self._samples.items() if key in runner_ids
+        }
 
-    def note(self, runner_id: str, report: Report) -> None:
+    def add_sample(self, runner_id: str, sample: LoadSample) -> None:
         """Take a back end's report."""
-        held = self._reports.setdefault(runner_id, deque())
-        held.append(report)
-        while len(held) > LEAST_REPORTS and held[1].at_s <= report.at_s - CONFIRM_S:
-            held.popleft()
+        samples = self._samples.setdefault(runner_id, deque())
+        samples.append(sample)
+        while len(samples) > MIN_SAMPLES and samples[1].at_s <= sample.at_s - CONFIRM_S:
+            samples.popleft()
 
     def find(self, running: Iterable[ItemRun], now_s: float) -> list[ItemRun]:
         """Return the runs that are lost; each is to be ended."""
@@ -111,25 +113,25 @@
         lost: list[ItemRun] = []
         for runner_id, runs in by_runner.items():
             if runner_id in self._present:
-                lost += self._missing(runs, self._reports.get(runner_id, deque()))
+                lost += self._missing(runs, self._samples.get(runner_id, deque()))
             else:
                 lost += [run for run in runs if run.heard_s <= now_s - GONE_SILENCE_S]
         return lost
 
-    def _missing(self, runs: list[ItemRun], held: deque[Report]) -> list[ItemRun]:
+    def _missing(self, runs: list[ItemRun], samples: deque[LoadSample]) -> list[ItemRun]:
         """Return as many runs as all reports lack, those that have been silent longest."""
-        if len(held) < LEAST_REPORTS or held[-1].at_s - held[0].at_s < CONFIRM_S:
+        if len(samples) < MIN_SAMPLES or samples[-1].at_s - samples[0].at_s < CONFIRM_S:
             return []
-        settled_s = held[0].at_s - SETTLE_S
+        settled_s = samples[0].at_s - SETTLE_S
         settled = [run for run in runs if run.sent_s is not None and run.sent_s <= settled_s]
         silent = [run for run in settled if run.heard_s <= settled_s]
         # What was heard of since the last report but for its way was there at all of them; what
         # was heard of last in between has perhaps just ended.
-        living = sum(1 for run in settled if run.heard_s > held[-1].at_s - SETTLE_S)
+        living = sum(1 for run in settled if run.heard_s > samples[-1].at_s - SETTLE_S)
         # What gateways tell of is not counted: a request of theirs that hangs, or the word of one
         # that was killed, would end runs that live.
-        missing = living + len(silent) - max(report.requests for report in held)
+        missing = living + len(silent) - max(sample.requests for sample in samples)
         if missing <= 0:
             return []
         silent.sort(key=lambda run: run.heard_s)
-        return [run for run in silent if run.lost_runs < TRUSTED_ENDS][:missing]
+        return [run for run in silent if run.lost_runs < MAX_TRUSTED_ENDS][:missing]
--- a/src/leverjunction/lots/run_trace.py
+++ b/src/leverjunction/lots/run_trace.py
@@ -61,16 +61,16 @@
     """
 
     __slots__ = (
+        "detail",
         "end",
         "heard_s",
+        "logged_s",
+        "logged_status",
         "parts",
         "runs",
-        "since_s",
-        "standing",
         "started_s",
-        "told",
-        "told_s",
-        "why",
+        "status",
+        "status_since_s",
     )
 
     def __init__(self) -> None:
@@ -79,11 +79,11 @@
         self.heard_s = 0.0
         self.parts = 0
         self.end: RunEnd | None = None
-        self.why = ""
-        self.standing = ""
-        self.since_s = 0.0
-        self.told = ""
-        self.told_s = 0.0
+        self.detail = ""
+        self.status = ""
+        self.status_since_s = 0.0
+        self.logged_status = ""
+        self.logged_s = 0.0
 
     def start(self, now_s: float) -> None:
         """Note that a run was started."""
@@ -91,36 +91,39 @@
         self.started_s = now_s
         self.parts = 0
         self.end = None
-        self.why = ""
+        self.detail = ""
 
-    def heard(self, now_s: float) -> None:
+    def mark_heard(self, now_s: float) -> None:
         """Note a piece of the answer."""
         self.heard_s = now_s
         self.parts += 1
 
-    def over(self, end: RunEnd, why: str = "") -> None:
+    def set_end(self, end: RunEnd, detail: str = "") -> None:
         """Note how the run ended; the first word stands."""
         if self.end is None:
             self.end = end
-            self.why = why
+            self.detail = detail
 
-    def not_answered(self, failure: Failure) -> None:
+    def record_failure(self, failure: Failure) -> None:
         """Note a send without the head of an answer."""
-        self.over(_NO_HEAD.get(failure.kind, RunEnd.NOT_ANSWERED), failure.reason)
+        self.set_end(_NO_HEAD.get(failure.kind, RunEnd.NOT_ANSWERED), failure.reason)
 
-    def judged(self, status: int, between_events: bool) -> None:
+    def record_status(self, status: int, between_events: bool) -> None:
         """Note an answer that came whole."""
         if status == OK:
-            self.over(RunEnd.DONE if between_events else RunEnd.CUT, "" if between_events else HALF)
+            self.set_end(
+                RunEnd.DONE if between_events else RunEnd.CUT,
+                "" if between_events else CUT_IN_EVENT,
+            )
         elif status == UNPROCESSABLE:
-            self.over(RunEnd.IMPOSSIBLE)
+            self.set_end(RunEnd.IMPOSSIBLE)
         else:
             end = RunEnd.FAILED if status == SERVER_ERROR else RunEnd.REFUSED
-            self.over(end, f"status {status}")
+            self.set_end(end, f"status {status}")
 
 
 _NO_HEAD = {
     FailureKind.OVERLOADED: RunEnd.REFUSED,
     FailureKind.DEADLINE_EXCEEDED: RunEnd.SILENT,
 }
-HALF = "the answer ended in an event"
+CUT_IN_EVENT = "the answer ended in an event"
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -32,10 +32,10 @@
 from leverjunction.lots.item_run import ItemKey, ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
-from leverjunction.lots.loop_watchdog import Pulse
+from leverjunction.lots.loop_watchdog import LoopWatchdog
 from leverjunction.lots.node_watch import stack_of
 from leverjunction.lots.outbox import Outbox
-from leverjunction.lots.runner_monitor import RunnerSight, Scene
+from leverjunction.lots.runner_monitor import RunnerMonitor, RunnerSnapshot
 from leverjunction.lots.urgency import RunTimes, Urgency
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
@@ -55,19 +55,19 @@
 IDLE_STEP_S = 0.5
 STOP_TIMEOUT_S = 2.0
 RETRY_PAUSE_S = 0.3
-RAISED_PAUSE_MOST_S = 5.0
+MAX_ERROR_PAUSE_S = 5.0
 """Longest pause after runs that an error here ended; it doubles from the usual one."""
 
-HANGS_S = 60.0
+HANG_TIMEOUT_S = 60.0
 """A loop without a step for so long is a fault of the process, which ends to start anew: longer
 than a disk stalls under a replica that still takes part in its group.
 """
 
-RENEW_PAUSE_S = 0.5
-READ_AGAIN_S = 2.0
+RESTART_PAUSE_S = 0.5
+READ_INTERVAL_S = 2.0
 """What is open is read again after so long, whether a change was told or not."""
 
-READ_SHARE = 0.02
+MAX_READ_SHARE = 0.02
 """Of this loop's time: with very many open items they are read again less often."""
 
 GIVE_UP_MARGIN_S = 3.0
@@ -111,15 +111,15 @@
         self._random = random
         self._index: RouteIndex | None = None
         self._snapshot: Snapshot | None = None
-        self._taken: Snapshot | None = None
+        self._applied_snapshot: Snapshot | None = None
         self._queue = ItemQueue()
         self._times = RunTimes()
-        self._sight = RunnerSight(clock)
-        self._stepped_s = clock.monotonic_s()
+        self._monitor = RunnerMonitor(clock)
+        self._last_step_s = clock.monotonic_s()
         self._dirty = True
-        self._read_again_s = 0.0
-        self._reads_fail = False
-        self._pulse = Pulse()
+        self._next_read_s = 0.0
+        self._read_failing = False
+        self._watchdog = LoopWatchdog()
         self._stopped = False
         self._loop: asyncio.AbstractEventLoop | None = None
         self._wake: asyncio.Event | None = None
@@ -155,7 +155,7 @@
 
     def step_age_s(self) -> float:
         """Return the seconds since the loop last took a step."""
-        return self._clock.monotonic_s() - self._stepped_s
+        return self._clock.monotonic_s() - self._last_step_s
 
     def describe_thread(self) -> str:
         """Return where the loop's thread is, for a person."""
@@ -163,8 +163,8 @@
 
     def fault(self) -> Failure | None:
         """Return why no items are run any more, None while they are; to be asked regularly."""
-        silent_s = self._pulse.look(self._clock.monotonic_s())
-        if self._stopped or self._thread.ident is None or silent_s < HANGS_S:
+        silent_s = self._watchdog.check(self._clock.monotonic_s())
+        if self._stopped or self._thread.ident is None or silent_s < HANG_TIMEOUT_S:
             return None
         return Failure(
             kind=FailureKind.INTERNAL,
@@ -181,19 +181,19 @@
             except Exception:
                 # The replica may lead on: without a loop nothing of what it has would be run.
                 logger.exception("the loop that runs the items of lots has ended; another begins")
-                time.sleep(RENEW_PAUSE_S)
+                time.sleep(RESTART_PAUSE_S)
 
     async def _main(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._wake = asyncio.Event()
         # All is read from the group: what an earlier loop had belongs to its tasks.
         self._queue = ItemQueue()
-        self._taken = None
+        self._applied_snapshot = None
         self._dirty = True
         pool = RunnerPool()
         self._balancer = Balancer(self._zone, self._random)
         sender = Sender(pool, self._balancer, self._dialect)
-        self._outbox = Outbox(self._group, self._sight.records)
+        self._outbox = Outbox(self._group, self._monitor.records)
         self._quarantine = Quarantine(self._report)
         self._attempts = Attempts(
             self._group, sender, self._dialect, self._outbox, self._quarantine
@@ -203,7 +203,7 @@
         self._listener = LoadListener(
             CLUSTER_KEY,
             self._has_work,
-            self._give_way,
+            self._yield_to_online,
             self._loads.online,
             lambda: self._balancer.order,
         )
@@ -215,25 +215,27 @@
                     self._step()
                 except Exception:
                     logger.exception("a step of the runner of lots failed")
-                self._pulse.beat()
-                self._stepped_s = self._clock.monotonic_s()
-                self._sight.look(self._scene)
+                self._watchdog.record_step()
+                self._last_step_s = self._clock.monotonic_s()
+                self._monitor.update(self._monitor_snapshot)
                 await self._pause()
         finally:
             self._listener.close()
             self._drop_all()
             pool.close()
 
-    def _scene(self) -> Scene:
+    def _monitor_snapshot(self) -> RunnerSnapshot:
         """Return what there is to see; it changes nothing."""
-        return Scene(
+        return RunnerSnapshot(
             status=self._group.status(),
             index=self._index,
-            back_ends=0 if self._taken is None else len(self._taken.view.runners),
+            back_ends=0
+            if self._applied_snapshot is None
+            else len(self._applied_snapshot.view.runners),
             runs=self._queue.runs,
-            service=self._loads.sight,
+            service=self._loads.availability,
             has_result=self._outbox.has_result,
-            waiting=self._outbox.waiting,
+            pending_results=self._outbox.waiting,
             open_keys=self._open_keys,
         )
 
@@ -244,7 +246,7 @@
     def _has_work(self) -> bool:
         return bool(self._queue.runs)
 
-    def _give_way(self) -> None:
+    def _yield_to_online(self) -> None:
         """Make room at once for online requests that a gateway told of; fill it a little later."""
         self._loads.apply_gateway_loads(self._listener.loads)
         self._park()
@@ -271,7 +273,7 @@
         # First what is ready to be recorded: it must not wait for the rest to succeed.
         self._record()
         self._read_if_due()
-        self._take_registry()
+        self._apply_registry()
         index = self._index
         if index is None or not self._queue.runs:
             return
@@ -279,8 +281,8 @@
         self._loads.apply_gateway_loads(self._listener.loads)
         self._log()
         self._park()
-        self._end_lost()
-        self._give_up_late()
+        self._end_lost_runs()
+        self._give_up_overdue()
         if not self._is_in_doubt():
             self._start_runs(index)
 
@@ -288,18 +290,18 @@
         """Replicate what is new, beside all else: batch gives way also in a long commit."""
         if self._recording is None or self._recording.done():
             recording = self._outbox.record(self._queue.runs.values())
-            self._recording = asyncio.get_running_loop().create_task(_logged(recording))
+            self._recording = asyncio.get_running_loop().create_task(_log_errors(recording))
 
-    def _take_registry(self) -> None:
+    def _apply_registry(self) -> None:
         snapshot = self._snapshot
-        if snapshot is None or snapshot is self._taken:
+        if snapshot is None or snapshot is self._applied_snapshot:
             return
         self._balancer.replace(snapshot.view.runners)
         self._quarantine.replace(snapshot.view.runners, snapshot.suspects)
         self._loads.keep(frozenset(record.start for record in snapshot.view.runners))
         if self._index is None or self._index.table.version < snapshot.table.version:
             self._index = RouteIndex(snapshot.table)
-        self._taken = snapshot
+        self._applied_snapshot = snapshot
 
     def _drop_all(self) -> None:
         for run in self._queue.running():
@@ -311,22 +313,24 @@
     def _read_if_due(self) -> None:
         """Read what is open after a change, after a read that failed, and now and then."""
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        if not self._dirty and begun_s < self._read_again_s:
+        started_s = loop.time()
+        if not self._dirty and started_s < self._next_read_s:
             return
         self._dirty = False
-        whole = False
+        complete = False
         try:
-            whole = self._read_open()
+            complete = self._read_open()
         finally:
             ended_s = loop.time()
-            self._read_again_s = ended_s + max(READ_AGAIN_S, (ended_s - begun_s) / READ_SHARE)
-            if not whole:
+            self._next_read_s = ended_s + max(
+                READ_INTERVAL_S, (ended_s - started_s) / MAX_READ_SHARE
+            )
+            if not complete:
                 # Nothing else tells of the change that this read was to take in.
                 self._dirty = True
-        if whole is self._reads_fail:
-            self._reads_fail = not whole
-            logger.warning("the open items are {}", "read again" if whole else "not read yet")
+        if complete is self._read_failing:
+            self._read_failing = not complete
+            logger.warning("the open items are {}", "read again" if complete else "not read yet")
 
     def _read_open(self) -> bool:
         """Take new items in, stop those that are not open any more; return whether all was read."""
@@ -337,15 +341,15 @@
         for run in self._queue.keep(keys):
             run.stop()
         self._outbox.keep(keys)
-        whole = True
+        complete = True
         for lot_id in self._queue.unknown_lots(opened.keys):
             items = self._query(ReadOpenItems(lot_id), OpenItems)
             if items is None:
-                whole = False
+                complete = False
             else:
                 self._queue.add(items.items)
-                self._sight.taken_in(lot_id, items.items, self._group.status)
-        return whole
+                self._monitor.lot_accepted(lot_id, items.items, self._group.status)
+        return complete
 
     def _query(self, query: msgspec.Struct, reply_type: type[T]) -> T | None:
         reply = decode_reply(self._group.query_local(encode(query)), reply_type)
@@ -362,67 +366,69 @@
             return
         running = [run for run in self._queue.running() if not run.parking]
         for runner_id in parked:
-            here = [run for run in running if run.runner_id == runner_id and not run.parking]
-            if not here:
+            candidates = [run for run in running if run.runner_id == runner_id and not run.parking]
+            if not candidates:
                 continue
-            run = max(here, key=self._urgency)
+            run = max(candidates, key=self._urgency)
             run.parking = True
             run.stop()
 
-    def _end_lost(self) -> None:
+    def _end_lost_runs(self) -> None:
         """End the runs that their back ends do not have any more."""
         now_s = asyncio.get_running_loop().time()
         for run in self._loads.lost_runs.find(self._queue.running(), now_s):
-            run.lost(now_s)
+            run.end_lost(now_s)
 
-    def _give_up_late(self) -> None:
+    def _give_up_overdue(self) -> None:
         if not self._queue.rank(asyncio.get_running_loop().time(), self._urgency):
             return
         for run in self._queue.runs.values():
-            if run.task is None and self._is_over(run.item) and not self._outbox.has_result(run):
+            if run.task is None and self._is_overdue(run.item) and not self._outbox.has_result(run):
                 self._outbox.dead(run, "its time is over")
 
     def _start_runs(self, index: RouteIndex) -> None:
         """Start what is most urgent, as long as there is room for it."""
-        roomy = {item for item in self._queue.services(index) if self._loads.pick_runner(item)}
+        with_capacity = {
+            item for item in self._queue.services(index) if self._loads.pick_runner(item)
+        }
         blocked: list[ItemRun] = []
-        waiting = self._queue.take() if roomy else iter(())
+        waiting = self._queue.take() if with_capacity else iter(())
         for run in waiting:
             route = run.route(index)
-            if route is None or self._outbox.has_result(run) or self._is_held(run):
+            if route is None or self._outbox.has_result(run) or self._is_quarantined(run):
                 continue
             service = draw_service(route, self._random)
-            seat = self._loads.pick_runner(service) if service in roomy else None
-            if seat is not None:
-                self._start(run, seat)
+            runner = self._loads.pick_runner(service) if service in with_capacity else None
+            if runner is not None:
+                self._start(run, runner)
                 continue
-            roomy.discard(service)
+            with_capacity.discard(service)
             blocked.append(run)
-            if not roomy:
+            if not with_capacity:
                 break
         for run in reversed(blocked):
             self._queue.put_back(run)
 
-    def _is_held(self, run: ItemRun) -> bool:
+    def _is_quarantined(self, run: ItemRun) -> bool:
         """Return whether an item waits until it may be run again without harm.
 
         It is not given up earlier than others: its time decides, and a verdict may end before.
         """
         return self._quarantine.standing(run.suspect_key) is Standing.REFUSED
 
-    def _start(self, run: ItemRun, seat: RunnerSeat) -> None:
+    def _start(self, run: ItemRun, runner: RunnerSeat) -> None:
         # Counted at once, so that the next item sees this one.
-        slot = OccupiedSlot(self._loads.capacity_at(seat))
-        run.assign_to(seat.record.start)
-        self._sight.started(run)
-        run.task = asyncio.get_running_loop().create_task(self._run(run, seat, slot))
+        slot = OccupiedSlot(self._loads.capacity_at(runner))
+        run.assign_to(runner.record.start)
+        self._monitor.run_started(run)
+        run.task = asyncio.get_running_loop().create_task(self._run(run, runner, slot))
         # A task that is cancelled before its first step runs none of its own code.
         run.task.add_done_callback(lambda _task: self._run_ended(run, slot))
 
     def _run_ended(self, run: ItemRun, slot: OccupiedSlot) -> None:
         slot.free()
         task, run.task = run.task, None
-        self._sight.ended(run, task)
+        self._monitor.run_ended(run, task)
         if self._wake is not None:
             self._wake.set()
 
@@ -431,36 +437,36 @@
         due_in_s = (item.accepted_ms + item.due_ms - self._clock.wall_ms()) / 1000
         return self._times.urgency(due_in_s, run.worked_s)
 
-    def _is_over(self, item: OpenItem) -> bool:
+    def _is_overdue(self, item: OpenItem) -> bool:
         age_s = (self._clock.wall_ms() - item.accepted_ms) / 1000
         return item.give_up_s > 0 and age_s > item.give_up_s + GIVE_UP_MARGIN_S
 
-    async def _run(self, run: ItemRun, seat: RunnerSeat, slot: OccupiedSlot) -> None:
+    async def _run(self, run: ItemRun, runner: RunnerSeat, slot: OccupiedSlot) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         ended = False
         try:
-            ended = await self._attempts.attempt(run, seat)
-            run.raised = 0
+            ended = await self._attempts.attempt(run, runner)
+            run.consecutive_errors = 0
         except Exception:
             # An item that cannot be sent would be tried at each ranking, each time on a new
             # connection: 11 times in 3 s.
             slot.free()
             run.sent_s = None
-            run.raised += 1
-            await asyncio.sleep(min(RAISED_PAUSE_MOST_S, RETRY_PAUSE_S * 2.0**run.raised))
+            run.consecutive_errors += 1
+            await asyncio.sleep(min(MAX_ERROR_PAUSE_S, RETRY_PAUSE_S * 2.0**run.consecutive_errors))
             raise
         finally:
             slot.free()
             run.sent_s = None
             run.worked_s += loop.time() - started_s
         if ended:
-            self._times.ended(run.worked_s)
+            self._times.record(run.worked_s)
         else:
             await asyncio.sleep(RETRY_PAUSE_S)
 
 
-async def _logged(work: Coroutine[None, None, None]) -> None:
+async def _log_errors(work: Coroutine[None, None, None]) -> None:
     try:
         await work
     except Exception:
--- a/src/leverjunction/lots/runner_monitor.py
+++ b/src/leverjunction/lots/runner_monitor.py
@@ -16,37 +16,37 @@
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.lots import metrics
 from leverjunction.lots.commands import OpenItem
-from leverjunction.lots.item_lines import ItemLine, ItemLines, ms
+from leverjunction.lots.item_lines import ItemLine, ItemLineWriter, ms
 from leverjunction.lots.item_run import ItemKey, ItemRun
-from leverjunction.lots.item_status import Reason, ServiceSight, Standing, Standings
+from leverjunction.lots.item_status import ItemStatus, Reason, ServiceAvailability, StatusClassifier
 from leverjunction.lots.record_trace import RecordTrace
 from leverjunction.lots.run_trace import RunEnd, RunTrace
-from leverjunction.lots.stall_watch import LIVELY_S, StallWatch, Work
-from leverjunction.lots.suppressed_errors import harmless
+from leverjunction.lots.stall_watch import ACTIVE_S, StallWatch, WorkState
+from leverjunction.lots.suppressed_errors import suppress_errors
 from leverjunction.routes.matching import RouteIndex
 
-LOOK_INTERVAL_S = 1.0
+UPDATE_INTERVAL_S = 1.0
 """Seconds. With 750 open items a look takes milliseconds, and a person reads no faster."""
 
-LOOK_SHARE = 1 / 200
+MAX_CPU_SHARE = 1 / 200
 """Of the time that looks may take: with a hundred thousand open items they are less frequent."""
 
-TELL_AFTER_S = 5.0
+LOG_AFTER_S = 5.0
 """Seconds without an event after which an item has a line: half of the silence that a run is borne
-for (``lost_runs.FIRST_SILENCE_MOST_S``).
+for (``lost_runs.MAX_FIRST_SILENCE_S``).
 """
 
 COMPARE_INTERVAL_S = 5.0
 """Seconds between two comparisons with what the group has open: they read all keys."""
 
-ITEMS_NAMED = 32
+MAX_ITEMS_NAMED = 32
 """Items of a lot that its line names."""
 
-PLAIN = frozenset({RunEnd.DONE})
+UNLOGGED_ENDS = frozenset({RunEnd.DONE})
 """Runs that are only counted."""
 
 
-class Scene:
+class RunnerSnapshot:
     """What there is to see at one moment.
 
     Attributes:
@@ -65,10 +65,10 @@
         "has_result",
         "index",
         "open_keys",
+        "pending_results",
         "runs",
         "service",
         "status",
-        "waiting",
     )
 
     def __init__(
@@ -78,9 +78,9 @@
         index: RouteIndex | None,
         back_ends: int,
         runs: dict[ItemKey, ItemRun],
-        service: Callable[[str], ServiceSight],
+        service: Callable[[str], ServiceAvailability],
         has_result: Callable[[ItemRun], bool],
-        waiting: int,
+        pending_results: int,
         open_keys: Callable[[], Collection[ItemKey] | None],
     ) -> None:
         self.status = status
@@ -89,7 +89,7 @@
         self.runs = runs
         self.service = service
         self.has_result = has_result
-        self.waiting = waiting
+        self.pending_results = pending_results
         self.open_keys = open_keys
 
     @property
@@ -98,7 +98,7 @@
         return 0 if self.index is None else self.index.table.version
 
 
-class RunnerSight:
+class RunnerMonitor:
     """Used by the runner's event loop.
 
     Args:
@@ -110,66 +110,66 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._lines = ItemLines(clock)
+        self._lines = ItemLineWriter(clock)
         self.records = RecordTrace(clock.monotonic_s, self._lines)
         self._stall = StallWatch()
-        self._next_s = float("-inf")
+        self._next_update_s = float("-inf")
         self._compared_s = float("-inf")
-        self._led_s: float | None = None
-        self._started_s = float("-inf")
-        self._table = -1
+        self._leader_since_s: float | None = None
+        self._last_start_s = float("-inf")
+        self._logged_table = -1
         self._readable = True
-        self._told: dict[ItemKey, ItemRun] = {}
-        self._missing: frozenset[ItemKey] = frozenset()
-        self._lost = 0
+        self._logged: dict[ItemKey, ItemRun] = {}
+        self._unknown_keys: frozenset[ItemKey] = frozenset()
+        self._unknown_count = 0
 
-    @harmless
-    def taken_in(
+    @suppress_errors
+    def lot_accepted(
         self, lot_id: str, items: Iterable[OpenItem], read_status: Callable[[], GroupStatus]
     ) -> None:
         """Note the open items of a lot that the runner did not know."""
         status = read_status()
-        names = [item.item_id for item in items]
-        self._lines.put(
+        item_ids = [item.item_id for item in items]
+        self._lines.write(
             ItemLine(
                 event="lot_taken_in",
                 lot=lot_id,
-                items=tuple(names[:ITEMS_NAMED]),
-                count=len(names),
+                items=tuple(item_ids[:MAX_ITEMS_NAMED]),
+                count=len(item_ids),
                 term=status.term,
                 index=status.applied_index,
             )
         )
 
-    @harmless
-    def started(self, run: ItemRun) -> None:
+    @suppress_errors
+    def run_started(self, run: ItemRun) -> None:
         """Note a run that was started; the first one of an item has no line."""
-        now_s = self._started_s = self._clock.monotonic_s()
+        now_s = self._last_start_s = self._clock.monotonic_s()
         run.trace.start(now_s)
         metrics.STARTS.inc()
         if run.trace.runs > 1:
-            self._lines.put(_line("run_started", run, runs=run.trace.runs))
+            self._lines.write(_make_line("run_started", run, runs=run.trace.runs))
 
-    @harmless
-    def ended(self, run: ItemRun, task: asyncio.Task[None] | None) -> None:
+    @suppress_errors
+    def run_ended(self, run: ItemRun, task: asyncio.Task[None] | None) -> None:
         """Note the end of a run and of its task."""
         trace = run.trace
         error = task.exception() if task is not None and not task.cancelled() else None
         if error is not None:
-            trace.over(RunEnd.RAISED, repr(error))
+            trace.set_end(RunEnd.RAISED, repr(error))
             logger.opt(exception=error).error("a run of item {} of lot {} raised", *run.key[::-1])
-        trace.over(RunEnd.PARKED if run.parking else RunEnd.STOPPED)
+        trace.set_end(RunEnd.PARKED if run.parking else RunEnd.STOPPED)
         assert trace.end is not None
         metrics.RUNS.labels(trace.end.value).inc()
-        if trace.end in PLAIN:
+        if trace.end in UNLOGGED_ENDS:
             return
         took_s = self._clock.monotonic_s() - trace.started_s
-        self._lines.put(
-            _line(
+        self._lines.write(
+            _make_line(
                 "run_ended",
                 run,
                 reason=trace.end.value,
-                detail=trace.why,
+                detail=trace.detail,
                 since_ms=ms(took_s),
                 runs=trace.runs,
                 parts=trace.parts,
@@ -177,100 +177,106 @@
             )
         )
 
-    @harmless
-    def look(self, make_scene: Callable[[], Scene]) -> None:
+    @suppress_errors
+    def update(self, take_snapshot: Callable[[], RunnerSnapshot]) -> None:
         """Set the figures and write the lines that are due, at most once in an interval."""
         now_s = self._clock.monotonic_s()
-        if now_s < self._next_s:
+        if now_s < self._next_update_s:
             return
-        self._next_s = now_s + LOOK_INTERVAL_S
-        begun_s = time.thread_time()
-        self._look(make_scene(), now_s)
-        took_s = time.thread_time() - begun_s
-        self._next_s = now_s + max(LOOK_INTERVAL_S, took_s / LOOK_SHARE)
+        self._next_update_s = now_s + UPDATE_INTERVAL_S
+        started_s = time.thread_time()
+        self._update(take_snapshot(), now_s)
+        took_s = time.thread_time() - started_s
+        self._next_update_s = now_s + max(UPDATE_INTERVAL_S, took_s / MAX_CPU_SHARE)
         metrics.LOOK_S.inc(took_s)
 
-    def _look(self, scene: Scene, now_s: float) -> None:
+    def _update(self, snapshot: RunnerSnapshot, now_s: float) -> None:
         self._lines.renew(now_s)
-        if scene.status.role != "leader":
-            self._note_lead_lost(scene.status)
+        if snapshot.status.role != "leader":
+            self._log_leadership_lost(snapshot.status)
             return
-        self._compare(scene, now_s)
-        self._note_lead(scene, now_s)
-        standings = Standings(scene.index, scene.service, scene.has_result)
+        self._find_unknown_items(snapshot, now_s)
+        self._log_leadership_gained(snapshot, now_s)
+        classifier = StatusClassifier(snapshot.index, snapshot.service, snapshot.has_result)
         counts: dict[str, int] = {}
-        untold: dict[str, list[tuple[ItemRun, Standing]]] = {}
-        lively = 0
+        unlogged: dict[str, list[tuple[ItemRun, ItemStatus]]] = {}
+        active_runs = 0
         heard_s = now_s
         oldest_ms = wall_ms = self._clock.wall_ms()
-        for run in scene.runs.values():
-            standing = standings.of(run)
+        for run in snapshot.runs.values():
+            status = classifier.classify(run)
             trace = run.trace
-            key = _note(trace, standing.key, now_s)
+            key = _update_trace(trace, status.key, now_s)
             counts[key] = counts.get(key, 0) + 1
-            if trace.told != key and _is_to_tell(trace, now_s):
-                untold.setdefault(key, []).append((run, standing))
+            if trace.logged_status != key and _is_due(trace, now_s):
+                unlogged.setdefault(key, []).append((run, status))
             if trace.heard_s < heard_s:
                 heard_s = trace.heard_s
             if run.item.accepted_ms < oldest_ms:
                 oldest_ms = run.item.accepted_ms
-            if key in MOVING and now_s - max(trace.heard_s, trace.started_s) < LIVELY_S:
-                lively += 1
-        self._tell(untold, scene, now_s)
-        self._note_moved(scene, now_s)
-        counts[Reason.NOT_TAKEN_IN.value] = self._lost
-        _set_open(counts, (wall_ms - oldest_ms) / 1000, now_s - heard_s)
-        self._set_moves(scene.waiting, now_s)
-        room = standings.room(scene.runs.values()) if scene.runs and not lively else 0
-        self._watch(counts, lively, room, now_s)
-
-    def _watch(self, counts: dict[str, int], lively: int, room: int, now_s: float) -> None:
-        assert self._led_s is not None
-        work = Work(
+            if key in RUNNING_STATUSES and now_s - max(trace.heard_s, trace.started_s) < ACTIVE_S:
+                active_runs += 1
+        self._log_waiting(unlogged, snapshot, now_s)
+        self._log_resumed(snapshot, now_s)
+        counts[Reason.NOT_TAKEN_IN.value] = self._unknown_count
+        _set_open_gauges(counts, (wall_ms - oldest_ms) / 1000, now_s - heard_s)
+        self._set_record_gauges(snapshot.pending_results, now_s)
+        startable_runs = (
+            classifier.startable_runs(snapshot.runs.values())
+            if snapshot.runs and not active_runs
+            else 0
+        )
+        self._check_stall(counts, active_runs, startable_runs, now_s)
+
+    def _check_stall(
+        self, counts: dict[str, int], active_runs: int, startable_runs: int, now_s: float
+    ) -> None:
+        assert self._leader_since_s is not None
+        state = WorkState(
             open_items=sum(counts.values()),
-            lively=lively,
-            room=room,
-            started_s=max(self._started_s, self._led_s),
-            recorded_s=max(self.records.taken_s, self._led_s),
+            active_runs=active_runs,
+            startable_runs=startable_runs,
+            started_s=max(self._last_start_s, self._leader_since_s),
+            recorded_s=max(self.records.accepted_s, self._leader_since_s),
             reasons=", ".join(f"{count} {reason}" for reason, count in counts.items() if count),
         )
-        word = self._stall.update(work, now_s)
+        message = self._stall.update(state, now_s)
         metrics.STALLED.set(self._stall.stalled)
-        if word:
-            logger.warning("{}", word) if self._stall.stalled else logger.info("{}", word)
+        if message:
+            logger.warning("{}", message) if self._stall.stalled else logger.info("{}", message)
 
-    def _note_lead(self, scene: Scene, now_s: float) -> None:
+    def _log_leadership_gained(self, snapshot: RunnerSnapshot, now_s: float) -> None:
         """Say what a store that begins to lead found, and when it has no table."""
-        begins = self._led_s is None
-        if begins:
-            self._led_s = now_s
+        is_new = self._leader_since_s is None
+        if is_new:
+            self._leader_since_s = now_s
             logger.info(
                 "runs the items of {} in term {}: {} open in {} lots, route table {},"
                 " {} back ends known",
-                scene.status.group,
-                scene.status.term,
-                len(scene.runs),
-                len({lot for lot, _ in scene.runs}),
-                scene.table or "none",
-                scene.back_ends,
+                snapshot.status.group,
+                snapshot.status.term,
+                len(snapshot.runs),
+                len({lot for lot, _ in snapshot.runs}),
+                snapshot.table or "none",
+                snapshot.back_ends,
             )
-        if scene.index is None and scene.runs and self._table != 0:
-            self._table = 0
-            logger.warning("{} open items wait: there is no route table yet", len(scene.runs))
-        elif scene.index is not None:
-            self._table = scene.table
-
-    def _note_lead_lost(self, status: GroupStatus) -> None:
-        if self._led_s is None:
+        if snapshot.index is None and snapshot.runs and self._logged_table != 0:
+            self._logged_table = 0
+            logger.warning("{} open items wait: there is no route table yet", len(snapshot.runs))
+        elif snapshot.index is not None:
+            self._logged_table = snapshot.table
+
+    def _log_leadership_lost(self, status: GroupStatus) -> None:
+        if self._leader_since_s is None:
             return
         logger.info("runs items no longer: {} in term {}", status.role, status.term)
-        self._led_s = None
-        self._table = -1
-        self._told.clear()
-        self._missing = frozenset()
-        self._lost = 0
+        self._leader_since_s = None
+        self._logged_table = -1
+        self._logged.clear()
+        self._unknown_keys = frozenset()
+        self._unknown_count = 0
         self._stall = StallWatch()
-        _set_open({}, 0.0, 0.0)
+        _set_open_gauges({}, 0.0, 0.0)
         for gauge in (
             metrics.RECORDS_WAITING,
             metrics.RECORD_UNDER_WAY_S,
@@ -280,148 +286,155 @@
         ):
             gauge.set(0)
 
-    def _compare(self, scene: Scene, now_s: float) -> None:
+    def _find_unknown_items(self, snapshot: RunnerSnapshot, now_s: float) -> None:
         """Look for open items that the runner does not know, at two comparisons in a row."""
         if now_s - self._compared_s < COMPARE_INTERVAL_S:
             return
         self._compared_s = now_s
-        opened = self._open_keys(scene)
+        opened = self._open_keys(snapshot)
         if opened is None:
             return
-        missing = frozenset(key for key in opened if key not in scene.runs)
-        lost = missing & self._missing
-        self._missing = missing
-        self._lost = len(lost)
-        for lot, item in sorted(lost):
+        candidates = frozenset(key for key in opened if key not in snapshot.runs)
+        unknown = candidates & self._unknown_keys
+        self._unknown_keys = candidates
+        self._unknown_count = len(unknown)
+        for lot, item in sorted(unknown):
             reason = Reason.NOT_TAKEN_IN.value
-            line = ItemLine(event="waits", lot=lot, item=item, reason=reason, table=scene.table)
-            self._lines.put(line)
+            line = ItemLine(event="waits", lot=lot, item=item, reason=reason, table=snapshot.table)
+            self._lines.write(line)
 
-    def _open_keys(self, scene: Scene) -> Collection[ItemKey] | None:
+    def _open_keys(self, snapshot: RunnerSnapshot) -> Collection[ItemKey] | None:
         """Return what the group has open; None when that cannot be read, which is told."""
-        why = "the group's replica refuses"
+        detail = "the group's replica refuses"
         opened: Collection[ItemKey] | None = None
         try:
-            opened = scene.open_keys()
+            opened = snapshot.open_keys()
         except Exception as error:
-            why = repr(error)
+            detail = repr(error)
         if opened is None and self._readable:
-            logger.warning("what is open cannot be read: {}", why)
+            logger.warning("what is open cannot be read: {}", detail)
         elif opened is not None and not self._readable:
             logger.info("what is open can be read again")
         self._readable = opened is not None
         return opened
 
-    def _tell(
-        self, untold: dict[str, list[tuple[ItemRun, Standing]]], scene: Scene, now_s: float
+    def _log_waiting(
+        self,
+        unlogged: dict[str, list[tuple[ItemRun, ItemStatus]]],
+        snapshot: RunnerSnapshot,
+        now_s: float,
     ) -> None:
         """Write lines on the items that are quiet for longest, and how many have none."""
-        for reason, items in untold.items():
-            if self._lines.has("waits", reason):
+        for reason, items in unlogged.items():
+            if self._lines.allows("waits", reason):
                 items.sort(key=lambda pair: pair[0].trace.heard_s, reverse=True)
-            while items and self._lines.has("waits", reason):
-                run, standing = items.pop()
-                self._lines.put(self._waits(run, standing, scene, now_s))
-                run.trace.told = reason
-                run.trace.told_s = now_s
-                self._told[run.key] = run
+            while items and self._lines.allows("waits", reason):
+                run, status = items.pop()
+                self._lines.write(self._waiting_line(run, status, snapshot, now_s))
+                run.trace.logged_status = reason
+                run.trace.logged_s = now_s
+                self._logged[run.key] = run
             if items:
                 self._lines.left_out("waits", reason, len(items))
 
-    def _waits(self, run: ItemRun, standing: Standing, scene: Scene, now_s: float) -> ItemLine:
+    def _waiting_line(
+        self, run: ItemRun, status: ItemStatus, snapshot: RunnerSnapshot, now_s: float
+    ) -> ItemLine:
         trace = run.trace
-        line = _line(
+        line = _make_line(
             "waits",
             run,
-            reason=standing.reason.value,
-            detail=trace.why,
-            since_ms=ms(now_s - trace.since_s),
+            reason=status.reason.value,
+            detail=trace.detail,
+            since_ms=ms(now_s - trace.status_since_s),
             quiet_ms=ms(now_s - trace.heard_s),
             runs=trace.runs,
             parts=trace.parts,
             events=run.stream.recorded,
-            table=scene.table,
-            service=standing.name,
+            table=snapshot.table,
+            service=status.service_name,
         )
-        if standing.service is not None:
-            line.figure = standing.service.room
-            line.detail = str(standing.service)
-        elif standing.reason is Reason.RUNS:
+        if status.service is not None:
+            line.figure = status.service.startable_runs
+            line.detail = str(status.service)
+        elif status.reason is Reason.RUNS:
             line.since_ms = ms(now_s - trace.started_s)
-        elif standing.reason is Reason.RESULT_WAITS:
-            self._add_tries(line, run, now_s)
+        elif status.reason is Reason.RESULT_WAITS:
+            self._add_attempts(line, run, now_s)
         return line
 
-    def _add_tries(self, line: ItemLine, run: ItemRun, now_s: float) -> None:
-        tries = self.records.tries(run.key)
+    def _add_attempts(self, line: ItemLine, run: ItemRun, now_s: float) -> None:
+        attempts = self.records.attempts(run.key)
         line.detail = self.records.last_failure or "no reply yet"
-        if tries is not None:
-            line.tries = tries.count
-            line.since_ms = ms(now_s - tries.since_s)
+        if attempts is not None:
+            line.tries = attempts.count
+            line.since_ms = ms(now_s - attempts.first_sent_s)
 
-    def _note_moved(self, scene: Scene, now_s: float) -> None:
+    def _log_resumed(self, snapshot: RunnerSnapshot, now_s: float) -> None:
         """Say of items that had a line that they go on."""
-        for key, run in list(self._told.items()):
+        for key, run in list(self._logged.items()):
             trace = run.trace
-            is_open = key in scene.runs
-            if is_open and trace.heard_s <= trace.told_s:
+            is_open = key in snapshot.runs
+            if is_open and trace.heard_s <= trace.logged_s:
                 continue
-            del self._told[key]
-            line = _line(
+            del self._logged[key]
+            line = _make_line(
                 "moves_on",
                 run,
-                reason=trace.standing if is_open else "not_open",
-                detail=f"was {trace.told}",
-                since_ms=ms(now_s - trace.told_s),
+                reason=trace.status if is_open else "not_open",
+                detail=f"was {trace.logged_status}",
+                since_ms=ms(now_s - trace.logged_s),
                 runs=trace.runs,
             )
-            self._lines.put(line)
-            trace.told = ""
+            self._lines.write(line)
+            trace.logged_status = ""
 
-    def _set_moves(self, waiting: int, now_s: float) -> None:
-        led_s = now_s if self._led_s is None else self._led_s
-        begun_s = self.records.begun_s
-        metrics.RECORDS_WAITING.set(waiting)
-        metrics.RECORD_UNDER_WAY_S.set(0 if begun_s is None else now_s - begun_s)
-        metrics.SINCE_START_S.set(now_s - max(self._started_s, led_s))
-        metrics.SINCE_RECORD_S.set(now_s - max(self.records.taken_s, led_s))
+    def _set_record_gauges(self, pending_results: int, now_s: float) -> None:
+        led_s = now_s if self._leader_since_s is None else self._leader_since_s
+        started_s = self.records.sent_s
+        metrics.RECORDS_WAITING.set(pending_results)
+        metrics.RECORD_UNDER_WAY_S.set(0 if started_s is None else now_s - started_s)
+        metrics.SINCE_START_S.set(now_s - max(self._last_start_s, led_s))
+        metrics.SINCE_RECORD_S.set(now_s - max(self.records.accepted_s, led_s))
 
 
-MOVING = frozenset({Reason.RUNS.value, Reason.STOPS.value, Reason.PAUSES.value})
-LEFT = Reason.TASK_LEFT.value
-LEFT_ONCE = "task_left_once"
+RUNNING_STATUSES = frozenset({Reason.RUNS.value, Reason.STOPS.value, Reason.PAUSES.value})
+TASK_LEFT = Reason.TASK_LEFT.value
+TASK_LEFT_ONCE = "task_left_once"
 
 
-def _note(trace: RunTrace, standing: str, now_s: float) -> str:
+def _update_trace(trace: RunTrace, status: str, now_s: float) -> str:
     """Take an item's standing of this moment; return what it is counted as."""
-    if standing != trace.standing:
-        if standing == LEFT and trace.standing != LEFT_ONCE:
+    if status != trace.status:
+        if status == TASK_LEFT and trace.status != TASK_LEFT_ONCE:
             # Between the end of a task and its callback nothing is wrong.
-            trace.standing, trace.since_s = LEFT_ONCE, now_s
+            trace.status, trace.status_since_s = TASK_LEFT_ONCE, now_s
             return Reason.PAUSES.value
-        if standing != LEFT or trace.standing != LEFT_ONCE:
-            trace.since_s = now_s
-        trace.standing = standing
+        if status != TASK_LEFT or trace.status != TASK_LEFT_ONCE:
+            trace.status_since_s = now_s
+        trace.status = status
     if not trace.heard_s:
         trace.heard_s = now_s
-    return standing
+    return status
 
 
-def _is_to_tell(trace: RunTrace, now_s: float) -> bool:
+def _is_due(trace: RunTrace, now_s: float) -> bool:
     """Return whether an item is quiet for long, for one reason at more than one look."""
-    if now_s - trace.heard_s < TELL_AFTER_S:
+    if now_s - trace.heard_s < LOG_AFTER_S:
         return False
-    return now_s - trace.since_s >= (TELL_AFTER_S if trace.told else LOOK_INTERVAL_S)
+    return now_s - trace.status_since_s >= (
+        LOG_AFTER_S if trace.logged_status else UPDATE_INTERVAL_S
+    )
 
 
-def _set_open(counts: dict[str, int], oldest_s: float, quiet_s: float) -> None:
+def _set_open_gauges(counts: dict[str, int], oldest_s: float, quiet_s: float) -> None:
     for reason in Reason:
         metrics.OPEN_ITEMS.labels(reason.value).set(counts.get(reason.value, 0))
     metrics.OLDEST_OPEN_S.set(max(0.0, oldest_s))
     metrics.LONGEST_QUIET_S.set(quiet_s)
 
 
-def _line(
+def _make_line(
     event: str,
     run: ItemRun,
     *,
--- a/src/leverjunction/lots/stall_watch.py
+++ b/src/leverjunction/lots/stall_watch.py
@@ -7,16 +7,16 @@
 be started is started within a step, 0.1 s, and the pause after a failed one, 0.3 s.
 """
 
-LIVELY_S = 5.0
+ACTIVE_S = 5.0
 """Seconds. A run that was started, or told something, so lately moves: longer than the reading of a
-long prompt, half of the silence that a run is borne for (``lost_runs.FIRST_SILENCE_MOST_S``).
+long prompt, half of the silence that a run is borne for (``lost_runs.MAX_FIRST_SILENCE_S``).
 """
 
-AGAIN_S = 30.0
+REPEAT_S = 30.0
 """Seconds between two lines on the same stall."""
 
 
-class Work:
+class WorkState:
     """The figures of one moment.
 
     Attributes:
@@ -28,28 +28,35 @@
         reasons: Open items by why they do not run, for a person.
     """
 
-    __slots__ = ("lively", "open_items", "reasons", "recorded_s", "room", "started_s")
+    __slots__ = (
+        "active_runs",
+        "open_items",
+        "reasons",
+        "recorded_s",
+        "startable_runs",
+        "started_s",
+    )
 
     def __init__(
         self,
         *,
         open_items: int,
-        lively: int,
-        room: int,
+        active_runs: int,
+        startable_runs: int,
         started_s: float,
         recorded_s: float,
         reasons: str = "",
     ) -> None:
         self.open_items = open_items
-        self.lively = lively
-        self.room = room
+        self.active_runs = active_runs
+        self.startable_runs = startable_runs
         self.started_s = started_s
         self.recorded_s = recorded_s
         self.reasons = reasons
 
-    def is_still(self, now_s: float) -> bool:
+    def is_stalled(self, now_s: float) -> bool:
         """Return whether something is open, room is known, and nothing moves."""
-        if not self.open_items or self.lively or not self.room:
+        if not self.open_items or self.active_runs or not self.startable_runs:
             return False
         return now_s - max(self.started_s, self.recorded_s) >= STALL_S
 
@@ -57,34 +64,34 @@
 class StallWatch:
     """Tells when work begins to lie still, from time to time while it does, and when it is over."""
 
-    __slots__ = ("_since_s", "_told_s")
+    __slots__ = ("_logged_s", "_since_s")
 
     def __init__(self) -> None:
         self._since_s: float | None = None
-        self._told_s = float("-inf")
+        self._logged_s = float("-inf")
 
     @property
     def stalled(self) -> bool:
         """Whether work lies still."""
         return self._since_s is not None
 
-    def update(self, work: Work, now_s: float) -> str:
+    def update(self, state: WorkState, now_s: float) -> str:
         """Take the figures of this moment; return what is to be told, mostly nothing."""
-        if not work.is_still(now_s):
+        if not state.is_stalled(now_s):
             since_s, self._since_s = self._since_s, None
-            self._told_s = float("-inf")
+            self._logged_s = float("-inf")
             if since_s is None:
                 return ""
-            return f"stalled no longer, after {now_s - since_s:.1f} s: {work.open_items} open"
+            return f"stalled no longer, after {now_s - since_s:.1f} s: {state.open_items} open"
         if self._since_s is None:
-            self._since_s = max(work.started_s, work.recorded_s)
-        if now_s - self._told_s < AGAIN_S:
+            self._since_s = max(state.started_s, state.recorded_s)
+        if now_s - self._logged_s < REPEAT_S:
             return ""
-        self._told_s = now_s
+        self._logged_s = now_s
         return (
-            f"stalled: {work.open_items} open items, room for {work.room},"
-            f" no run started for {now_s - work.started_s:.1f} s,"
-            f" nothing recorded for {now_s - work.recorded_s:.1f} s; {work.reasons}"
+            f"stalled: {state.open_items} open items, room for {state.startable_runs},"
+            f" no run started for {now_s - state.started_s:.1f} s,"
+            f" nothing recorded for {now_s - state.recorded_s:.1f} s; {state.reasons}"
         )
 
 
@@ -96,10 +103,10 @@
         limit_s: From which age on it is told.
     """
 
-    __slots__ = ("_limit_s", "_since_s", "_what")
+    __slots__ = ("_condition", "_limit_s", "_since_s")
 
-    def __init__(self, what: str, limit_s: float) -> None:
-        self._what = what
+    def __init__(self, condition: str, limit_s: float) -> None:
+        self._condition = condition
         self._limit_s = limit_s
         self._since_s: float | None = None
 
@@ -107,8 +114,8 @@
         """Take the age of this moment; return what is to be told, mostly nothing."""
         if age_s >= self._limit_s:
             known, self._since_s = self._since_s, now_s - age_s
-            return "" if known is not None else f"{self._what} for {age_s:.1f} s"
+            return "" if known is not None else f"{self._condition} for {age_s:.1f} s"
         if self._since_s is None:
             return ""
         since_s, self._since_s = self._since_s, None
-        return f"{self._what}: over, after {now_s - age_s - since_s:.1f} s"
+        return f"{self._condition}: over, after {now_s - age_s - since_s:.1f} s"
--- a/src/leverjunction/lots/suppressed_errors.py
+++ b/src/leverjunction/lots/suppressed_errors.py
@@ -13,19 +13,19 @@
 P = ParamSpec("P")
 
 
-def harmless(tell: Callable[P, None]) -> Callable[P, None]:
+def suppress_errors(function: Callable[P, None]) -> Callable[P, None]:
     """Have a function that only tells raise nothing: faults are counted, the first is logged."""
     faults = 0
 
-    @functools.wraps(tell)
-    def told(*args: P.args, **kwargs: P.kwargs) -> None:
+    @functools.wraps(function)
+    def wrapper(*args: P.args, **kwargs: P.kwargs) -> None:
         nonlocal faults
         try:
-            tell(*args, **kwargs)
+            function(*args, **kwargs)
         except Exception:
             faults += 1
             metrics.SIGHT_FAULTS.inc()
             if faults == 1:
-                logger.exception("{} could not tell", tell.__qualname__)
+                logger.exception("{} could not tell", function.__qualname__)
 
-    return told
+    return wrapper
--- a/src/leverjunction/lots/urgency.py
+++ b/src/leverjunction/lots/urgency.py
@@ -9,11 +9,11 @@
 
 from typing import NamedTuple
 
-TYPICAL_RUN_S = 4.0
-RUN_WEIGHT = 0.1
+INITIAL_RUN_S = 4.0
+AVERAGE_WEIGHT = 0.1
 """Of an item's time in the running average, which begins with the typical one."""
 
-LEAST_LEFT_SHARE = 0.15
+MIN_REMAINING_SHARE = 0.15
 """Of the usual time of an item: how long one that took its time already takes at least."""
 
 
@@ -27,21 +27,21 @@
 class RunTimes:
     """How long items take at back ends; what they waited or were parked is not counted."""
 
-    __slots__ = ("_usual_s",)
+    __slots__ = ("_average_s",)
 
     def __init__(self) -> None:
-        self._usual_s = TYPICAL_RUN_S
+        self._average_s = INITIAL_RUN_S
 
-    def ended(self, worked_s: float) -> None:
+    def record(self, worked_s: float) -> None:
         """Take the time of an item that was run to its end."""
-        self._usual_s += (worked_s - self._usual_s) * RUN_WEIGHT
+        self._average_s += (worked_s - self._average_s) * AVERAGE_WEIGHT
 
-    def left_s(self, worked_s: float) -> float:
+    def remaining_s(self, worked_s: float) -> float:
         """Return how long an item probably still takes that was worked on for a while."""
-        return max(self._usual_s - worked_s, self._usual_s * LEAST_LEFT_SHARE)
+        return max(self._average_s - worked_s, self._average_s * MIN_REMAINING_SHARE)
 
     def urgency(self, due_in_s: float, worked_s: float) -> Urgency:
         """Return an item's rank."""
-        left_s = self.left_s(worked_s)
-        late = due_in_s < left_s
-        return Urgency(late, left_s if late else due_in_s)
+        remaining_s = self.remaining_s(worked_s)
+        late = due_in_s < remaining_s
+        return Urgency(late, remaining_s if late else due_in_s)
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -146,7 +146,7 @@
                 run.worked_s += self._loop.time() - begun_s
         finally:
             self._loop.call_later(WAY_S, back_end.leave, engine_run)
-        self._times.ended(run.worked_s)
+        self._times.record(run.worked_s)
         self.done_s[run.item.item_id] = self._loop.time()
         keys = frozenset(key for key in self._queue.runs if key != run.key)
         self._queue.keep(keys)
--- a/tests/unit/test_lots_batch_capacity.py
+++ b/tests/unit/test_lots_batch_capacity.py
@@ -6,11 +6,11 @@
 
 from leverjunction.lots.batch_capacity import (
     BUCKET_S,
-    MOST_RISE_SHARE_PER_S,
+    GATEWAY_REACTION_S,
+    GATEWAY_REPORT_LEAD_S,
+    MAX_RISE_SHARE_PER_S,
     REACTION_S,
     STALE_S,
-    TOLD_LAG_S,
-    TOLD_REACTION_S,
     WINDOW_S,
     RunnerCapacity,
     ServiceCapacity,
@@ -22,17 +22,17 @@
 
 def service(*online: int) -> ServiceCapacity:
     """Back ends that were watched for long; ``online`` is what each has now."""
-    room = ServiceCapacity()
-    tell(room, NOW_S - WINDOW_S * 2, *(0 for _ in online))
-    tell(room, NOW_S, *online)
-    return room
+    capacity = ServiceCapacity()
+    sample(capacity, NOW_S - WINDOW_S * 2, *(0 for _ in online))
+    sample(capacity, NOW_S, *online)
+    return capacity
 
 
-def tell(room: ServiceCapacity, now_s: float, *online: int) -> None:
+def sample(capacity: ServiceCapacity, now_s: float, *online: int) -> None:
     for number, count in enumerate(online):
-        seat = room.seat(str(number), SLOTS)
-        seat.read(count + seat.own, 0, now_s)
-    room.note(now_s)
+        runner = capacity.runner(str(number), SLOTS)
+        runner.record_sample(count + runner.own_runs, 0, now_s)
+    capacity.update(now_s)
 
 
 def test_without_a_reading_nothing_is_added() -> None:
@@ -41,32 +41,32 @@
 
 
 def test_an_idle_service_is_filled_but_for_a_margin() -> None:
-    room = service(0, 0)
-    assert room.allowance(NOW_S) == 22
-    assert room.seats["0"].free(NOW_S) == 12
+    capacity = service(0, 0)
+    assert capacity.allowance(NOW_S) == 22
+    assert capacity.runners["0"].free(NOW_S) == 12
 
 
 def test_an_idle_service_is_filled_where_gateways_tell_of_their_requests() -> None:
     """A slot of each back end stayed free for requests that nobody had sent for long."""
-    room = heard(0, 0)
-    assert room.allowance(NOW_S + 2) == 24
+    capacity = reported_service(0, 0)
+    assert capacity.allowance(NOW_S + 2) == 24
 
 
 def test_a_reserve_is_kept_up_to_the_latest_peak_of_the_service() -> None:
-    room = service(7, 1)
-    tell(room, NOW_S + 1, 1, 1)
+    capacity = service(7, 1)
+    sample(capacity, NOW_S + 1, 1, 1)
     # 24 slots, 2 online, and a third of the 8 that were there a second ago.
-    assert room.allowance(NOW_S + 1) == 24 - 2 - 3
-    tell(room, NOW_S + WINDOW_S + 0.5, 1, 1)
-    tell(room, NOW_S + WINDOW_S + 1.5, 1, 1)
-    assert room.allowance(NOW_S + WINDOW_S + 1.5) == 20
+    assert capacity.allowance(NOW_S + 1) == 24 - 2 - 3
+    sample(capacity, NOW_S + WINDOW_S + 0.5, 1, 1)
+    sample(capacity, NOW_S + WINDOW_S + 1.5, 1, 1)
+    assert capacity.allowance(NOW_S + WINDOW_S + 1.5) == 20
 
 
 def test_a_lull_after_a_high_peak_is_filled_but_for_the_reserve() -> None:
     """Room for the whole peak was kept all the time, and batch was held to its floor."""
-    room = service(11, 11)
-    tell(room, NOW_S + 1, 1, 1)
-    assert room.allowance(NOW_S + 1) == 24 - 2 - 7
+    capacity = service(11, 11)
+    sample(capacity, NOW_S + 1, 1, 1)
+    assert capacity.allowance(NOW_S + 1) == 24 - 2 - 7
 
 
 @pytest.mark.parametrize(
@@ -76,191 +76,196 @@
 )
 def test_the_reserve_is_what_came_lately_while_batch_gives_way(step_s: float, reserve: int) -> None:
     """A fixed share was kept in each lull, and a third of the slots stood empty there."""
-    room = service(0, 0)
+    capacity = service(0, 0)
     for step in range(8):
-        tell(room, NOW_S + 1 + step * step_s, 3 * step, 0)
-    tell(room, NOW_S + 4, 0, 0)
-    assert room.allowance(NOW_S + 4) == 24 - reserve
+        sample(capacity, NOW_S + 1 + step * step_s, 3 * step, 0)
+    sample(capacity, NOW_S + 4, 0, 0)
+    assert capacity.allowance(NOW_S + 4) == 24 - reserve
 
 
 def test_peaks_of_single_back_ends_at_different_times_do_not_add_up() -> None:
     """Each back end's own peak overstated what online needed of all, and batch was starved."""
-    room = service(8, 2)
-    tell(room, NOW_S + 1, 2, 8)
-    assert room.allowance(NOW_S + 1) == 12
+    capacity = service(8, 2)
+    sample(capacity, NOW_S + 1, 2, 8)
+    assert capacity.allowance(NOW_S + 1) == 12
 
 
 def test_many_small_back_ends_are_not_left_half_empty() -> None:
     """A slot of each was left free beside the reserve, and readings that wavered made that large:
     batch had 24 of 72 slots with 26 online requests, and hundreds of items waited."""
-    room = ServiceCapacity()
-    tell(room, NOW_S - WINDOW_S * 2, *[3] * 8)
-    tell(room, NOW_S, *[5] * 8)
-    tell(room, NOW_S + 1, *[3] * 8)
-    assert room.allowance(NOW_S + 1) == 8 * SLOTS - 24 - round(40 / 3)
+    capacity = ServiceCapacity()
+    sample(capacity, NOW_S - WINDOW_S * 2, *[3] * 8)
+    sample(capacity, NOW_S, *[5] * 8)
+    sample(capacity, NOW_S + 1, *[3] * 8)
+    assert capacity.allowance(NOW_S + 1) == 8 * SLOTS - 24 - round(40 / 3)
 
 
 def test_batch_is_parked_as_online_requests_come() -> None:
-    room = service(10, 10)
-    tell(room, NOW_S + 1, 0, 0)
-    for seat in room.seats.values():
+    capacity = service(10, 10)
+    sample(capacity, NOW_S + 1, 0, 0)
+    for runner in capacity.runners.values():
         for _ in range(7):
-            seat.started()
-    assert (room.allowance(NOW_S + 1), room.excess(NOW_S + 1)) == (24 - 7 - 14, 0)
-    tell(room, NOW_S + 2, 4, 4)
-    assert room.excess(NOW_S + 2) == 14 - (24 - 8 - 7)
-    tell(room, NOW_S + 3, 10, 10)
-    assert room.excess(NOW_S + 3) == 14 - (24 - 2 - 20)
-    assert [seat.excess(NOW_S + 3) for seat in room.seats.values()] == [5, 5]
+            runner.add_run()
+    assert (capacity.allowance(NOW_S + 1), capacity.excess(NOW_S + 1)) == (24 - 7 - 14, 0)
+    sample(capacity, NOW_S + 2, 4, 4)
+    assert capacity.excess(NOW_S + 2) == 14 - (24 - 8 - 7)
+    sample(capacity, NOW_S + 3, 10, 10)
+    assert capacity.excess(NOW_S + 3) == 14 - (24 - 2 - 20)
+    assert [runner.excess(NOW_S + 3) for runner in capacity.runners.values()] == [5, 5]
 
 
 def test_without_readings_nothing_is_parked() -> None:
-    room = service(0)
+    capacity = service(0)
     for _ in range(9):
-        room.seats["0"].started()
-    assert room.excess(NOW_S + STALE_S + 0.1) == 0
+        capacity.runners["0"].add_run()
+    assert capacity.excess(NOW_S + STALE_S + 0.1) == 0
 
 
 @pytest.mark.parametrize("counted", [0, 5])
 def test_own_runs_are_not_taken_for_online_ones(counted: int) -> None:
     """Whether or not a reading counts the runs that have just begun: it is a little old."""
-    room = service(0)
-    seat = room.seats["0"]
+    capacity = service(0)
+    runner = capacity.runners["0"]
     for _ in range(5):
-        seat.started()
-    seat.read(counted, 0, NOW_S + 0.1)
-    assert (seat.online, seat.free(NOW_S + 0.1)) == (0, 7)
-    seat.read(5, 0, NOW_S + 0.3)
-    room.note(NOW_S + 0.3)
-    assert room.allowance(NOW_S + 0.3) == 6
-    seat.ended()
-    seat.read(5, 0, NOW_S + 0.5)
-    assert (seat.online, seat.free(NOW_S + 0.5)) == (0, 8)
+        runner.add_run()
+    runner.record_sample(counted, 0, NOW_S + 0.1)
+    assert (runner.online, runner.free(NOW_S + 0.1)) == (0, 7)
+    runner.record_sample(5, 0, NOW_S + 0.3)
+    capacity.update(NOW_S + 0.3)
+    assert capacity.allowance(NOW_S + 0.3) == 6
+    runner.remove_run()
+    runner.record_sample(5, 0, NOW_S + 0.5)
+    assert (runner.online, runner.free(NOW_S + 0.5)) == (0, 8)
 
 
 def test_online_requests_show_beside_runs_that_have_just_begun() -> None:
-    seat = service(0).seats["0"]
+    runner = service(0).runners["0"]
     for _ in range(3):
-        seat.started()
-    seat.read(8, 1, NOW_S + 0.1)
-    assert seat.online == 6
+        runner.add_run()
+    runner.record_sample(8, 1, NOW_S + 0.1)
+    assert runner.online == 6
 
 
 def test_a_few_run_even_beside_a_high_peak_but_not_in_a_queue() -> None:
-    room = service(15, 4)
-    assert room.allowance(NOW_S) == 3
-    assert [seat.free(NOW_S) for seat in room.seats.values()] == [0, 8]
+    capacity = service(15, 4)
+    assert capacity.allowance(NOW_S) == 3
+    assert [runner.free(NOW_S) for runner in capacity.runners.values()] == [0, 8]
 
 
 @pytest.mark.parametrize(("age_s", "allowed"), [(STALE_S - 0.1, 11), (STALE_S + 0.1, 0)])
 def test_an_old_reading_is_not_gone_by(age_s: float, allowed: int) -> None:
-    room = service(0)
-    assert room.seats["0"].free(NOW_S + age_s) == (12 if allowed else 0)
-    assert room.allowance(NOW_S + age_s) == allowed
+    capacity = service(0)
+    assert capacity.runners["0"].free(NOW_S + age_s) == (12 if allowed else 0)
+    assert capacity.allowance(NOW_S + age_s) == allowed
 
 
 def test_a_lull_is_not_filled_before_a_burst_can_have_been_seen() -> None:
     """A new leader filled the lull after its start, and the next burst waited behind it."""
-    room = ServiceCapacity()
-    tell(room, NOW_S, 0, 0)
-    assert room.allowance(NOW_S) == 24 - 8
-    tell(room, NOW_S + 1, 9, 9)
-    tell(room, NOW_S + 2, 0, 0)
-    assert room.allowance(NOW_S + 2) == 24 - 8
-    tell(room, NOW_S + WINDOW_S + 2, 0, 0)
-    assert room.allowance(NOW_S + WINDOW_S + 2) == 22
+    capacity = ServiceCapacity()
+    sample(capacity, NOW_S, 0, 0)
+    assert capacity.allowance(NOW_S) == 24 - 8
+    sample(capacity, NOW_S + 1, 9, 9)
+    sample(capacity, NOW_S + 2, 0, 0)
+    assert capacity.allowance(NOW_S + 2) == 24 - 8
+    sample(capacity, NOW_S + WINDOW_S + 2, 0, 0)
+    assert capacity.allowance(NOW_S + WINDOW_S + 2) == 22
 
 
 def test_back_ends_that_are_gone_are_forgotten() -> None:
-    room = service(0, 0)
-    room.keep(frozenset({"1"}))
-    assert room.allowance(NOW_S) == 11
+    capacity = service(0, 0)
+    capacity.keep(frozenset({"1"}))
+    assert capacity.allowance(NOW_S) == 11
 
 
-def hear(room: ServiceCapacity, now_s: float, *online: int, held: int = 0) -> None:
+def report(capacity: ServiceCapacity, now_s: float, *online: int, waiting_online: int = 0) -> None:
     """Gateways tell how many online requests each back end has."""
     for number, count in enumerate(online):
-        room.seat(str(number), SLOTS).tell(count, now_s)
-    room.hear(tellers=2, interval_s=0.0, held=held)
-    room.note(now_s)
+        capacity.runner(str(number), SLOTS).report_online(count, now_s)
+    capacity.set_gateway_reports(gateway_count=2, interval_s=0.0, waiting_online=waiting_online)
+    capacity.update(now_s)
 
 
-def heard(*online: int) -> ServiceCapacity:
+def reported_service(*online: int) -> ServiceCapacity:
     """Back ends whose online requests gateways have told of for long."""
-    room = service(*online)
+    capacity = service(*online)
     for step in range(3):
-        hear(room, NOW_S + step, *online)
-        tell(room, NOW_S + step, *online)
-    return room
+        report(capacity, NOW_S + step, *online)
+        sample(capacity, NOW_S + step, *online)
+    return capacity
 
 
 def test_told_requests_are_not_counted_again_when_a_report_shows_them() -> None:
-    room = heard(4, 2)
-    assert [(seat.told, seat.untold) for seat in room.seats.values()] == [(4, 0), (2, 0)]
-    tell(room, NOW_S + 2.1, 6, 2)
-    assert [(seat.told, seat.untold) for seat in room.seats.values()] == [(4, 2), (2, 0)]
+    capacity = reported_service(4, 2)
+    assert [
+        (runner.reported_online, runner.unreported_online) for runner in capacity.runners.values()
+    ] == [(4, 0), (2, 0)]
+    sample(capacity, NOW_S + 2.1, 6, 2)
+    assert [
+        (runner.reported_online, runner.unreported_online) for runner in capacity.runners.values()
+    ] == [(4, 2), (2, 0)]
 
 
 @pytest.mark.parametrize(
-    ("age_s", "untold"), [(0.05, 0), (TOLD_LAG_S - 0.05, 0), (TOLD_LAG_S + BUCKET_S + 0.05, 4)]
+    ("age_s", "unreported_online"),
+    [(0.05, 0), (GATEWAY_REPORT_LEAD_S - 0.05, 0), (GATEWAY_REPORT_LEAD_S + BUCKET_S + 0.05, 4)],
 )
 def test_a_request_whose_end_was_told_is_not_untold_while_reports_lag(
-    age_s: float, untold: int
+    age_s: float, unreported_online: int
 ) -> None:
     """Each end would otherwise look like an arrival that no gateway tells of."""
-    room = heard(4)
-    hear(room, NOW_S + 3, 0)
-    tell(room, NOW_S + 3 + age_s, 4)
-    assert room.seats["0"].untold == untold
+    capacity = reported_service(4)
+    report(capacity, NOW_S + 3, 0)
+    sample(capacity, NOW_S + 3 + age_s, 4)
+    assert capacity.runners["0"].unreported_online == unreported_online
 
 
 def test_batch_is_parked_as_soon_as_a_request_is_told() -> None:
     """Until a report showed it, a request waited behind batch for a fifth of a second."""
-    room = heard(2, 2)
-    for seat in room.seats.values():
+    capacity = reported_service(2, 2)
+    for runner in capacity.runners.values():
         for _ in range(10):
-            seat.started()
-    hear(room, NOW_S + 2.01, 4, 2)
-    assert [seat.excess(NOW_S + 2.01) for seat in room.seats.values()] == [2, 0]
+            runner.add_run()
+    report(capacity, NOW_S + 2.01, 4, 2)
+    assert [runner.excess(NOW_S + 2.01) for runner in capacity.runners.values()] == [2, 0]
 
 
 def test_the_reserve_is_smaller_where_batch_gives_way_sooner() -> None:
     """A third of the slots stood empty in each lull, with dozens of items waiting."""
-    read, told = service(0, 0), heard(0, 0)
+    record_sample, reported_online = service(0, 0), reported_service(0, 0)
     for step in range(12):
-        tell(read, NOW_S + 3 + step * REACTION_S / 6, step, 0)
-        hear(told, NOW_S + 3 + step * REACTION_S / 6, step, 0)
-    tell(read, NOW_S + 5, 0, 0)
-    hear(told, NOW_S + 5, 0, 0)
-    tell(told, NOW_S + 5, 0, 0)
-    assert read.allowance(NOW_S + 5) == 24 - 4
-    assert told.allowance(NOW_S + 5) == 24 - 1
+        sample(record_sample, NOW_S + 3 + step * REACTION_S / 6, step, 0)
+        report(reported_online, NOW_S + 3 + step * REACTION_S / 6, step, 0)
+    sample(record_sample, NOW_S + 5, 0, 0)
+    report(reported_online, NOW_S + 5, 0, 0)
+    sample(reported_online, NOW_S + 5, 0, 0)
+    assert record_sample.allowance(NOW_S + 5) == 24 - 4
+    assert reported_online.allowance(NOW_S + 5) == 24 - 1
 
 
 def test_what_one_more_gateway_tells_is_no_rise() -> None:
     """After each change of leader all that ran already looked like a burst for eight seconds."""
-    room = ServiceCapacity()
-    tell(room, NOW_S - WINDOW_S, 8, 8)
-    tell(room, NOW_S, 8, 8)
-    hear(room, NOW_S + 0.01, 8, 8)
-    tell(room, NOW_S + 0.02, 8, 8)
-    hear(room, NOW_S + 1, 0, 0)
-    tell(room, NOW_S + 1, 0, 0)
-    assert room.allowance(NOW_S + 1) == 24
+    capacity = ServiceCapacity()
+    sample(capacity, NOW_S - WINDOW_S, 8, 8)
+    sample(capacity, NOW_S, 8, 8)
+    report(capacity, NOW_S + 0.01, 8, 8)
+    sample(capacity, NOW_S + 0.02, 8, 8)
+    report(capacity, NOW_S + 1, 0, 0)
+    sample(capacity, NOW_S + 1, 0, 0)
+    assert capacity.allowance(NOW_S + 1) == 24
 
 
 def test_requests_that_wait_at_gateways_have_their_slots_kept() -> None:
-    room = heard(1, 1)
-    hear(room, NOW_S + 2.1, 1, 1, held=5)
-    assert room.allowance(NOW_S + 2.1) == 24 - 2 - 5
+    capacity = reported_service(1, 1)
+    report(capacity, NOW_S + 2.1, 1, 1, waiting_online=5)
+    assert capacity.allowance(NOW_S + 2.1) == 24 - 2 - 5
 
 
 def test_a_new_leader_keeps_less_where_gateways_tell_it() -> None:
-    room = ServiceCapacity()
-    tell(room, NOW_S, 0, 0)
-    hear(room, NOW_S, 0, 0)
-    kept = round(24 * MOST_RISE_SHARE_PER_S * TOLD_REACTION_S)
-    assert room.allowance(NOW_S) == 24 - kept == 23
+    capacity = ServiceCapacity()
+    sample(capacity, NOW_S, 0, 0)
+    report(capacity, NOW_S, 0, 0)
+    kept = round(24 * MAX_RISE_SHARE_PER_S * GATEWAY_REACTION_S)
+    assert capacity.allowance(NOW_S) == 24 - kept == 23
 
 
 def test_a_back_end_that_does_not_tell_its_load_holds_up_no_other() -> None:
@@ -271,14 +276,14 @@
     read. Settled by: loads told late by some back ends, runs of one event each (0.1 to 0.3 s), ten
     and more of an item; with two back ends of 12 slots 0 runs allowed in place of 11.
     """
-    room = service(0, 0)
+    capacity = service(0, 0)
     for _ in range(SLOTS):
-        room.seats["0"].started()
-    tell(room, NOW_S + 1, 0, 0)
+        capacity.runners["0"].add_run()
+    sample(capacity, NOW_S + 1, 0, 0)
     now_s = NOW_S + 1 + STALE_S + 0.5
-    room.seats["1"].read(0, 0, now_s)
-    room.note(now_s)
-    assert room.allowance(now_s) == 11
+    capacity.runners["1"].record_sample(0, 0, now_s)
+    capacity.update(now_s)
+    assert capacity.allowance(now_s) == 11
     for _ in range(11):
-        room.seats["1"].started()
-    assert (room.allowance(now_s), room.excess(now_s)) == (0, 0)
+        capacity.runners["1"].add_run()
+    assert (capacity.allowance(now_s), capacity.excess(now_s)) == (0, 0)
--- a/tests/unit/test_lots_item_queue.py
+++ b/tests/unit/test_lots_item_queue.py
@@ -6,7 +6,7 @@
 
 from leverjunction.lots import item_queue as board_module
 from leverjunction.lots.commands import OpenItem
-from leverjunction.lots.item_queue import RANKED_FOR_S, ItemQueue
+from leverjunction.lots.item_queue import RANKING_MAX_AGE_S, ItemQueue
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.urgency import Urgency
 from leverjunction.routes import RouteClass, RouteIndex
@@ -53,9 +53,9 @@
 def test_a_ranking_is_used_for_a_while(board: ItemQueue) -> None:
     """Ranking hundreds of items at each step took the leader's time: it lost its lease."""
     board.rank(0.0, by_due)
-    assert not board.rank(RANKED_FOR_S / 2, by_due)
+    assert not board.rank(RANKING_MAX_AGE_S / 2, by_due)
     names(board)
-    assert board.rank(RANKED_FOR_S, by_due)
+    assert board.rank(RANKING_MAX_AGE_S, by_due)
     assert names(board) == ["a", "b", "c"]
 
 
--- a/tests/unit/test_lots_item_status.py
+++ b/tests/unit/test_lots_item_status.py
@@ -9,14 +9,14 @@
 from tests.unit.test_lots_item_queue import item
 
 from leverjunction.lots.item_run import ItemRun
-from leverjunction.lots.item_status import Reason, ServiceSight, Standings
+from leverjunction.lots.item_status import Reason, ServiceAvailability, StatusClassifier
 from leverjunction.lots.run_trace import RunEnd, RunTrace
 from leverjunction.routes import RouteClass, RouteIndex
 from testbed.routed import SERVICE, make_route, make_table
 
 INDEX = RouteIndex(make_table(make_route(RouteClass.BATCH)))
 OTHER_INDEX = RouteIndex(make_table(make_route(RouteClass.BATCH, prefix="/elsewhere/")))
-ROOMY = ServiceSight(known=4, sound=3, read=3, allowance=5, free=2)
+AVAILABLE = ServiceAvailability(known=4, not_ejected=3, with_recent_load=3, allowance=5, free=2)
 
 
 class _Task:
@@ -29,13 +29,15 @@
         return self._done
 
 
-def standing(
+def classify_reason(
     run: ItemRun,
-    service: ServiceSight = ROOMY,
+    service: ServiceAvailability = AVAILABLE,
     index: RouteIndex | None = INDEX,
     has_result: bool = False,
 ) -> Reason:
-    return Standings(index, lambda _name: service, lambda _run: has_result).of(run).reason
+    return (
+        StatusClassifier(index, lambda _name: service, lambda _run: has_result).classify(run).reason
+    )
 
 
 def with_task(done: bool, prepare: Callable[[ItemRun], None] = lambda _run: None) -> ItemRun:
@@ -50,30 +52,40 @@
 @pytest.mark.parametrize(
     ("service", "reason"),
     [
-        (ServiceSight(), Reason.NO_BACK_END),
-        (ServiceSight(known=2, free_ejected=4, allowance=8), Reason.EJECTED),
-        (ServiceSight(known=2, sound=2), Reason.NOT_READ),
-        (ServiceSight(known=2, sound=2, read=2, allowance=0, free=4), Reason.NO_ROOM),
-        (ServiceSight(known=2, sound=2, read=1, allowance=3, free=0), Reason.NO_ROOM),
+        (ServiceAvailability(), Reason.NO_BACK_END),
+        (ServiceAvailability(known=2, free_ejected=4, allowance=8), Reason.EJECTED),
+        (ServiceAvailability(known=2, not_ejected=2), Reason.NOT_READ),
         (
-            ServiceSight(known=2, sound=1, read=1, allowance=3, free=0, free_ejected=4),
+            ServiceAvailability(known=2, not_ejected=2, with_recent_load=2, allowance=0, free=4),
+            Reason.NO_ROOM,
+        ),
+        (
+            ServiceAvailability(known=2, not_ejected=2, with_recent_load=1, allowance=3, free=0),
+            Reason.NO_ROOM,
+        ),
+        (
+            ServiceAvailability(
+                known=2, not_ejected=1, with_recent_load=1, allowance=3, free=0, free_ejected=4
+            ),
             Reason.EJECTED,
         ),
         (
-            ServiceSight(known=2, sound=1, read=1, allowance=0, free=0, free_ejected=4),
+            ServiceAvailability(
+                known=2, not_ejected=1, with_recent_load=1, allowance=0, free=0, free_ejected=4
+            ),
             Reason.NO_ROOM,
         ),
-        (ROOMY, Reason.WAITS_TURN),
+        (AVAILABLE, Reason.WAITS_TURN),
     ],
 )
-def test_an_item_that_waits_for_a_service(service: ServiceSight, reason: Reason) -> None:
-    assert standing(ItemRun(item("a")), service) is reason
-    assert (service.room > 0) is (reason is Reason.WAITS_TURN)
+def test_an_item_that_waits_for_a_service(service: ServiceAvailability, reason: Reason) -> None:
+    assert classify_reason(ItemRun(item("a")), service) is reason
+    assert (service.startable_runs > 0) is (reason is Reason.WAITS_TURN)
 
 
 def test_an_item_without_table_or_route() -> None:
-    assert standing(ItemRun(item("a")), index=None) is Reason.NO_TABLE
-    assert standing(ItemRun(item("a")), index=OTHER_INDEX) is Reason.NO_ROUTE
+    assert classify_reason(ItemRun(item("a")), index=None) is Reason.NO_TABLE
+    assert classify_reason(ItemRun(item("a")), index=OTHER_INDEX) is Reason.NO_ROUTE
 
 
 def _parking(run: ItemRun) -> None:
@@ -81,11 +93,11 @@
 
 
 def _ended(run: ItemRun) -> None:
-    run.trace.over(RunEnd.SILENT)
+    run.trace.set_end(RunEnd.SILENT)
 
 
 def _no_body(run: ItemRun) -> None:
-    run.trace.over(RunEnd.NO_BODY)
+    run.trace.set_end(RunEnd.NO_BODY)
 
 
 @pytest.mark.parametrize(
@@ -100,33 +112,33 @@
     ],
 )
 def test_an_item_with_a_run(run: ItemRun, reason: Reason) -> None:
-    assert standing(run) is reason
+    assert classify_reason(run) is reason
     # It is known to run, whatever is not known of the way.
-    assert standing(run, index=None) is reason
+    assert classify_reason(run, index=None) is reason
 
 
 def test_an_item_that_has_ended_waits_for_the_group_only() -> None:
-    assert standing(with_task(False), has_result=True) is Reason.RESULT_WAITS
-    assert standing(ItemRun(item("a")), index=None, has_result=True) is Reason.RESULT_WAITS
+    assert classify_reason(with_task(False), has_result=True) is Reason.RESULT_WAITS
+    assert classify_reason(ItemRun(item("a")), index=None, has_result=True) is Reason.RESULT_WAITS
 
 
 def test_a_left_task_is_told_even_where_there_is_no_room() -> None:
-    assert standing(with_task(True), ServiceSight()) is Reason.TASK_LEFT
+    assert classify_reason(with_task(True), ServiceAvailability()) is Reason.TASK_LEFT
 
 
 def test_each_service_is_asked_once_and_the_nearest_tells_why() -> None:
     asked: list[str] = []
 
-    def service(name: str) -> ServiceSight:
-        asked.append(name)
-        return ROOMY
+    def service(service_name: str) -> ServiceAvailability:
+        asked.append(service_name)
+        return AVAILABLE
 
-    standings = Standings(INDEX, service, lambda _run: False)
+    classifier = StatusClassifier(INDEX, service, lambda _run: False)
     runs = [ItemRun(item(str(number))) for number in range(50)]
-    assert {standings.of(run).reason for run in runs} == {Reason.WAITS_TURN}
+    assert {classifier.classify(run).reason for run in runs} == {Reason.WAITS_TURN}
     assert asked == [SERVICE]
-    assert standings.of(runs[0]).name == SERVICE
-    assert standings.room(runs) == 2
+    assert classifier.classify(runs[0]).service_name == SERVICE
+    assert classifier.startable_runs(runs) == 2
 
 
 @pytest.mark.parametrize(
@@ -141,7 +153,7 @@
 )
 def test_how_a_whole_answer_ends_a_run(status: int, between: bool, end: RunEnd) -> None:
     trace = RunTrace()
-    trace.judged(status, between)
+    trace.record_status(status, between)
     assert trace.end is end
-    trace.over(RunEnd.STOPPED)
+    trace.set_end(RunEnd.STOPPED)
     assert trace.end is end, "the first word stands"
--- a/tests/unit/test_lots_late_heads.py
+++ b/tests/unit/test_lots_late_heads.py
@@ -47,9 +47,9 @@
     store: OneStore, back_end: RunnerStandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All limits a tenth, so that it takes seconds: the head comes after 1.2 s, not 12."""
-    monkeypatch.setattr(lost_runs, "MOST_SILENCE_S", 6.0)
-    monkeypatch.setattr(lost_runs, "FIRST_SILENCE_MOST_S", 1.0)
-    monkeypatch.setattr(lost_runs, "LEAST_SILENCE_S", 0.2)
+    monkeypatch.setattr(lost_runs, "MAX_SILENCE_S", 6.0)
+    monkeypatch.setattr(lost_runs, "MAX_FIRST_SILENCE_S", 1.0)
+    monkeypatch.setattr(lost_runs, "MIN_SILENCE_S", 0.2)
     monkeypatch.setattr(lost_runs, "SILENCE_DUE_SHARE", 0.02)
     back_end.usual = "late head"
     submit(store, 1)
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from leverjunction.lots.item_status import Reason, ServiceSight
+from leverjunction.lots.item_status import Reason, ServiceAvailability
 from leverjunction.lots.load_watch import LoadWatch
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.proxy.attempt import Sender
@@ -30,18 +30,18 @@
     return LoadWatch(sender, balancer, "z", lambda: None), balancer
 
 
-def seen(read: list[int], ejected: list[int], running: int) -> tuple[ServiceSight, bool]:
+def observe(read: list[int], ejected: list[int], running: int) -> tuple[ServiceAvailability, bool]:
     """Look at three back ends of which some were read and some are ejected."""
 
-    async def play() -> tuple[ServiceSight, bool]:
+    async def play() -> tuple[ServiceAvailability, bool]:
         watch, balancer = watch_over(3)
         now_s = asyncio.get_running_loop().time()
         for number, seat in enumerate(balancer.seats(SERVICE)):
             if number in read:
-                watch.capacity_at(seat).read(running, 0, now_s)
+                watch.capacity_at(seat).record_sample(running, 0, now_s)
             if number in ejected:
                 seat.ejected_until_s = now_s + 5.0
-        return watch.sight(SERVICE), watch.pick_runner(SERVICE) is not None
+        return watch.availability(SERVICE), watch.pick_runner(SERVICE) is not None
 
     return asyncio.run(play())
 
@@ -60,15 +60,15 @@
 def test_what_is_seen_is_what_is_decided(
     read: list[int], ejected: list[int], running: int, reason: Reason
 ) -> None:
-    sight, has_seat = seen(read, ejected, running)
-    assert sight.reason() is reason
-    assert has_seat is (sight.room > 0)
-    assert (sight.known, sight.sound) == (3, 3 - len(ejected))
+    availability, has_seat = observe(read, ejected, running)
+    assert availability.reason() is reason
+    assert has_seat is (availability.startable_runs > 0)
+    assert (availability.known, availability.not_ejected) == (3, 3 - len(ejected))
 
 
 def test_a_service_that_is_not_known_has_no_back_ends() -> None:
-    async def play() -> ServiceSight:
-        return watch_over(1)[0].sight("other")
+    async def play() -> ServiceAvailability:
+        return watch_over(1)[0].availability("other")
 
     assert asyncio.run(play()).reason() is Reason.NO_BACK_END
 
@@ -78,10 +78,10 @@
         watch, balancer = watch_over(1200)
         now_s = asyncio.get_running_loop().time()
         for seat in balancer.seats(SERVICE):
-            watch.capacity_at(seat).read(0, 0, now_s)
+            watch.capacity_at(seat).record_sample(0, 0, now_s)
             seat.ejected_until_s = now_s + 5.0 * (seat.record.runner_id.endswith("1"))
         begun_s = time.thread_time()
-        assert watch.sight(SERVICE).room > 0
+        assert watch.availability(SERVICE).startable_runs > 0
         return time.thread_time() - begun_s
 
     took_s = asyncio.run(play())
--- a/tests/unit/test_lots_loop_watchdog.py
+++ b/tests/unit/test_lots_loop_watchdog.py
@@ -13,24 +13,24 @@
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.errors import Failure
 from leverjunction.lots import runner as lots_runner
-from leverjunction.lots.loop_watchdog import Pulse
+from leverjunction.lots.loop_watchdog import LoopWatchdog
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.headers import PlatformDialect
 
 
 def test_silence_is_counted_from_the_last_beat_seen() -> None:
-    pulse = Pulse()
-    assert pulse.look(100.0) == 0.0
-    assert pulse.look(100.5) == 0.5
-    assert pulse.look(101.0) == 1.0
-    pulse.beat()
-    assert pulse.look(101.5) == 0.0
+    watchdog = LoopWatchdog()
+    assert watchdog.check(100.0) == 0.0
+    assert watchdog.check(100.5) == 0.5
+    assert watchdog.check(101.0) == 1.0
+    watchdog.record_step()
+    assert watchdog.check(101.5) == 0.0
 
 
 def test_a_process_that_was_stopped_does_not_take_its_loop_for_hanging() -> None:
-    pulse = Pulse()
-    pulse.look(100.0)
-    assert pulse.look(500.0) == 1.0
+    watchdog = LoopWatchdog()
+    watchdog.check(100.0)
+    assert watchdog.check(500.0) == 1.0
 
 
 class StuckGroup(LateGroup):
@@ -51,22 +51,22 @@
 
 def test_a_loop_that_hangs_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     """A store would lead on and run nothing, and nobody would notice."""
-    monkeypatch.setattr(lots_runner, "HANGS_S", 1.5)
+    monkeypatch.setattr(lots_runner, "HANG_TIMEOUT_S", 1.5)
     group = StuckGroup()
     runner = LotsRunner(group, "z", PlatformDialect(), SystemClock(), Random(1))
     runner.start()
     found: list[Failure] = []
 
-    def look() -> bool:
+    def check() -> bool:
         fault = runner.fault()
         found.extend([fault] if fault is not None else [])
         return bool(found)
 
     with pytest.raises(AssertionError):
-        wait_until(look, 2.5)
+        wait_until(check, 2.5)
     group.sticks = True
     assert group.stuck.wait(5.0)
-    wait_until(look, 5.0)
+    wait_until(check, 5.0)
     assert "has made no step" in found[0].reason
     group.go_on.set()
     runner.stop()
--- a/tests/unit/test_lots_lost_runs.py
+++ b/tests/unit/test_lots_lost_runs.py
@@ -8,13 +8,13 @@
 from leverjunction.lots.item_run import ItemRun
 from leverjunction.lots.lost_runs import (
     CONFIRM_S,
-    FIRST_SILENCE_MOST_S,
     GONE_SILENCE_S,
-    MOST_SILENCE_S,
+    MAX_FIRST_SILENCE_S,
+    MAX_SILENCE_S,
+    MAX_TRUSTED_ENDS,
     SETTLE_S,
-    TRUSTED_ENDS,
+    LoadSample,
     LostRuns,
-    Report,
     silence_s,
 )
 
@@ -43,11 +43,11 @@
     return run
 
 
-def make_reports(requests: int, from_s: float = NOW_S - 5.0, to_s: float = NOW_S) -> LostRuns:
+def make_samples(requests: int, from_s: float = NOW_S - 5.0, to_s: float = NOW_S) -> LostRuns:
     lost_runs = LostRuns()
     lost_runs.keep(frozenset({"i-1"}))
     for step in range(round((to_s - from_s) / INTERVAL_S) + 1):
-        lost_runs.note("i-1", Report(from_s + step * INTERVAL_S, requests))
+        lost_runs.add_sample("i-1", LoadSample(from_s + step * INTERVAL_S, requests))
     return lost_runs
 
 
@@ -63,19 +63,19 @@
 def test_as_many_are_lost_as_the_reports_lack_the_longest_silent_first(
     requests: int, lost: str
 ) -> None:
-    assert names(make_reports(requests).find(make_silent(3), NOW_S)) == list(lost)
+    assert names(make_samples(requests).find(make_silent(3), NOW_S)) == list(lost)
 
 
 def test_one_report_that_shows_all_runs_counts_more_than_the_others() -> None:
-    lost_runs = make_reports(0, NOW_S - 5, NOW_S - 0.6)
-    lost_runs.note("i-1", Report(NOW_S - 0.5, 3))
+    lost_runs = make_samples(0, NOW_S - 5, NOW_S - 0.6)
+    lost_runs.add_sample("i-1", LoadSample(NOW_S - 0.5, 3))
     for step in range(5):
-        lost_runs.note("i-1", Report(NOW_S - 0.4 + step * INTERVAL_S, 0))
+        lost_runs.add_sample("i-1", LoadSample(NOW_S - 0.4 + step * INTERVAL_S, 0))
     assert lost_runs.find(make_silent(3), NOW_S) == []
 
 
 def test_a_run_is_lost_at_the_earliest_when_reports_must_show_it() -> None:
-    reports = make_reports(0)
+    reports = make_samples(0)
     soon_s = NOW_S - CONFIRM_S - SETTLE_S
     assert names(reports.find([make_run("a", soon_s - 0.2, soon_s - 0.2)], NOW_S)) == ["a"]
     assert reports.find([make_run("a", soon_s + 0.1, soon_s + 0.1)], NOW_S) == []
@@ -83,22 +83,22 @@
 
 def test_a_run_that_is_heard_of_is_counted_but_never_lost() -> None:
     living = make_run("living", NOW_S - 9, NOW_S - 0.1)
-    silent = make_run("silent", NOW_S - 9, NOW_S - 8)
-    assert names(make_reports(1).find([living, silent], NOW_S)) == ["silent"]
-    assert make_reports(2).find([living, silent], NOW_S) == []
-    assert make_reports(0).find([living], NOW_S) == []
+    silent_runs = make_run("silent", NOW_S - 9, NOW_S - 8)
+    assert names(make_samples(1).find([living, silent_runs], NOW_S)) == ["silent"]
+    assert make_samples(2).find([living, silent_runs], NOW_S) == []
+    assert make_samples(0).find([living], NOW_S) == []
 
 
 def test_a_run_that_has_perhaps_just_ended_accuses_no_other() -> None:
     """Its last events are on their way, and the report shows the silent living one only."""
     ending = make_run("ending", NOW_S - 9, NOW_S - SETTLE_S - 0.2)
-    silent = make_run("silent", NOW_S - 9, NOW_S - 8)
-    assert make_reports(1).find([ending, silent], NOW_S) == []
+    silent_runs = make_run("silent", NOW_S - 9, NOW_S - 8)
+    assert make_samples(1).find([ending, silent_runs], NOW_S) == []
 
 
 def test_requests_of_others_hide_a_lost_run() -> None:
     """Online requests come and go: better late than a living run that is ended."""
-    assert make_reports(5).find(make_silent(3), NOW_S) == []
+    assert make_samples(5).find(make_silent(3), NOW_S) == []
 
 
 def test_a_living_run_is_not_ended_on_the_word_of_a_gateway() -> None:
@@ -110,16 +110,16 @@
     nothing but what the back end itself says.
     """
     living = make_run("living", NOW_S - 3, NOW_S - 3)
-    assert Report._fields == ("at_s", "requests")
-    assert make_reports(1).find([living], NOW_S) == []
+    assert LoadSample._fields == ("at_s", "requests")
+    assert make_samples(1).find([living], NOW_S) == []
 
 
 def test_few_reports_or_old_ones_prove_nothing() -> None:
-    assert make_reports(0, NOW_S - 0.8).find(make_silent(2), NOW_S) == []
+    assert make_samples(0, NOW_S - 0.8).find(make_silent(2), NOW_S) == []
     rare = LostRuns()
     rare.keep(frozenset({"i-1"}))
-    rare.note("i-1", Report(NOW_S - 4, 0))
-    rare.note("i-1", Report(NOW_S, 0))
+    rare.add_sample("i-1", LoadSample(NOW_S - 4, 0))
+    rare.add_sample("i-1", LoadSample(NOW_S, 0))
     assert rare.find(make_silent(2), NOW_S) == []
 
 
@@ -127,24 +127,24 @@
     rare = LostRuns()
     rare.keep(frozenset({"i-1"}))
     for ago_s in (4, 2, 0):
-        rare.note("i-1", Report(NOW_S - ago_s, 0))
+        rare.add_sample("i-1", LoadSample(NOW_S - ago_s, 0))
     assert names(rare.find(make_silent(2), NOW_S)) == ["0", "1"]
 
 
 def test_reports_that_are_wrong_end_few_runs_of_an_item() -> None:
     run = make_run("a", NOW_S - 9, NOW_S - 9)
-    for _ in range(TRUSTED_ENDS):
-        assert names(make_reports(0).find([run], NOW_S)) == ["a"]
-        run.lost(NOW_S)
+    for _ in range(MAX_TRUSTED_ENDS):
+        assert names(make_samples(0).find([run], NOW_S)) == ["a"]
+        run.end_lost(NOW_S)
         # It is heard of again, and goes silent again: a back end that does not report a run that it
         # has preempted would have it ended at every pause.
-        run.silent = 0
+        run.silent_runs = 0
         run.mark_sent(NOW_S - 9)
-    assert make_reports(0).find([run], NOW_S) == []
+    assert make_samples(0).find([run], NOW_S) == []
 
 
 def test_a_silent_run_at_a_back_end_that_has_left_is_lost() -> None:
-    reports = make_reports(0)
+    reports = make_samples(0)
     silent_s = NOW_S - GONE_SILENCE_S
     runs = [make_run("a", 0, silent_s, "i-2"), make_run("b", 0, silent_s + 0.1, "i-2")]
     assert names(reports.find(runs, NOW_S)) == ["a"]
@@ -153,10 +153,10 @@
 def test_a_run_that_is_not_sent_yet_is_not_lost() -> None:
     run = make_run("a", NOW_S - 9, NOW_S - 9)
     run.assign_to("i-1")
-    assert make_reports(0).find([run], NOW_S) == []
+    assert make_samples(0).find([run], NOW_S) == []
 
 
 def test_two_silent_runs_and_a_third_fit_in_the_time_of_an_item() -> None:
     assert silence_s(20_000.0, 0) + silence_s(20_000.0, 1) <= 0.6 * 20
-    assert [silence_s(0.0, 0), silence_s(86_400_000.0, 0)] == [FIRST_SILENCE_MOST_S] * 2
-    assert silence_s(20_000.0, 1000) == MOST_SILENCE_S
+    assert [silence_s(0.0, 0), silence_s(86_400_000.0, 0)] == [MAX_FIRST_SILENCE_S] * 2
+    assert silence_s(20_000.0, 1000) == MAX_SILENCE_S
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -343,10 +343,10 @@
     """Room at one back end."""
 
     def __init__(self) -> None:
-        self.room = RunnerCapacity(8)
+        self.capacity = RunnerCapacity(8)
 
     def capacity_at(self, _seat: RunnerSeat) -> RunnerCapacity:
-        return self.room
+        return self.capacity
 
 
 def test_a_run_that_is_parked_before_its_first_step_is_run_again(store: OneStore) -> None:
@@ -364,10 +364,10 @@
         run = ItemRun(opened.items[0])
         record = RunnerRecord(runner_id="i-1", service=SERVICE, address="a:1", zone="z", slots=8)
         made._start(run, RunnerSeat(record))
-        assert loads.room.own == 1
+        assert loads.capacity.own_runs == 1
         run.stop()
         await asyncio.sleep(0.05)
-        assert (run.task, loads.room.own) == (None, 0)
+        assert (run.task, loads.capacity.own_runs) == (None, 0)
         assert made._wake.is_set()
 
     asyncio.run(play())
--- a/tests/unit/test_lots_runner_monitor.py
+++ b/tests/unit/test_lots_runner_monitor.py
@@ -19,13 +19,18 @@
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.api import GroupStatus
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.lots import runner_monitor as sight_module
-from leverjunction.lots.item_lines import INTERVAL_S, ORDINARY_LINES
+from leverjunction.lots import runner_monitor as monitor_module
+from leverjunction.lots.item_lines import FREQUENT_LINES, INTERVAL_S
 from leverjunction.lots.item_run import ItemKey, ItemRun
-from leverjunction.lots.item_status import ServiceSight
+from leverjunction.lots.item_status import ServiceAvailability
 from leverjunction.lots.run_trace import RunEnd
 from leverjunction.lots.runner import LotsRunner
-from leverjunction.lots.runner_monitor import LOOK_SHARE, TELL_AFTER_S, RunnerSight, Scene
+from leverjunction.lots.runner_monitor import (
+    LOG_AFTER_S,
+    MAX_CPU_SHARE,
+    RunnerMonitor,
+    RunnerSnapshot,
+)
 from leverjunction.platform.headers import PlatformDialect
 from leverjunction.registry.follower import Snapshot
 from leverjunction.registry.records import FleetView, RunnerRecord
@@ -89,8 +94,8 @@
 @pytest.fixture
 def runner(store: OneStore, monkeypatch: pytest.MonkeyPatch) -> Iterator[LotsRunner]:
     """A runner that has heard nothing of the registry, and is looked at often."""
-    monkeypatch.setattr(sight_module, "LOOK_INTERVAL_S", 0.1)
-    monkeypatch.setattr(sight_module, "TELL_AFTER_S", 0.6)
+    monkeypatch.setattr(monitor_module, "UPDATE_INTERVAL_S", 0.1)
+    monkeypatch.setattr(monitor_module, "LOG_AFTER_S", 0.6)
     made = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
     store.runner = made
     made.start()
@@ -302,31 +307,33 @@
         return True
 
 
-class Stage:
+class MonitorFixture:
     """A sight over items that are set up by hand, looked at once a second."""
 
     def __init__(self, names: list[str], known: list[str]) -> None:
         self.clock = _Clock()
-        self.sight = RunnerSight(self.clock)
+        self.monitor = RunnerMonitor(self.clock)
         self.runs = {run.key: run for run in (ItemRun(item(name)) for name in known)}
         self.keys = {("lot", name) for name in names}
         self.error: Exception | None = None
-        self.service = ServiceSight(known=1, sound=1, read=1, allowance=4, free=4)
+        self.service = ServiceAvailability(
+            known=1, not_ejected=1, with_recent_load=1, allowance=4, free=4
+        )
 
-    def look(self, seconds: int = 1) -> None:
+    def update(self, seconds: int = 1) -> None:
         for _ in range(seconds):
             self.clock.now_s += 1.0
-            self.sight.look(self.scene)
+            self.monitor.update(self.snapshot)
 
-    def scene(self) -> Scene:
-        return Scene(
+    def snapshot(self) -> RunnerSnapshot:
+        return RunnerSnapshot(
             status=_leads(),
             index=RouteIndex(ROUTED),
             back_ends=1,
             runs=self.runs,
             service=lambda _name: self.service,
             has_result=lambda _run: False,
-            waiting=0,
+            pending_results=0,
             open_keys=self._open_keys,
         )
 
@@ -341,27 +348,27 @@
 
 
 def test_an_item_that_the_runner_does_not_know_is_found(seen: Seen) -> None:
-    stage = Stage(["a", "lost"], ["a"])
-    stage.look(4)
+    fixture = MonitorFixture(["a", "lost"], ["a"])
+    fixture.update(4)
     assert shows("not_taken_in", 0)()
-    stage.look(4)
+    fixture.update(4)
     assert shows("not_taken_in", 1)()
     lines = seen.wait("waits", 2)
     assert [line["item"] for line in lines if line["reason"] == "not_taken_in"] == ["lost"]
-    stage.keys.discard(("lot", "lost"))
-    stage.look(5)
+    fixture.keys.discard(("lot", "lost"))
+    fixture.update(5)
     assert shows("not_taken_in", 0)()
 
 
 def test_a_group_that_cannot_be_read_is_told_once_and_the_figures_go_on(
     words: list[str],
 ) -> None:
-    stage = Stage(["a"], ["a"])
-    stage.error = OSError("the disk")
-    stage.look(12)
+    fixture = MonitorFixture(["a"], ["a"])
+    fixture.error = OSError("the disk")
+    fixture.update(12)
     assert shows("waits_turn", 1)()
-    stage.error = None
-    stage.look(6)
+    fixture.error = None
+    fixture.update(6)
     assert [word for word in words if "what is open" in word] == [
         "WARNING what is open cannot be read: OSError('the disk')\n",
         "INFO what is open can be read again\n",
@@ -372,12 +379,12 @@
     seen: Seen, words: list[str]
 ) -> None:
     """The state that the incident was suspected to have ended in."""
-    stage = Stage(["a"], ["a"])
+    fixture = MonitorFixture(["a"], ["a"])
     left: asyncio.Task[None] = _Left()  # type: ignore[assignment]
-    stage.runs["lot", "a"].task = left
-    stage.look(1)
+    fixture.runs["lot", "a"].task = left
+    fixture.update(1)
     assert shows("pauses", 1)(), "a moment before its callback nothing is wrong"
-    stage.look(7)
+    fixture.update(7)
     assert shows("task_left", 1)()
     assert figure("lots_stalled") == 1
     assert [word for word in words if "stalled" in word] == [
@@ -386,49 +393,49 @@
     ]
     (line,) = seen.wait("waits")
     assert (line["item"], line["reason"]) == ("a", "task_left")
-    stage.runs.clear()
-    stage.look()
+    fixture.runs.clear()
+    fixture.update()
     assert figure("lots_stalled") == 0
     assert "INFO stalled no longer, after 8.0 s: 0 open\n" in words
 
 
 def test_hundreds_of_items_have_few_lines(seen: Seen) -> None:
     names = [f"n{number}" for number in range(300)]
-    stage = Stage(names, names)
-    stage.service = ServiceSight(known=1, sound=1, read=1)
-    stage.look(round(TELL_AFTER_S) + 2)
+    fixture = MonitorFixture(names, names)
+    fixture.service = ServiceAvailability(known=1, not_ejected=1, with_recent_load=1)
+    fixture.update(round(LOG_AFTER_S) + 2)
     time.sleep(0.3)
     assert shows("no_room", 300)()
-    assert len(seen.lines("waits")) == ORDINARY_LINES
-    stage.look(round(INTERVAL_S))
+    assert len(seen.lines("waits")) == FREQUENT_LINES
+    fixture.update(round(INTERVAL_S))
     (left_out,) = seen.wait("left_out")
-    assert (left_out["reason"], left_out["count"]) == ("waits no_room", 300 - ORDINARY_LINES)
+    assert (left_out["reason"], left_out["count"]) == ("waits no_room", 300 - FREQUENT_LINES)
 
 
 def test_looks_that_take_long_are_less_frequent() -> None:
     """With a hundred thousand open items they would take a good part of the loop's time."""
-    stage = Stage(["a"], ["a"])
+    fixture = MonitorFixture(["a"], ["a"])
     looked: list[float] = []
 
-    def slow() -> Scene:
-        looked.append(stage.clock.now_s)
-        until_s = time.thread_time() + 4.5 * LOOK_SHARE
+    def slow() -> RunnerSnapshot:
+        looked.append(fixture.clock.now_s)
+        until_s = time.thread_time() + 4.5 * MAX_CPU_SHARE
         while time.thread_time() < until_s:
             pass
-        return stage.scene()
+        return fixture.snapshot()
 
     for _ in range(20):
-        stage.clock.now_s += 1.0
-        stage.sight.look(slow)
+        fixture.clock.now_s += 1.0
+        fixture.monitor.update(slow)
     pauses = [after - before for before, after in itertools.pairwise(looked)]
     assert min(pauses) >= 5.0
     assert len(looked) >= 2
 
 
 def test_a_fault_of_the_sight_reaches_nobody(words: list[str]) -> None:
-    stage = Stage(["a"], ["a"])
+    fixture = MonitorFixture(["a"], ["a"])
     before = figure("lots_sight_faults_total")
-    stage.runs["lot", "a"].item = None  # type: ignore[assignment]
-    stage.look(2)
+    fixture.runs["lot", "a"].item = None  # type: ignore[assignment]
+    fixture.update(2)
     assert figure("lots_sight_faults_total") == before + 2
     assert sum("could not tell" in word for word in words) <= 1
--- a/tests/unit/test_lots_stall_watch.py
+++ b/tests/unit/test_lots_stall_watch.py
@@ -4,24 +4,24 @@
 
 import pytest
 
-from leverjunction.lots.item_lines import INTERVAL_S, LINES_PER_INTERVAL, ORDINARY_LINES, LineBudget
-from leverjunction.lots.stall_watch import AGAIN_S, STALL_S, AgeWatch, StallWatch, Work
+from leverjunction.lots.item_lines import FREQUENT_LINES, INTERVAL_S, LINES_PER_INTERVAL, LineBudget
+from leverjunction.lots.stall_watch import REPEAT_S, STALL_S, AgeWatch, StallWatch, WorkState
 
 NOW_S = 100.0
 
 
-def work(
+def state(
     *,
     open_items: int = 3,
-    lively: int = 0,
-    room: int = 4,
+    active_runs: int = 0,
+    startable_runs: int = 4,
     started: float = 50,
     recorded: float = 50,
-) -> Work:
-    return Work(
+) -> WorkState:
+    return WorkState(
         open_items=open_items,
-        lively=lively,
-        room=room,
+        active_runs=active_runs,
+        startable_runs=startable_runs,
         started_s=started,
         recorded_s=recorded,
         reasons="3 task_left",
@@ -31,16 +31,16 @@
 @pytest.mark.parametrize(
     ("figures", "stalled"),
     [
-        (work(), True),
-        (work(open_items=0), False),
-        (work(lively=1), False),
-        (work(room=0), False),
-        (work(started=NOW_S - STALL_S / 2), False),
-        (work(recorded=NOW_S - STALL_S / 2), False),
-        (work(started=NOW_S - STALL_S, recorded=NOW_S - STALL_S), True),
+        (state(), True),
+        (state(open_items=0), False),
+        (state(active_runs=1), False),
+        (state(startable_runs=0), False),
+        (state(started=NOW_S - STALL_S / 2), False),
+        (state(recorded=NOW_S - STALL_S / 2), False),
+        (state(started=NOW_S - STALL_S, recorded=NOW_S - STALL_S), True),
     ],
 )
-def test_what_is_a_stall(figures: Work, stalled: bool) -> None:
+def test_what_is_a_stall(figures: WorkState, stalled: bool) -> None:
     watch = StallWatch()
     assert bool(watch.update(figures, NOW_S)) is stalled
     assert watch.stalled is stalled
@@ -48,18 +48,18 @@
 
 def test_a_stall_is_told_once_in_a_while_and_when_it_is_over() -> None:
     watch = StallWatch()
-    first = watch.update(work(), NOW_S)
+    first = watch.update(state(), NOW_S)
     assert first == (
         "stalled: 3 open items, room for 4, no run started for 50.0 s, nothing recorded for"
         " 50.0 s; 3 task_left"
     )
-    assert watch.update(work(), NOW_S + 1) == ""
-    assert watch.update(work(), NOW_S + AGAIN_S).startswith("stalled:")
-    over = watch.update(work(lively=1), NOW_S + AGAIN_S + 1)
+    assert watch.update(state(), NOW_S + 1) == ""
+    assert watch.update(state(), NOW_S + REPEAT_S).startswith("stalled:")
+    over = watch.update(state(active_runs=1), NOW_S + REPEAT_S + 1)
     assert over == "stalled no longer, after 81.0 s: 3 open"
     assert not watch.stalled
-    assert watch.update(work(lively=1), NOW_S + AGAIN_S + 2) == ""
-    assert watch.update(work(), NOW_S + AGAIN_S + 3).startswith("stalled:")
+    assert watch.update(state(active_runs=1), NOW_S + REPEAT_S + 2) == ""
+    assert watch.update(state(), NOW_S + REPEAT_S + 3).startswith("stalled:")
 
 
 def test_an_age_is_told_when_it_passes_its_limit_and_when_it_is_over() -> None:
@@ -88,4 +88,4 @@
     budget = LineBudget()
     budget.renew(10.0)
     taken = [budget.take("waits no_room") for _ in range(LINES_PER_INTERVAL)]
-    assert taken.count(True) == ORDINARY_LINES
+    assert taken.count(True) == FREQUENT_LINES
--- a/tests/unit/test_lots_urgency.py
+++ b/tests/unit/test_lots_urgency.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from leverjunction.lots.urgency import LEAST_LEFT_SHARE, TYPICAL_RUN_S, RunTimes
+from leverjunction.lots.urgency import INITIAL_RUN_S, MIN_REMAINING_SHARE, RunTimes
 
 ITEMS = {
-    "due soon": (TYPICAL_RUN_S + 1, 0.0),
-    "due later": (TYPICAL_RUN_S + 9, 0.0),
-    "parked before its end": (1.0, TYPICAL_RUN_S - 0.5),
-    "late, nearly done": (-3.0, TYPICAL_RUN_S - 0.5),
+    "due soon": (INITIAL_RUN_S + 1, 0.0),
+    "due later": (INITIAL_RUN_S + 9, 0.0),
+    "parked before its end": (1.0, INITIAL_RUN_S - 0.5),
+    "late, nearly done": (-3.0, INITIAL_RUN_S - 0.5),
     "late, hardly begun": (-9.0, 0.5),
-    "would be late": (TYPICAL_RUN_S - 1, 0.0),
+    "would be late": (INITIAL_RUN_S - 1, 0.0),
 }
 
 
@@ -31,17 +31,17 @@
 
 def test_an_item_that_was_worked_on_is_not_late_for_its_whole_time() -> None:
     """Parked runs near their end were taken for late ones, parked first and not taken up again."""
-    assert not RunTimes().urgency(1.0, TYPICAL_RUN_S - 0.5).late
+    assert not RunTimes().urgency(1.0, INITIAL_RUN_S - 0.5).late
     assert RunTimes().urgency(1.0, 0.0).late
 
 
-@pytest.mark.parametrize("worked_s", [TYPICAL_RUN_S, 100.0])
+@pytest.mark.parametrize("worked_s", [INITIAL_RUN_S, 100.0])
 def test_what_took_its_time_is_not_taken_for_done(worked_s: float) -> None:
-    assert RunTimes().left_s(worked_s) == TYPICAL_RUN_S * LEAST_LEFT_SHARE
+    assert RunTimes().remaining_s(worked_s) == INITIAL_RUN_S * MIN_REMAINING_SHARE
 
 
 def test_the_usual_time_follows_the_items() -> None:
     times = RunTimes()
     for _ in range(60):
-        times.ended(9.0)
-    assert times.left_s(0.0) == pytest.approx(9.0, abs=0.1)
+        times.record(9.0)
+    assert times.remaining_s(0.0) == pytest.approx(9.0, abs=0.1)
