--- a/src/leverjunction/lots/batch_capacity.py
+++ b/src/leverjunction/lots/batch_capacity.py
@@ -1,12 +1,18 @@
-"""How much batch work a service's back ends may have beside their online requests. Pure.
-
-Online load comes in bursts of seconds, with lulls between them that are worth filling. Batch always
-leaves a reserve for the next arrivals: as many as came lately in the time that it takes to give
-way, up to the most online requests that the service had lately. That time is short for requests
-that gateways tell of, and ten times as long for those that only a back end's report shows. As they
-come, batch is parked, and the reserve is kept ahead of them. Gateways send online requests where
-there is room, so the service as a whole must have it. Batch never waits in a back end's queue,
-where an online request would wait behind it.
+"""How much batch work a service's back ends may run beside their online requests. Pure.
+
+Online load comes in bursts of seconds, and the lulls between them are worth filling with batch
+work. Batch always leaves a reserve of free slots for the next online requests. The reserve is the
+largest number that recently arrived within the time that batch needs to yield, and never more than
+the recent peak of the service's online requests. That time is short for requests that gateways
+report, and ten times as long for those that show only in a back end's load samples.
+
+As online requests arrive, batch runs are parked, that is, stopped to be continued later, and the
+reserve is kept ahead of them. Gateways send online requests wherever there is capacity, so the
+reserve is kept for the service as a whole. Batch runs never wait in a back end's queue, where an
+online request would have to wait behind them.
+
+A load sample is what a back end answers when it is asked for its load. A report is what a gateway
+sends about its own online requests.
 """
 
 from __future__ import annotations
@@ -14,57 +20,64 @@
 from collections import deque
 
 WINDOW_S = 8.0
-"""How far back the online peak is looked for; longer than the pauses between bursts."""
+"""Period for which the peak of online requests is remembered; longer than the pauses between
+bursts.
+"""
 
 DEFAULT_PEAK_SHARE = 0.6
-"""Share of the slots that online is taken to need while it was watched for less than the window,
-as after a change of leader: a lull would otherwise be filled just before the next burst.
+"""Share of the slots assumed to be the online peak until a service has been watched for the whole
+window, as after a change of leader. Otherwise a lull would be filled just before the next burst.
 """
 
 REACTION_S = 0.2
-"""Time in which batch gives way to what reports show: a reading's interval and its lag, a step of
-the runner, and the end of the runs that are parked.
+"""Time in which batch yields to requests that load samples show: the sampling interval, the age of
+a sample, a step of the runner, and the end of the parked runs.
 """
 
 GATEWAY_REACTION_S = 0.03
-"""Time in which batch gives way to what a gateway has just told: its way, and the end of the runs
-that are parked. The pause between two words comes on top.
+"""Time in which batch yields to requests that a gateway reports: the report's transmission and the
+end of the parked runs. The interval between two reports is added to it.
 """
 
 UNREPORTED_MARGIN_SLOTS = 1
-"""Slots for each back end that stay free at any moment while no gateway tells of its requests."""
+"""Slots of each back end that are always kept free while no gateway reports its requests."""
 
 MAX_RISE_SHARE_PER_S = 1.75
-"""Share of the slots that online requests may take in a second while it is not known how fast they
-come: a third of them in the time in which batch gives way to what reports show.
+"""Share of the slots that online requests are assumed to take per second while their arrival rate
+is not known: a third of the slots in the time in which batch yields to load samples.
 """
 
 MAX_RESERVE_SHARE = 0.35
-"""Share of the slots that is kept for the next arrivals at most."""
+"""Largest share of the slots that is reserved for the next arrivals."""
 
-GATEWAY_REPORT_LEAD_S = 0.3
-"""A report may still count a request whose end a gateway has told already: its age and the interval
-of readings.
+SAMPLE_LAG_S = 0.3
+"""Time for which a load sample may still count a request whose end a gateway has already reported:
+the age of a sample and the sampling interval.
 """
 
 BUCKET_S = 0.25
-"""Peaks are kept for each such interval, however often something is told."""
+"""Resolution of the sliding maximum: one value is kept for each such interval."""
 
 FLOOR_SHARE = 1 / 8
-"""Share of the slots that batch may have without a reserve, as long as they are free now."""
+"""Share of the slots that batch may use without any reserve, as long as they are free."""
 
 MAX_ARRIVALS_SHARE = 1 / 3
-"""Of the peak: at most so much of it arrives in the reaction time, as requests last for longer."""
+"""Largest share of the online peak that can arrive within the reaction time, since requests last
+longer than that.
+"""
 
 SLACK_RUNS = 2
-"""Runs beyond what is allowed before any is parked: readings waver."""
+"""Runs above the allowed number before any is parked, since load samples fluctuate."""
 
 STALE_S = 1.5
-"""Without a reading for so long nothing is added."""
+"""Age of the last load sample from which on no run is added."""
 
 
 class SlidingMaximum:
-    """The most of a figure within a time; changes may come often."""
+    """The maximum of a value over a sliding window.
+
+    Its cost does not depend on how often the value changes.
+    """
 
     __slots__ = ("_buckets", "_window_s")
 
@@ -73,7 +86,7 @@
         self._buckets: deque[tuple[float, int]] = deque()
 
     def record(self, now_s: float, value: int) -> None:
-        """Take the figure of this moment."""
+        """Add the current value."""
         if self._buckets and now_s - self._buckets[-1][0] < BUCKET_S:
             started_s, maximum = self._buckets[-1]
             self._buckets[-1] = (started_s, max(maximum, value))
@@ -83,7 +96,7 @@
             self._buckets.popleft()
 
     def maximum(self, now_s: float) -> int:
-        """Return the most that was noted lately."""
+        """Return the maximum of the window, 0 if nothing was recorded in it."""
         from_s = now_s - self._window_s - BUCKET_S
         return max(
             (maximum for started_s, maximum in self._buckets if started_s > from_s), default=0
@@ -91,10 +104,10 @@
 
 
 class RiseTracker:
-    """By how much a figure rose lately within the time that it takes to react.
+    """Tracks by how much a value recently rose within the reaction time.
 
     Attributes:
-        reaction_s: That time.
+        reaction_s: Reaction time in seconds.
     """
 
     __slots__ = ("_levels", "_rises", "reaction_s")
@@ -105,8 +118,9 @@
         self._rises = SlidingMaximum(WINDOW_S)
 
     def record(self, now_s: float, level: int) -> None:
-        """Take the figure of this moment."""
-        # The one before the reaction time stood until then.
+        """Add the current value."""
+        # The newest level from before the reaction time is kept: it was in force when that time
+        # began.
         while len(self._levels) > 1 and self._levels[1][0] <= now_s - self.reaction_s:
             self._levels.popleft()
         minimum = min((known for _, known in self._levels), default=level)
@@ -114,22 +128,22 @@
         self._levels.append((now_s, level))
 
     def restart(self) -> None:
-        """Forget the level, not the rises: another source tells it from now on."""
+        """Forget the last levels but not the rises: the value now comes from other sources."""
         self._levels.clear()
 
     def maximum(self, now_s: float) -> int:
-        """Return the largest rise in a reaction time."""
+        """Return the largest recent rise within a reaction time."""
         return self._rises.maximum(now_s)
 
 
 class RunnerCapacity:
-    """What is known of one back end's load.
+    """The load of one back end.
 
     Attributes:
-        slots: Requests that it works on at a time.
-        own: Batch runs of this process there.
-        told: Online requests there that gateways tell of.
-        untold: Online requests that its last report shows beyond those.
+        slots: Requests that it processes at the same time.
+        own_runs: Batch runs of this process there.
+        reported_online: Online requests there that gateways report.
+        unreported_online: Online requests that its last load sample shows beyond those.
     """
 
     __slots__ = (
@@ -150,39 +164,39 @@
         self.reported_online = 0
         self.unreported_online = 0
         self._sampled_online = 0
-        self._reported_peak = SlidingMaximum(GATEWAY_REPORT_LEAD_S)
+        self._reported_peak = SlidingMaximum(SAMPLE_LAG_S)
         self._sampled_s = float("-inf")
         self._started_since_sample = 0
         self._ended_since_sample = 0
 
     @property
     def online(self) -> int:
-        """Online requests there."""
+        """Online requests at the back end."""
         return self.reported_online + self.unreported_online
 
     def add_run(self) -> None:
-        """Note a batch run that begins."""
+        """Count a batch run that starts."""
         self.own_runs += 1
         self._started_since_sample += 1
 
     def remove_run(self) -> None:
-        """Note the end of a batch run."""
+        """Count the end of a batch run."""
         self.own_runs -= 1
         self._ended_since_sample += 1
 
     def report_online(self, online: int, now_s: float) -> None:
-        """Take the online requests that gateways tell of."""
+        """Set the number of online requests that gateways report."""
         if online != self.reported_online:
-            # The level that ends now stood until now.
+            # The previous number was in force until now.
             self._reported_peak.record(now_s, self.reported_online)
             self.reported_online = online
         self._reported_peak.record(now_s, online)
 
     def record_sample(self, running: int, waiting: int, now_s: float) -> None:
-        """Take a reading of all requests there, online and batch together."""
-        # A reading is a little old: runs begun since the last one are perhaps not in it, and
-        # runs ended since then perhaps still are. Between the two bounds, online is taken to be
-        # what it was.
+        """Apply a load sample, which counts online and batch requests together."""
+        # A sample is slightly out of date: it may not count runs started since the previous sample,
+        # and may still count runs ended since then. Within these two bounds the number of online
+        # requests is assumed unchanged.
         total = running + waiting
         minimum = max(0, total - self.own_runs - self._ended_since_sample)
         maximum = max(minimum, total - self.own_runs + self._started_since_sample)
@@ -193,24 +207,24 @@
         self._sampled_s = now_s
 
     def is_stale(self, now_s: float) -> bool:
-        """Return whether the last reading is too old to go by."""
+        """Return whether the last load sample is too old to be used."""
         return now_s - self._sampled_s > STALE_S
 
     def excess(self, now_s: float) -> int:
-        """Return how many batch runs stand in the way of online requests here."""
+        """Return how many batch runs take slots that online requests need here."""
         if self.is_stale(now_s):
             return 0
         return max(0, min(self.own_runs, self.online + self.own_runs - self.slots))
 
     def free(self, now_s: float) -> int:
-        """Return how many batch runs fit beside what is there now."""
+        """Return how many batch runs fit beside the current requests."""
         if self.is_stale(now_s):
             return 0
         return max(0, self.slots - self.online - self.own_runs)
 
 
 class OccupiedSlot:
-    """One batch run's slot at a back end; it is freed once, however often that is asked."""
+    """A back end's slot that a batch run occupies; freeing it more than once has no effect."""
 
     __slots__ = ("_room",)
 
@@ -219,19 +233,19 @@
         room.add_run()
 
     def free(self) -> None:
-        """Note the end of the run."""
+        """Release the slot."""
         if self._room is not None:
             self._room.remove_run()
             self._room = None
 
 
 class ServiceCapacity:
-    """All back ends of one service.
+    """The load of all back ends of a service.
 
     Attributes:
-        seats: What is known of each, by its id.
-        held: Online requests that wait at gateways.
-        tellers: Gateways that tell of their online requests.
+        runners: Load of each back end, by its id.
+        waiting_online: Online requests that wait at gateways.
+        gateway_count: Gateways that report their online requests.
     """
 
     __slots__ = (
@@ -260,41 +274,41 @@
         self._watched_since_s: float | None = None
 
     def runner(self, key: str, slots: int) -> RunnerCapacity:
-        """Return a back end's part, new if it is not known."""
+        """Return a back end's entry, creating it if necessary."""
         if key not in self.runners:
             self.runners[key] = RunnerCapacity(slots)
         return self.runners[key]
 
     def fresh_runners(self, now_s: float) -> list[tuple[str, RunnerCapacity]]:
-        """Return the back ends whose reading is recent, with their ids."""
+        """Return the back ends with a recent load sample, with their ids."""
         return [(key, runner) for key, runner in self.runners.items() if not runner.is_stale(now_s)]
 
     def keep(self, keys: frozenset[str]) -> None:
-        """Forget back ends that are gone."""
+        """Drop all back ends but those listed."""
         self.runners = {key: runner for key, runner in self.runners.items() if key in keys}
 
     def set_gateway_reports(
         self, gateway_count: int, interval_s: float, waiting_online: int
     ) -> None:
-        """Take what gateways tell of the whole service.
+        """Set what gateways report about the service as a whole.
 
         Args:
-            tellers: Gateways that tell.
-            interval_s: Pause between two words of one.
-            held: Online requests that wait there.
+            gateway_count: Gateways that send reports.
+            interval_s: Interval between two reports of a gateway, in seconds.
+            waiting_online: Online requests that wait at gateways.
         """
         self.gateway_count = gateway_count
         self.waiting_online = waiting_online
         self._reported_rise.reaction_s = GATEWAY_REACTION_S + interval_s
 
     def update(self, now_s: float) -> None:
-        """Take the sum of what is known now into the peak and the fastest rise."""
+        """Record the current totals for the online peak and the fastest rise."""
         if self._watched_since_s is None:
             self._watched_since_s = now_s
         fresh = self._fresh(now_s)
         sources = (len(fresh), self.gateway_count)
         if sources != self._sources:
-            # What one more gateway or back end tells has not arrived just now.
+            # Requests counted by a newly heard gateway or back end have not just arrived.
             self._sources = sources
             self._reported_rise.restart()
             self._unreported_rise.restart()
@@ -315,18 +329,18 @@
     def excess(self, now_s: float) -> int:
         """Return how many batch runs should be parked."""
         if not self._fresh(now_s):
-            # Nothing is known: what runs may go on.
+            # Without any sample the current runs may continue.
             return 0
         over = self._own_runs(now_s) - self._max_runs(now_s)
         return over if over > SLACK_RUNS else 0
 
     def _own_runs(self, now_s: float) -> int:
-        # Runs at a back end that is not read take no slot of those that are: counted here, they
-        # kept the others empty for as long as it was silent.
+        # Only back ends with a recent sample are counted: runs at the others take no slots of
+        # these, and counting them kept these empty for as long as a back end answered no samples.
         return sum(runner.own_runs for runner in self._fresh(now_s))
 
     def _max_runs(self, now_s: float) -> int:
-        """Return how many batch runs the service may have now."""
+        """Return how many batch runs the service may have at present."""
         fresh = self._fresh(now_s)
         slots = sum(runner.slots for runner in fresh)
         online = sum(runner.online for runner in fresh) + self.waiting_online
@@ -334,11 +348,11 @@
         margin = 0 if self.gateway_count else len(fresh) * UNREPORTED_MARGIN_SLOTS
         wanted = min(self._expected_peak(slots, now_s) - online, self._reserve(slots, now_s))
         floor = min(free - margin, int(slots * FLOOR_SHARE))
-        # Slots of the margin serve the next arrivals as well as any other.
+        # Slots of the margin serve the next arrivals as well as reserved ones do.
         return max(free - max(margin, wanted), floor, 0)
 
     def summary(self, now_s: float) -> tuple[int, int, int, int]:
-        """Return allowance, online peak, online now and slots, for a person."""
+        """Return the allowance, online peak, current online requests and slots, for a log line."""
         fresh = self._fresh(now_s)
         slots = sum(runner.slots for runner in fresh)
         online = sum(runner.online for runner in fresh)
@@ -356,13 +370,13 @@
         maximum = round(slots * MAX_RESERVE_SHARE)
         if not self._is_watched(now_s):
             return min(maximum, round(slots * MAX_RISE_SHARE_PER_S * self._reaction_s()))
-        # Readings waver, so a rise alone would overstate what can come.
+        # Load samples fluctuate, so the largest rise alone would overestimate the arrivals.
         return min(self._online_rise, round(self._online_peak * MAX_ARRIVALS_SHARE), maximum)
 
     def _reaction_s(self) -> float:
-        """Return the time in which batch gives way here."""
+        """Return the time in seconds in which batch yields here."""
         return self._reported_rise.reaction_s if self.gateway_count else REACTION_S
 
     def _is_watched(self, now_s: float) -> bool:
-        """Return whether online requests were seen for long enough to know their bursts."""
+        """Return whether online requests were watched for long enough to know their bursts."""
         return self._watched_since_s is not None and now_s - self._watched_since_s >= WINDOW_S
--- a/src/leverjunction/lots/item_queue.py
+++ b/src/leverjunction/lots/item_queue.py
@@ -1,8 +1,8 @@
-"""Open items, and the order in which those that wait are run. Pure: the time is passed in.
+"""The open items, and the order in which waiting ones are run. Pure: the time is passed in.
 
-With a backlog there are hundreds of open items and only some room for more runs, many times a
-second. So nothing here goes through all items for each run: what waits is ranked anew only every
-now and then.
+With a backlog there are hundreds of open items, and capacity for a few more runs many times a
+second. Starting a run therefore never goes through all items: the waiting ones are ranked only at
+intervals.
 """
 
 from __future__ import annotations
@@ -16,11 +16,15 @@
 from leverjunction.routes.matching import RouteIndex
 
 RANKING_MAX_AGE_S = 0.25
-"""How long a ranking is used; what is parked or fails meanwhile waits for the next one."""
+"""How long a ranking is used. Items parked or failed in the meantime wait for the next one."""
 
 
 class ItemQueue:
-    """Used by one event loop."""
+    """All open items, with a ranked queue of those that wait. It belongs to one event loop.
+
+    Attributes:
+        runs: Open items by their key, waiting or running.
+    """
 
     __slots__ = ("_queue", "_ranked_s", "_services", "_services_index", "runs")
 
@@ -32,23 +36,23 @@
         self._services_index: RouteIndex | None = None
 
     def clear(self) -> None:
-        """Forget all items."""
+        """Drop all items."""
         self.runs.clear()
         self._discard_ranking()
 
     def unknown_lots(self, keys: Iterable[ItemKey]) -> set[str]:
-        """Return the lots with open items that are not here."""
+        """Return the lots with open items that are not in the queue."""
         return {lot_id for lot_id, item_id in keys if (lot_id, item_id) not in self.runs}
 
     def add(self, items: Iterable[OpenItem]) -> None:
-        """Take items in that are not here."""
+        """Add the items that are not in the queue yet."""
         for item in items:
             run = ItemRun(item)
             self.runs.setdefault(run.key, run)
         self._discard_ranking()
 
     def keep(self, keys: frozenset[ItemKey]) -> list[ItemRun]:
-        """Drop items that are not open any more; return them."""
+        """Drop all items but those listed, and return the dropped ones."""
         gone = [run for key, run in self.runs.items() if key not in keys]
         for run in gone:
             del self.runs[run.key]
@@ -57,11 +61,11 @@
         return gone
 
     def running(self) -> Iterator[ItemRun]:
-        """Return the items that are run now."""
+        """Return the items that are being run."""
         return (run for run in self.runs.values() if run.task is not None)
 
     def services(self, index: RouteIndex) -> frozenset[str]:
-        """Return the services of the open items."""
+        """Return the services that the routes of the open items lead to."""
         if self._services_index is not index:
             routes = {run.route(index) for run in self.runs.values()}
             self._services = frozenset(
@@ -71,7 +75,7 @@
         return self._services
 
     def rank(self, now_s: float, urgency: Callable[[ItemRun], Urgency]) -> bool:
-        """Rank what waits if the last ranking is old; return whether it was."""
+        """Rank the waiting items unless that was done recently; return whether it was done now."""
         if now_s - self._ranked_s < RANKING_MAX_AGE_S:
             return False
         waiting = [run for run in self.runs.values() if run.task is None]
@@ -80,14 +84,14 @@
         return True
 
     def take(self) -> Iterator[ItemRun]:
-        """Yield what waits, the most urgent first; what is yielded comes in no later call."""
+        """Yield the waiting items, the most urgent first, each only once in a ranking."""
         while self._queue:
             run = self._queue.popleft()
             if run.task is None and self.runs.get(run.key) is run:
                 yield run
 
     def put_back(self, run: ItemRun) -> None:
-        """Have an item that could not be run come first in the next call."""
+        """Return an item that could not be run to the front of the queue."""
         self._queue.appendleft(run)
 
     def _discard_ranking(self) -> None:
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -1,4 +1,4 @@
-"""Reads the back ends' load while there is batch work, and keeps the room that follows from it."""
+"""Samples the load of back ends while there is batch work, and tracks the capacity left for it."""
 
 from __future__ import annotations
 
@@ -16,27 +16,32 @@
 from leverjunction.proxy.runner_seat import RunnerSeat
 
 POLL_INTERVAL_S = 0.1
-"""Pause between two readings of a back end: how soon batch learns that it has to give way."""
+"""Pause between two load samples of a back end; it bounds how soon batch yields."""
 
 MAX_POLLS_PER_S = 200
-"""Of all back ends of a service together: many of them are read less often."""
+"""Load samples per second of all back ends of a service together; with many of them, each is
+sampled less often.
+"""
 
 LOG_INTERVAL_S = 5.0
 MIN_LOCAL_SLOTS = 3
-"""Slots that a back end in this zone must have free to be preferred to one with more elsewhere."""
+"""Free slots that a back end in this zone needs to be preferred to one with more in another zone.
+"""
 
 
 class LoadWatch:
-    """Used by one event loop.
+    """Knows the load of the back ends, and chooses where batch runs start and stop.
+
+    It belongs to one event loop.
 
     Args:
-        sender: Sends the readings.
+        sender: Sends the requests for load samples.
         balancer: Knows the back ends.
         zone: Zone of this process.
-        read: Called after each reading.
+        on_sample: Called after each sample.
 
     Attributes:
-        lost_runs: Takes each reading too.
+        lost_runs: Receives each sample too, to find runs that their back ends no longer have.
     """
 
     def __init__(
@@ -57,18 +62,18 @@
         self._loop = asyncio.get_running_loop()
 
     def clear(self) -> None:
-        """Forget all: another store leads the group."""
+        """Forget everything: another store leads the group."""
         self._capacities.clear()
         self.lost_runs.clear()
 
     def keep(self, runner_ids: frozenset[str]) -> None:
-        """Forget back ends that are gone."""
+        """Drop all back ends but those listed."""
         for capacity in self._capacities.values():
             capacity.keep(runner_ids)
         self.lost_runs.keep(runner_ids)
 
     def poll(self, services: Iterable[str]) -> None:
-        """Ask every back end of these services for its load, a few times a second."""
+        """Keep sampling the load of every back end of these services."""
         now_s = self._loop.time()
         for service in services:
             self._capacity(service).update(now_s)
@@ -80,7 +85,7 @@
                     self._polls[key] = self._loop.create_task(self._poll(runner, pause_s))
 
     def apply_gateway_loads(self, loads: ToldLoads) -> None:
-        """Take what gateways tell of their online requests."""
+        """Apply what gateways report about their online requests."""
         now_s = self._loop.time()
         loads.expire(now_s)
         for service, capacity in self._capacities.items():
@@ -90,7 +95,7 @@
             capacity.update(now_s)
 
     def online(self) -> dict[str, int]:
-        """Return the online requests at each back end whose load is known."""
+        """Return the online requests at each back end with a recent load sample."""
         now_s = self._loop.time()
         capacities = self._capacities.values()
         return {
@@ -100,13 +105,13 @@
         }
 
     def capacity_at(self, runner: RunnerSeat) -> RunnerCapacity:
-        """Return what is known of one back end."""
+        """Return the load of one back end."""
         return self._capacity(runner.record.service).runner(
             runner.record.start, runner.record.slots
         )
 
     def pick_runner(self, service: str) -> RunnerSeat | None:
-        """Return the back end with most room for batch; None while online requests need it all."""
+        """Return the best back end for one more batch run, None while there is no capacity."""
         now_s = self._loop.time()
         if self._capacity(service).allowance(now_s) <= 0:
             return None
@@ -119,7 +124,7 @@
         return runner if free_slots > 0 else None
 
     def availability(self, service: str) -> ServiceAvailability:
-        """Return what decides on the room of a service, for a person."""
+        """Return the figures that decide whether runs of a service can start, for log lines."""
         now_s = self._loop.time()
         runners = self._balancer.seats(service)
         capacity = self._capacities.get(service)
@@ -162,17 +167,22 @@
         return parked
 
     def is_to_log(self) -> bool:
-        """Return whether it is time for the next line."""
+        """Return whether the next log line is due."""
         return self._loop.time() - self._logged_s >= LOG_INTERVAL_S
 
     def log(self, open_items: int, running: int) -> None:
-        """Say how much runs, and why not more."""
+        """Log how much runs for each service, and what limits it.
+
+        Args:
+            open_items: Open items of all services.
+            running: Items of all services that are being run.
+        """
         now_s = self._loop.time()
         self._logged_s = now_s
         for service, capacity in self._capacities.items():
             logger.info(
                 "batch of {}: {} open, {} running, {} may be added; online peak {}, now {},"
-                " {} slots read",
+                " {} slots with recent load",
                 service,
                 open_items,
                 running,
@@ -183,7 +193,7 @@
         return self._capacities.setdefault(service, ServiceCapacity())
 
     def _preference(self, candidate: tuple[int, RunnerSeat]) -> tuple[bool, int, str]:
-        """Rank back ends: with room in this zone, as bodies are large; then by room."""
+        """Rank back ends: in this zone first, as item bodies are large; then by free slots."""
         free_slots, runner = candidate
         is_local = runner.record.zone == self._zone and free_slots >= MIN_LOCAL_SLOTS
         return (is_local, free_slots, runner.record.start)
@@ -193,7 +203,7 @@
             load = await self._sender.read_load(runner)
             if load is None:
                 self._sender.distrust(runner)
-                # The last reading grows old, and then nothing is added there.
+                # The last sample expires, and then no run is added there.
                 return
             now_s = self._loop.time()
             capacity = self.capacity_at(runner)
--- a/src/leverjunction/lots/urgency.py
+++ b/src/leverjunction/lots/urgency.py
@@ -1,8 +1,9 @@
-"""Which items run first, and which give way first. Pure.
+"""Which items run first, and which yield first. Pure.
 
-Items that can still be in time come first, the first due in front. Those that are late already,
-or would be, come last: with more work than time, the first due first would make all of them late.
-What an item has been worked on counts: a run that was parked just before its end is not late.
+Items that can still meet their due time come first, the earliest due time leading. Items that are
+late, or would be, come last: with more work than time, running the earliest due first would make
+all of them late. The time already spent on an item counts: a run that was parked shortly before its
+end is not late.
 """
 
 from __future__ import annotations
@@ -10,22 +11,25 @@
 from typing import NamedTuple
 
 INITIAL_RUN_S = 4.0
+"""Assumed time of an item's run before any was measured."""
 AVERAGE_WEIGHT = 0.1
-"""Of an item's time in the running average, which begins with the typical one."""
+"""Weight of a finished item's time in the moving average."""
 
 MIN_REMAINING_SHARE = 0.15
-"""Of the usual time of an item: how long one that took its time already takes at least."""
+"""Share of the average time that an item is expected to take at least, even after it has exceeded
+the average.
+"""
 
 
 class Urgency(NamedTuple):
-    """Rank of an item; the least one runs first."""
+    """Rank of an item; the item with the smallest rank runs first."""
 
     late: bool
     rank_s: float
 
 
 class RunTimes:
-    """How long items take at back ends; what they waited or were parked is not counted."""
+    """Average time that items take at back ends, without the time spent waiting or parked."""
 
     __slots__ = ("_average_s",)
 
@@ -33,15 +37,24 @@
         self._average_s = INITIAL_RUN_S
 
     def record(self, worked_s: float) -> None:
-        """Take the time of an item that was run to its end."""
+        """Add the time of an item that has run to its end."""
         self._average_s += (worked_s - self._average_s) * AVERAGE_WEIGHT
 
     def remaining_s(self, worked_s: float) -> float:
-        """Return how long an item probably still takes that was worked on for a while."""
+        """Return the expected remaining time of an item in seconds.
+
+        Args:
+            worked_s: Time that back ends have already spent on it.
+        """
         return max(self._average_s - worked_s, self._average_s * MIN_REMAINING_SHARE)
 
     def urgency(self, due_in_s: float, worked_s: float) -> Urgency:
-        """Return an item's rank."""
+        """Return an item's rank.
+
+        Args:
+            due_in_s: Time until it is due, negative if that has passed.
+            worked_s: Time that back ends have already spent on it.
+        """
         remaining_s = self.remaining_s(worked_s)
         late = due_in_s < remaining_s
         return Urgency(late, remaining_s if late else due_in_s)
--- a/tests/unit/test_lots_batch_capacity.py
+++ b/tests/unit/test_lots_batch_capacity.py
@@ -7,9 +7,9 @@
 from leverjunction.lots.batch_capacity import (
     BUCKET_S,
     GATEWAY_REACTION_S,
-    GATEWAY_REPORT_LEAD_S,
     MAX_RISE_SHARE_PER_S,
     REACTION_S,
+    SAMPLE_LAG_S,
     STALE_S,
     WINDOW_S,
     RunnerCapacity,
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize(
     ("age_s", "unreported_online"),
-    [(0.05, 0), (GATEWAY_REPORT_LEAD_S - 0.05, 0), (GATEWAY_REPORT_LEAD_S + BUCKET_S + 0.05, 4)],
+    [(0.05, 0), (SAMPLE_LAG_S - 0.05, 0), (SAMPLE_LAG_S + BUCKET_S + 0.05, 4)],
 )
 def test_a_request_whose_end_was_told_is_not_untold_while_reports_lag(
     age_s: float, unreported_online: int
