--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -32,7 +32,9 @@
 
 RUN_TIMEOUT_S = 60.0
 READ_INTERVAL_S = 0.12
-"""Nobody waits for the single events of an item, and each would cost a wake-up."""
+"""Interval at which a response is read: nobody waits for the single events of an item, and each
+would cost a wake-up.
+"""
 
 OK = 200
 UNPROCESSABLE = 422
@@ -40,14 +42,15 @@
 
 INCOMPLETE = Failure(
     kind=FailureKind.DEADLINE_EXCEEDED,
-    reason="the run was ended here, or nothing more came of it",
+    reason="the run was stopped, or its response did not continue",
     step=Step.RELAYING,
     execution=Execution.UNKNOWN,
 )
+"""Outcome of a run that was stopped here, or whose response ended too early or went silent."""
 
 
 class Attempts:
-    """Used by one event loop."""
+    """Sends items to back ends and interprets the responses. It belongs to one event loop."""
 
     __slots__ = ("_dialect", "_group", "_outbox", "_quarantine", "_sender")
 
@@ -66,7 +69,7 @@
         self._quarantine = quarantine
 
     async def attempt(self, run: ItemRun, seat: RunnerSeat) -> bool:
-        """Run an item once; return whether it has ended."""
+        """Run an item once at a back end; return whether the item has ended."""
         request = self._build_request(run.item)
         if request is None or not self._load_progress(run):
             run.trace.set_end(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
@@ -79,10 +82,11 @@
             return await self._run(run, seat, request)
 
     async def _run(self, run: ItemRun, seat: RunnerSeat, request: CallerRequest) -> bool:
-        """Send an item's request and take its answer; return whether the item has ended."""
+        """Send an item's request and read the response; return whether the item has ended."""
         loop = asyncio.get_running_loop()
         if run.silent_runs:
-            # A path that goes silent may concern kept connections to other back ends as well.
+            # A network path that went silent may affect kept connections to other back ends as
+            # well.
             self._sender.distrust(seat)
         run.mark_sent(loop.time())
         response = await self._sender.send(
@@ -107,7 +111,7 @@
         try:
             failure = await self._read_response(run, response)
         finally:
-            # Also when it is parked: a later run continues after the last whole event.
+            # Also when the run is parked: a later run continues after the last complete event.
             if failure is not None:
                 run.stream.broken()
         if failure is not None:
@@ -121,7 +125,7 @@
     def _note_failure(
         self, run: ItemRun, seat: RunnerSeat, request: CallerRequest, failure: Failure
     ) -> None:
-        """Note what a failed run says of its back end, and of the item itself."""
+        """Report to the quarantine what a failed run says about its back end and its item."""
         if failure.kind is FailureKind.NOT_LISTENING:
             self._quarantine.not_listening(seat.record)
         if is_lost_run(failure):
@@ -134,7 +138,7 @@
             )
 
     async def _read_response(self, run: ItemRun, response: OpenedAnswer) -> Failure | None:
-        """Take an answer's events; return why it did not come whole, None if it did."""
+        """Read a response's events; return why it is incomplete, or None if it is complete."""
         complete = False
         loop = asyncio.get_running_loop()
         response.connection.pace(READ_INTERVAL_S)
@@ -157,21 +161,21 @@
                     run.stream.feed(event)
                 run.trace.mark_heard(loop.time())
         except TimeoutError:
-            run.trace.set_end(RunEnd.SILENT, f"nothing came for {loop.time() - run.heard_s:.1f} s")
+            run.trace.set_end(RunEnd.SILENT, f"no data for {loop.time() - run.heard_s:.1f} s")
             _note_silence(run, loop.time())
             return INCOMPLETE
         finally:
             self._sender.finish(response, complete)
 
     def _handle_status(self, run: ItemRun, status: int) -> bool:
-        """Note what a whole answer means for the item; return whether it has ended."""
+        """Apply a complete response to its item; return whether the item has ended."""
         run.trace.record_status(status, run.stream.is_between_events)
         if status == OK and run.stream.is_between_events:
             self._outbox.done(run)
             return True
         run.stream.broken()
         if status == UNPROCESSABLE:
-            self._outbox.dead(run, "it can never be done")
+            self._outbox.dead(run, "the back end cannot process it")
             return True
         if status != SERVER_ERROR:
             return False
@@ -183,7 +187,11 @@
         return True
 
     def _load_progress(self, run: ItemRun) -> bool:
-        """Have a run's stream go on from the events that the group has."""
+        """Make a run's stream continue after the events that the group has.
+
+        Returns:
+            Whether the stream is ready to continue.
+        """
         if run.progress_loaded:
             return True
         raw = self._group.query_local(encode(ReadProgress(*run.key)))
@@ -195,6 +203,7 @@
         return True
 
     def _build_request(self, item: OpenItem) -> CallerRequest | None:
+        """Return the request of an item, or None if its body cannot be read from the group."""
         raw = self._group.query_local(encode(ReadBody(item.lot_id, item.item_id)))
         body = decode_reply(raw, ItemBody)
         if isinstance(body, Failure):
@@ -206,11 +215,11 @@
 
 
 def _note_silence(run: ItemRun, now_s: float) -> None:
-    """Note that a run ends because nothing came."""
+    """Count and log a run that ends because its back end sent nothing."""
     lot_id, item_id = run.key
     run.silent_runs += 1
     logger.info(
-        "item {} of lot {} is run again: back end {} was silent for {:.1f} s",
+        "retrying item {} of lot {}: back end {} was silent for {:.1f} s",
         item_id,
         lot_id,
         run.runner_id,
--- a/src/leverjunction/lots/item_run.py
+++ b/src/leverjunction/lots/item_run.py
@@ -1,4 +1,4 @@
-"""One item on its way through its runs."""
+"""The state of one open item across its runs."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
 from leverjunction.routes.types import Route
 
 ItemKey = tuple[str, str]
-"""Lot and item."""
+"""Ids of an item's lot and of the item."""
 
 
 class ItemRun:
-    """An item that is to be run.
+    """An open item and the state of its runs. All times are monotonic seconds.
 
     Attributes:
-        item: What is run.
-        stream: Its events so far, kept from run to run.
-        progress_loaded: Whether the stream goes on from what the group has; read before a run.
-        task: What runs it, None while nothing does.
-        failures: Runs that failed, those not replicated yet included.
-        parking: Its run is being stopped, to go on later.
-        runner_id: Back end where it runs.
-        worked_s: Time for which back ends have worked on it.
-        trace: What is noted of its runs; decides nothing.
-        sent_s: When it was sent to the back end where it runs, None while it is not.
-        heard_s: When that back end was last heard of it, the sending included.
-        lost_runs: Runs that were ended since their back end did not report them any more.
-        raised: Runs in a row that an error here ended.
-        silent: Runs in a row that were ended in silence, without a part of the item's output.
-        first_output_s: When the first part of the answer came in its last run, None while none has.
-        suspect_key: Its key once a back end ended under it, else empty.
+        item: The item as the group has it.
+        stream: Its output events so far, kept from run to run.
+        progress_loaded: Whether the stream continues after the events that the group has, which are
+            read before a run.
+        task: Task of the current run, None while there is none.
+        failures: Runs that failed, including those not replicated yet.
+        parking: Whether the current run is being stopped, to be continued later.
+        runner_id: Back end of the current or last run.
+        worked_s: Time that back ends have spent on the item, in seconds.
+        trace: Notes about its runs for log lines; nothing is decided by them.
+        sent_s: When the item was sent to its current back end, None while it is not there.
+        heard_s: When the item was sent to that back end or last heard from there.
+        lost_runs: Runs that were ended because their back end no longer reported them.
+        consecutive_errors: Runs in a row that ended with an unexpected error in this process.
+        silent_runs: Runs in a row that were ended in silence, without any output.
+        first_output_s: When the first output of the last run arrived, None if none has.
+        suspect_key: Key under which the item is suspected of crashing back ends, else empty.
     """
 
     __slots__ = (
@@ -81,11 +82,11 @@
 
     @property
     def key(self) -> ItemKey:
-        """Its lot and item."""
+        """Ids of the lot and of the item."""
         return (self.item.lot_id, self.item.item_id)
 
     def route(self, index: RouteIndex) -> Route | None:
-        """Return its route in a table."""
+        """Return the item's route in a route table, None if it has none."""
         if self._routed_by is not index:
             self._route = index.find(self.item.host, self.item.path)
             self._routed_by = index
@@ -93,43 +94,43 @@
 
     @property
     def route_name(self) -> str:
-        """Name of the route that it was last found on, empty before."""
+        """Name of the route that was last found, empty if there was none."""
         return self._route.name if self._route is not None else ""
 
     def assign_to(self, runner_id: str) -> None:
-        """Note the back end where it is run from now on."""
+        """Set the back end of the run that starts now."""
         self.runner_id = runner_id
         self.parking = False
         self.sent_s = None
 
     def mark_sent(self, now_s: float) -> None:
-        """Note that its back end is asked now."""
+        """Note that the item is sent to its back end now."""
         self.sent_s = self.heard_s = now_s
         self.first_output_s = None
 
     def mark_heard(self, now_s: float) -> None:
-        """Note a sign of life of its run: the answer's head, or a part of it."""
+        """Note a sign of life from the back end: the head of the response, or a part of it."""
         self.heard_s = now_s
 
     def note_output(self, now_s: float) -> None:
-        """Note that a part of its answer has come."""
+        """Note that a part of the output has arrived."""
         if self.first_output_s is None:
             self.first_output_s = now_s
 
     def stop(self) -> None:
-        """End the run that is under way; a later one continues."""
+        """Stop the current run; a later one continues it."""
         if self.task is not None:
             self.task.cancel()
 
     def end_lost(self, now_s: float) -> None:
-        """End the run whose back end does not have it any more; the next one continues."""
+        """End a run that its back end no longer has; the next one continues it."""
         if self.parking:
             return
         self.silent_runs += 1
         self.lost_runs += 1
-        self.trace.set_end(RunEnd.SILENT, "its back end has it no more")
+        self.trace.set_end(RunEnd.SILENT, "its back end no longer has it")
         logger.info(
-            "item {} of lot {} is run again: back end {} has it no more, silent for {:.1f} s",
+            "retrying item {} of lot {}: back end {} no longer has it, silent for {:.1f} s",
             self.item.item_id,
             self.item.lot_id,
             self.runner_id,
@@ -139,6 +140,6 @@
         self.stop()
 
     def restart(self) -> None:
-        """Go on from what the group has: what is here does not follow on that."""
+        """Stop the run and discard its local events, to continue after those that the group has."""
         self.progress_loaded = False
         self.stop()
--- a/src/leverjunction/lots/loop_watchdog.py
+++ b/src/leverjunction/lots/loop_watchdog.py
@@ -1,15 +1,15 @@
-"""Tells by regular looks whether a loop still steps. Pure: the time is passed in."""
+"""Detects a loop that no longer completes steps, by regular checks. Pure: the time is passed in."""
 
 from __future__ import annotations
 
 MAX_COUNTED_S = 1.0
-"""Counted between two looks at most: a process that was stopped for a while, or had no processor,
-did not look either, and its loop hangs no more than the one that looks.
+"""Most seconds counted between two checks. A process that was suspended or had no processor did not
+run the checks either, so its loop is not taken to hang.
 """
 
 
 class LoopWatchdog:
-    """Beaten by one thread, looked at by another."""
+    """Counts the steps of a loop in one thread, and checks their progress from another."""
 
     __slots__ = ("_checked_s", "_silent_s", "_steps", "_steps_seen")
 
@@ -20,11 +20,11 @@
         self._silent_s = 0.0
 
     def record_step(self) -> None:
-        """Note a step of the loop."""
+        """Count a completed step of the loop."""
         self._steps += 1
 
     def check(self, now_s: float) -> float:
-        """Return the seconds for which no beat was seen."""
+        """Return the seconds for which checks have found no new step."""
         if self._steps != self._steps_seen:
             self._steps_seen = self._steps
             self._silent_s = 0.0
--- a/src/leverjunction/lots/run_trace.py
+++ b/src/leverjunction/lots/run_trace.py
@@ -1,4 +1,4 @@
-"""What is noted of an item's runs, to tell why it does not run now. Decides nothing. Pure."""
+"""Notes about an item's runs, used to report why it does not run. Decides nothing. Pure."""
 
 from __future__ import annotations
 
@@ -18,25 +18,29 @@
     FAILED = "failed"
     IMPOSSIBLE = "impossible"
     REFUSED = "refused"
-    """The back end says that it has not run it, or answers with another status."""
+    """The back end answered that it did not run the item, or answered with an unexpected status."""
 
     NOT_ANSWERED = "not_answered"
-    """No head of an answer: not connected, reset, or not an answer of a back end."""
+    """No response head was received: connecting failed, the connection was reset, or the bytes were
+    no valid response.
+    """
 
     CUT = "cut"
     SILENT = "silent"
-    """No head of an answer, or nothing more of it, for as long as that is borne."""
+    """No response head, or nothing more of the response, arrived within the accepted silence."""
 
     PARKED = "parked"
     STOPPED = "stopped"
-    """The item is not open any more, goes on from what the group has, or the lead is lost."""
+    """The item is no longer open, restarts from the group's recorded events, or leadership was
+    lost.
+    """
 
     NO_BODY = "no_body"
     NO_PROGRESS = "no_progress"
-    """How many events the group has cannot be read."""
+    """The number of events that the group has could not be read."""
 
     QUARANTINED = "quarantined"
-    """Back ends ended under this item: it is not run for a while."""
+    """The item is not run for a while, because back ends crashed while running it."""
 
     RAISED = "raised"
 
@@ -45,19 +49,20 @@
 
 
 class RunTrace:
-    """Times are monotonic seconds.
+    """Notes about the runs of one item. All times are monotonic seconds.
 
     Attributes:
         runs: Runs that this process started.
-        started_s: When the last one was started.
-        heard_s: Last sign of life: an event, the head of an answer, or that the item was taken in.
-        parts: Pieces of the answer that came in the last run.
+        started_s: When the last run was started.
+        heard_s: Last sign of life: an event or the head of a response, else the monitor's first
+            update.
+        parts: Parts of the response that arrived in the last run.
         end: How the last run ended, None while it has not.
-        why: What the back end or the path to it said.
-        standing: Why the item does not run, as of the last look.
-        since_s: Since when.
-        told: The standing that a line has told, empty for none since the last sign of life.
-        told_s: When.
+        detail: What the back end, or the connection to it, gave as the cause.
+        status: Why the item does not run, as of the last update of the monitor.
+        status_since_s: When that status began.
+        logged_status: Status that was last logged, empty for none since the last sign of life.
+        logged_s: When it was logged.
     """
 
     __slots__ = (
@@ -86,7 +91,7 @@
         self.logged_s = 0.0
 
     def start(self, now_s: float) -> None:
-        """Note that a run was started."""
+        """Note the start of a run."""
         self.runs += 1
         self.started_s = now_s
         self.parts = 0
@@ -94,22 +99,27 @@
         self.detail = ""
 
     def mark_heard(self, now_s: float) -> None:
-        """Note a piece of the answer."""
+        """Note a part of the response."""
         self.heard_s = now_s
         self.parts += 1
 
     def set_end(self, end: RunEnd, detail: str = "") -> None:
-        """Note how the run ended; the first word stands."""
+        """Note how the run ended, unless that was noted before."""
         if self.end is None:
             self.end = end
             self.detail = detail
 
     def record_failure(self, failure: Failure) -> None:
-        """Note a send without the head of an answer."""
+        """Note that no response head was received."""
         self.set_end(_NO_HEAD.get(failure.kind, RunEnd.NOT_ANSWERED), failure.reason)
 
     def record_status(self, status: int, between_events: bool) -> None:
-        """Note an answer that came whole."""
+        """Note a response that ended properly.
+
+        Args:
+            status: Its HTTP status.
+            between_events: Whether its last event is complete.
+        """
         if status == OK:
             self.set_end(
                 RunEnd.DONE if between_events else RunEnd.CUT,
@@ -126,4 +136,4 @@
     FailureKind.OVERLOADED: RunEnd.REFUSED,
     FailureKind.DEADLINE_EXCEEDED: RunEnd.SILENT,
 }
-CUT_IN_EVENT = "the answer ended in an event"
+CUT_IN_EVENT = "the response ended within an event"
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -1,7 +1,9 @@
 """Runs the open items of a group of lots, on the store that leads the group.
 
-One event loop in a thread of its own. What is open is read from the group's applied state, so a
-new leader goes on where the old one stopped; results count only once the group has them.
+A lot is a batch job: a set of opaque HTTP requests, its items, each of which is sent to a back end
+until it is done or given up. The runner is one event loop in a thread of its own. It reads the open
+items from the applied state of the replicated group, so a new leader continues where the previous
+one stopped, and a result counts only once the group has committed it.
 """
 
 from __future__ import annotations
@@ -56,26 +58,36 @@
 STOP_TIMEOUT_S = 2.0
 RETRY_PAUSE_S = 0.3
 MAX_ERROR_PAUSE_S = 5.0
-"""Longest pause after runs that an error here ended; it doubles from the usual one."""
+"""Longest pause after runs that an unexpected error ended. The pause doubles with each such run in
+a row, starting from twice ``RETRY_PAUSE_S``.
+"""
 
 HANG_TIMEOUT_S = 60.0
-"""A loop without a step for so long is a fault of the process, which ends to start anew: longer
-than a disk stalls under a replica that still takes part in its group.
+"""Time without a completed step after which the process reports itself as faulty, so that it exits
+and is restarted. Longer than a disk may stall under a replica that still takes part in its group.
 """
 
 RESTART_PAUSE_S = 0.5
 READ_INTERVAL_S = 2.0
-"""What is open is read again after so long, whether a change was told or not."""
+"""Time after which the open items are read again even if no change was reported."""
 
 MAX_READ_SHARE = 0.02
-"""Of this loop's time: with very many open items they are read again less often."""
+"""Largest share of the event loop's time spent on reading open items. With very many open items
+they are read less often.
+"""
 
 GIVE_UP_MARGIN_S = 3.0
-"""Clocks of machines differ: an item is given up only when its time is surely over."""
+"""Tolerance for clock differences between machines: an item is given up only once its time limit
+has passed by this much.
+"""
 
 
 class LotsRunner:
-    """Used by its own event loop; ``changed`` and ``set_registry`` by any thread."""
+    """Runs the open items of a group while this process leads it.
+
+    The work happens on the runner's own event loop. ``changed`` and ``set_registry`` may be called
+    from any thread.
+    """
 
     def __init__(
         self,
@@ -91,15 +103,16 @@
         """Prepare a runner.
 
         Args:
-            group: The group whose items are run.
+            group: Replicated group whose items are run.
             zone: Zone of this process.
-            dialect: Words of the back ends.
+            dialect: Headers and paths that the back ends understand.
             clock: Source of time.
-            random: Draws the services of split routes.
-            datagrams: Address where gateways tell of their online requests; empty for none.
-            report: Takes the evidence against items under which back ends end.
-            is_in_doubt: Returns whether this process stood still and has not heard the registry
-                since; nothing new is run meanwhile.
+            random: Chooses the service on routes that split traffic.
+            datagrams: Address to listen on for the gateways' reports of online requests; empty for
+                none.
+            report: Receives the evidence against items whose back ends crash.
+            is_in_doubt: Returns whether this process was suspended and has not heard from the
+                registry since; no run is started meanwhile.
         """
         self._report = report
         self._is_in_doubt = is_in_doubt
@@ -126,17 +139,17 @@
         self._thread = threading.Thread(target=self._run_loop, name="lots-runner", daemon=True)
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the runner's thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop all runs; another store goes on with them."""
+        """Stop all runs; another store continues them."""
         self._stopped = True
         self.changed()
         self._thread.join(STOP_TIMEOUT_S)
 
     def changed(self) -> None:
-        """Note that the group's state changed."""
+        """Notify the runner that the group's state has changed."""
         self._dirty = True
         loop, wake = self._loop, self._wake
         if loop is None or wake is None:
@@ -144,49 +157,55 @@
         try:
             loop.call_soon_threadsafe(wake.set)
         except RuntimeError:
-            # The loop has ended: the next one reads all. An error here would undo the command
-            # that is being applied, on this replica alone.
-            logger.debug("no loop of the runner is told of a change")
+            # The event loop has ended, and the next one reads everything. An exception raised here
+            # would abort the command that is being applied, on this replica alone.
+            logger.debug("no event loop of the lots runner is running: change not signalled")
 
     def set_registry(self, snapshot: Snapshot) -> None:
-        """Take a newer registry."""
+        """Replace the registry snapshot by a newer one."""
         self._snapshot = snapshot
         self.changed()
 
     def step_age_s(self) -> float:
-        """Return the seconds since the loop last took a step."""
+        """Return the seconds since the event loop last completed a step."""
         return self._clock.monotonic_s() - self._last_step_s
 
     def describe_thread(self) -> str:
-        """Return where the loop's thread is, for a person."""
+        """Return a readable description of where the event loop's thread is."""
         return stack_of(self._thread)
 
     def fault(self) -> Failure | None:
-        """Return why no items are run any more, None while they are; to be asked regularly."""
+        """Return why items are no longer run, or None while they are.
+
+        The time without a step is measured between calls, so it has to be called regularly.
+        """
         silent_s = self._watchdog.check(self._clock.monotonic_s())
         if self._stopped or self._thread.ident is None or silent_s < HANG_TIMEOUT_S:
             return None
         return Failure(
             kind=FailureKind.INTERNAL,
-            reason=f"the loop that runs the items of lots has made no step for {silent_s:.0f} s",
+            reason=f"the event loop of the lots runner completed no step for {silent_s:.0f} s",
             step=Step.SENDING,
         )
 
     def _run_loop(self) -> None:
-        """Run loops until asked to stop: after one that ends by an error comes another."""
+        """Run event loops until asked to stop, replacing any that fails."""
         while not self._stopped:
             try:
                 with asyncio.Runner(loop_factory=SteadyLoop) as loop_runner:
                     loop_runner.run(self._main())
             except Exception:
-                # The replica may lead on: without a loop nothing of what it has would be run.
-                logger.exception("the loop that runs the items of lots has ended; another begins")
+                # The replica may still be the leader, and without an event loop none of its items
+                # would run.
+                logger.exception("the event loop of the lots runner has failed; starting another")
                 time.sleep(RESTART_PAUSE_S)
 
     async def _main(self) -> None:
+        """Run steps until asked to stop."""
         self._loop = asyncio.get_running_loop()
         self._wake = asyncio.Event()
-        # All is read from the group: what an earlier loop had belongs to its tasks.
+        # Everything is read from the group again: the state of an earlier event loop belongs to its
+        # cancelled tasks.
         self._queue = ItemQueue()
         self._applied_snapshot = None
         self._dirty = True
@@ -214,7 +233,7 @@
                 try:
                     self._step()
                 except Exception:
-                    logger.exception("a step of the runner of lots failed")
+                    logger.exception("a step of the lots runner failed")
                 self._watchdog.record_step()
                 self._last_step_s = self._clock.monotonic_s()
                 self._monitor.update(self._monitor_snapshot)
@@ -225,7 +244,7 @@
             pool.close()
 
     def _monitor_snapshot(self) -> RunnerSnapshot:
-        """Return what there is to see; it changes nothing."""
+        """Return the current state for the monitor, without changing anything."""
         return RunnerSnapshot(
             status=self._group.status(),
             index=self._index,
@@ -247,7 +266,10 @@
         return bool(self._queue.runs)
 
     def _yield_to_online(self) -> None:
-        """Make room at once for online requests that a gateway told of; fill it a little later."""
+        """Park runs at once for online requests that a gateway reported, and wake the loop.
+
+        The freed capacity is filled again in a later step.
+        """
         self._loads.apply_gateway_loads(self._listener.loads)
         self._park()
         assert self._wake is not None
@@ -262,7 +284,8 @@
         except TimeoutError:
             return
         self._wake.clear()
-        # What is read, accepted or listed at the same time is handled together.
+        # Load samples, new items and results that arrive at about the same time are handled in one
+        # step.
         await asyncio.sleep(STEP_S / 4)
 
     def _step(self) -> None:
@@ -270,7 +293,7 @@
             self._drop_all()
             self._dirty = True
             return
-        # First what is ready to be recorded: it must not wait for the rest to succeed.
+        # Results come first: recording them must not depend on the success of the rest of the step.
         self._record()
         self._read_if_due()
         self._apply_registry()
@@ -287,7 +310,10 @@
             self._start_runs(index)
 
     def _record(self) -> None:
-        """Replicate what is new, beside all else: batch gives way also in a long commit."""
+        """Replicate new results in a separate task.
+
+        Runs therefore yield to online requests even during a long commit.
+        """
         if self._recording is None or self._recording.done():
             recording = self._outbox.record(self._queue.runs.values())
             self._recording = asyncio.get_running_loop().create_task(_log_errors(recording))
@@ -311,7 +337,7 @@
         self._loads.clear()
 
     def _read_if_due(self) -> None:
-        """Read what is open after a change, after a read that failed, and now and then."""
+        """Read the open items after a change, after a failed read, and once in a while."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         if not self._dirty and started_s < self._next_read_s:
@@ -326,14 +352,14 @@
                 READ_INTERVAL_S, (ended_s - started_s) / MAX_READ_SHARE
             )
             if not complete:
-                # Nothing else tells of the change that this read was to take in.
+                # No other signal repeats the change that this read should have picked up.
                 self._dirty = True
         if complete is self._read_failing:
             self._read_failing = not complete
-            logger.warning("the open items are {}", "read again" if complete else "not read yet")
+            logger.warning("reading the open items {}", "succeeds again" if complete else "fails")
 
     def _read_open(self) -> bool:
-        """Take new items in, stop those that are not open any more; return whether all was read."""
+        """Add new items and stop those no longer open; return whether everything was read."""
         opened = self._query(ReadOpenKeys(), OpenKeys)
         if opened is None:
             return False
@@ -360,7 +386,7 @@
             self._loads.log(len(self._queue.runs), sum(1 for _ in self._queue.running()))
 
     def _park(self) -> None:
-        """Give way to online requests: those runs stop that have most time left."""
+        """Park the runs with the most time left where online requests need their slots."""
         parked = self._loads.to_park()
         if not parked:
             return
@@ -374,20 +400,21 @@
             run.stop()
 
     def _end_lost_runs(self) -> None:
-        """End the runs that their back ends do not have any more."""
+        """End the runs that their back ends no longer have."""
         now_s = asyncio.get_running_loop().time()
         for run in self._loads.lost_runs.find(self._queue.running(), now_s):
             run.end_lost(now_s)
 
     def _give_up_overdue(self) -> None:
+        """Give up waiting items whose time limit has passed, whenever the ranking is renewed."""
         if not self._queue.rank(asyncio.get_running_loop().time(), self._urgency):
             return
         for run in self._queue.runs.values():
             if run.task is None and self._is_overdue(run.item) and not self._outbox.has_result(run):
-                self._outbox.dead(run, "its time is over")
+                self._outbox.dead(run, "its time limit has passed")
 
     def _start_runs(self, index: RouteIndex) -> None:
-        """Start what is most urgent, as long as there is room for it."""
+        """Start the most urgent items, as long as there is capacity for them."""
         with_capacity = {
             item for item in self._queue.services(index) if self._loads.pick_runner(item)
         }
@@ -410,22 +437,25 @@
             self._queue.put_back(run)
 
     def _is_quarantined(self, run: ItemRun) -> bool:
-        """Return whether an item waits until it may be run again without harm.
+        """Return whether an item is quarantined, because back ends crashed while running it.
 
-        It is not given up earlier than others: its time decides, and a verdict may end before.
+        Such an item is not given up early: only its own time limit ends it, since the quarantine
+        may be lifted before.
         """
         return self._quarantine.standing(run.suspect_key) is Standing.REFUSED
 
     def _start(self, run: ItemRun, runner: RunnerSeat) -> None:
-        # Counted at once, so that the next item sees this one.
+        # The slot is occupied at once, so that the choice for the next item takes it into account.
         slot = OccupiedSlot(self._loads.capacity_at(runner))
         run.assign_to(runner.record.start)
         self._monitor.run_started(run)
         run.task = asyncio.get_running_loop().create_task(self._run(run, runner, slot))
-        # A task that is cancelled before its first step runs none of its own code.
+        # A task that is cancelled before its first step runs none of its own code, so a callback
+        # cleans up.
         run.task.add_done_callback(lambda _task: self._run_ended(run, slot))
 
     def _run_ended(self, run: ItemRun, slot: OccupiedSlot) -> None:
+        """Release the slot of a run whose task has ended, and wake the loop."""
         slot.free()
         task, run.task = run.task, None
         self._monitor.run_ended(run, task)
@@ -449,8 +479,8 @@
             ended = await self._attempts.attempt(run, runner)
             run.consecutive_errors = 0
         except Exception:
-            # An item that cannot be sent would be tried at each ranking, each time on a new
-            # connection: 11 times in 3 s.
+            # Without this pause an item that cannot be sent is retried at each ranking, each time
+            # on a new connection: 11 times in 3 s.
             slot.free()
             run.sent_s = None
             run.consecutive_errors += 1
@@ -470,4 +500,4 @@
     try:
         await work
     except Exception:
-        logger.exception("results and progress are not recorded yet")
+        logger.exception("results and progress could not be recorded yet")
--- a/tests/unit/test_lots_loop_watchdog.py
+++ b/tests/unit/test_lots_loop_watchdog.py
@@ -67,6 +67,6 @@
     group.sticks = True
     assert group.stuck.wait(5.0)
     wait_until(check, 5.0)
-    assert "has made no step" in found[0].reason
+    assert "completed no step" in found[0].reason
     group.go_on.set()
     runner.stop()
