--- a/src/leverjunction/lots/item_lines.py
+++ b/src/leverjunction/lots/item_lines.py
@@ -1,4 +1,7 @@
-"""Bounded JSON lines on items: all name lot and item, so that ``grep ITEM`` tells its history."""
+"""Rate-limited JSON lines about items.
+
+Each line names its lot and item, so ``grep ITEM`` shows an item's history.
+"""
 
 from __future__ import annotations
 
@@ -10,41 +13,46 @@
 
 INTERVAL_S = 5.0
 LINES_PER_INTERVAL = 20
-"""Of one kind (event and reason): all items of a usual job."""
+"""Most lines of one kind, that is, event and reason, in an interval: enough for all items of a
+typical job.
+"""
 
 FREQUENT_LINES = 4
-"""Of a kind that a backlog and its giving way bring: a few items tell what hundreds wait for."""
+"""Most lines in an interval of the kinds that a backlog causes, where a few items stand for
+hundreds.
+"""
 
 FREQUENT_KINDS = frozenset(
     {"waits no_room", "waits waits_turn", "moves_on runs", "run_started", "run_ended parked"}
 )
+"""Kinds that are frequent while there is a backlog and its runs yield to online requests."""
 
 
 class ItemLine(msgspec.Struct, omit_defaults=True, kw_only=True):
-    """One line on an item or a lot.
+    """One line about an item or a lot.
 
     Attributes:
-        at_ms: When, by the wall clock.
+        at_ms: Wall-clock time in milliseconds.
         event: ``lot_taken_in``, ``run_started``, ``run_ended``, ``waits``, ``moves_on``,
-            ``recorded``, ``record_refused``, ``left_out``.
-        lot: Its lot.
-        item: The item.
-        items: The items of a lot, the first ones of a large one.
-        reason: Why it does not run, or how its run ended.
-        detail: What decided that.
-        figure: Runs that may be started at the best back end of its service.
-        since_ms: For how long this reason has stood, or its run took.
-        quiet_ms: Time since its last event, or since it was taken in.
-        service: Service that it waits for.
-        runner_id: Back end of its last run.
+            ``recorded``, ``record_refused`` or ``left_out``.
+        lot: Id of the lot.
+        item: Id of the item.
+        items: Ids of a lot's items, only the first ones of a large lot.
+        reason: Why the item does not run, or how its run ended.
+        detail: What caused that.
+        figure: Runs that may be started at the best back end of the service.
+        since_ms: How long the reason has applied, or how long the run took.
+        quiet_ms: Time since the item's last event, or since it became known here.
+        service: Service that the item waits for.
+        runner_id: Back end of the item's last run.
         runs: Runs that this store started.
-        parts: Pieces of the answer that came in the last one.
+        parts: Parts of the response that arrived in the last run.
         events: Events of the item that the group has.
-        tries: Commands that were sent with its result.
+        tries: Commands that were sent with the item's result.
         table: Version of the route table.
         term: Term of the group's leader.
-        index: Index that the group had applied.
-        count: How many items, or lines that were left out.
+        index: Log index that the group had applied.
+        count: Number of items, or of lines that were left out.
     """
 
     event: str
@@ -70,7 +78,7 @@
 
 
 class LineBudget:
-    """A few lines of each kind in an interval. Pure: the time is passed in.
+    """Limits the lines of each kind in an interval. Pure: the time is passed in.
 
     Attributes:
         left_out: Lines of each kind that were left out.
@@ -89,7 +97,7 @@
         return self._taken.get(kind, 0) < limit
 
     def take(self, kind: str) -> bool:
-        """Return whether one more line of a kind may be written; if not it is counted."""
+        """Count one more line of a kind; return whether it may be written."""
         if not self.allows(kind):
             self.left_out[kind] = self.left_out.get(kind, 0) + 1
             return False
@@ -97,7 +105,7 @@
         return True
 
     def renew(self, now_s: float) -> dict[str, int]:
-        """Begin an interval if the last one is over; return what was left out in that."""
+        """Start an interval if the last one is over; return the lines that were left out in it."""
         if now_s - self._started_s < INTERVAL_S:
             return {}
         self._started_s = now_s
@@ -107,7 +115,7 @@
 
 
 class ItemLineWriter:
-    """Writes them; used by one thread."""
+    """Writes lines about items within a budget. It belongs to one thread."""
 
     __slots__ = ("_budget", "_clock", "_writer")
 
@@ -117,20 +125,20 @@
         self._writer: LineWriter | None = None
 
     def allows(self, event: str, reason: str) -> bool:
-        """Return whether one more such line may be written."""
+        """Return whether one more line with this event and reason may be written."""
         return self._budget.allows(_kind(event, reason))
 
     def write(self, line: ItemLine) -> None:
-        """Write a line if its kind's bound allows; count it if not."""
+        """Write a line if the budget of its kind allows it, else count it as left out."""
         if self._budget.take(_kind(line.event, line.reason)):
             self._write(line)
 
     def left_out(self, event: str, reason: str, count: int) -> None:
-        """Note how many items have no such line now."""
+        """Set how many items have no line with this event and reason."""
         self._budget.left_out[_kind(event, reason)] = count
 
     def renew(self, now_s: float) -> None:
-        """Say how many lines were left out, once an interval is over."""
+        """Write how many lines were left out, once an interval is over."""
         for kind, count in self._budget.renew(now_s).items():
             metrics.LINES_LEFT_OUT.labels(kind).inc(count)
             self._write(ItemLine(event="left_out", reason=kind, count=count))
@@ -147,5 +155,5 @@
 
 
 def ms(duration_s: float) -> int:
-    """Return seconds as whole milliseconds."""
+    """Return a duration in seconds as whole milliseconds."""
     return round(duration_s * 1000)
--- a/src/leverjunction/lots/item_status.py
+++ b/src/leverjunction/lots/item_status.py
@@ -1,6 +1,7 @@
-"""Why an open item does not run now: one reason from a closed set. Decides nothing. Pure.
+"""Classifies why an open item does not run at present. Decides nothing. Pure.
 
-That a store does not lead is no item's matter: it has no items to tell of.
+Every open item of a leading store has exactly one reason from a closed set. Stores that do not lead
+have no items to classify.
 """
 
 from __future__ import annotations
@@ -14,51 +15,53 @@
 
 
 class Reason(StrEnum):
-    """Why an item does not run, or that it does."""
+    """Why an item does not run, or that it does run."""
 
     NOT_TAKEN_IN = "not_taken_in"
-    """The group has it open, and the runner of its leader does not know it."""
+    """The group has the item as open, but the runner of its leader does not know it."""
 
     NO_TABLE = "no_table"
     NO_ROUTE = "no_route"
     NO_BACK_END = "no_back_end"
     EJECTED = "ejected"
-    """Back ends may have room, and each of them is left alone for a while after a failure."""
+    """The only back ends with capacity are ejected, that is, avoided for a while after failures."""
 
     NOT_READ = "load_not_read"
-    """No back end of the service has told its load lately."""
+    """No back end of the service has a recent load sample."""
 
     NO_ROOM = "no_room"
     WAITS_TURN = "waits_turn"
-    """There is room: it is started at one of the next steps."""
+    """There is capacity, and the item is started in one of the next steps."""
 
     UNREADABLE = "unreadable"
-    """Its body or its events cannot be read from the group."""
+    """The item's body or its recorded events cannot be read from the group."""
 
     RUNS = "runs"
     PAUSES = "pauses"
-    """Its last run ended a moment ago, and it waits before the next one."""
+    """The item's last run has just ended, and it pauses before the next one."""
 
     STOPS = "stops"
-    """Its run is being parked."""
+    """The item's run is being parked."""
 
     RESULT_WAITS = "result_waits"
-    """It has ended, and the group does not have that yet."""
+    """The item has ended, but the group has not recorded its result yet."""
 
     TASK_LEFT = "task_left"
-    """Its run is over and was not given back. Never expected."""
+    """The task of the item's run has ended but was never cleaned up. This is not expected to
+    happen.
+    """
 
 
 class ServiceAvailability:
-    """What decides on a service's room.
+    """The figures that decide whether runs of a service can start.
 
     Attributes:
-        known: Back ends that take new work.
-        sound: Those that are not ejected.
-        read: Those of them that told their load lately.
+        known: Back ends that accept new work.
+        not_ejected: Known back ends that are not ejected.
+        with_recent_load: Back ends among these that have a recent load sample.
         allowance: Runs that may be added to the service as a whole.
-        free: Most free slots at one sound back end.
-        free_ejected: Most free slots at one that is ejected.
+        free: Largest number of free slots at a back end that is not ejected.
+        free_ejected: Largest number of free slots at an ejected back end.
     """
 
     __slots__ = ("allowance", "free", "free_ejected", "known", "not_ejected", "with_recent_load")
@@ -99,20 +102,22 @@
         return Reason.EJECTED if only_ejected else Reason.NO_ROOM
 
     def __str__(self) -> str:
+        """Return the figures as text for a log line."""
         return (
             f"{self.allowance} may be added, {self.free} free at the best back end;"
-            f" {self.known} back ends, {self.not_ejected} not ejected, {self.with_recent_load} read"
+            f" {self.known} back ends, {self.not_ejected} not ejected,"
+            f" {self.with_recent_load} with recent load"
         )
 
 
 class ItemStatus:
-    """Why an item does not run.
+    """Why an item does not run, or that it does run.
 
     Attributes:
-        reason: Why.
-        key: The same as a plain string: an enumeration's member takes long to hash.
-        service: Service that it waits for, None if it does not wait for one.
-        name: Its name.
+        reason: The reason.
+        key: Value of the reason as a plain string, since enum members are slow to hash.
+        service: Figures of the service that the item waits for, None if it waits for no service.
+        service_name: Name of that service, empty if it waits for no service.
     """
 
     __slots__ = ("key", "reason", "service", "service_name")
@@ -141,16 +146,18 @@
     Reason.NOT_READ,
     Reason.NO_BACK_END,
 )
-"""Of several services, the one where least is missing tells why."""
+"""Order in which the reason of one service is preferred where a route leads to several: the service
+closest to starting a run comes first.
+"""
 
 
 class StatusClassifier:
-    """The standings of one moment: each route is looked at once.
+    """Classifies items at one moment, examining each route only once.
 
     Args:
-        index: The route table, None before the first.
-        service: Tells of a service.
-        has_result: Tells whether an item has ended that the group still has as open.
+        index: Route table, None before the first one was received.
+        service: Returns the figures of a service, by its name.
+        has_result: Returns whether an item has ended that the group still has as open.
     """
 
     __slots__ = ("_by_route", "_has_result", "_index", "_service")
@@ -167,7 +174,7 @@
         self._by_route: dict[int, ItemStatus] = {}
 
     def classify(self, run: ItemRun) -> ItemStatus:
-        """Return why an item does not run now."""
+        """Return the current status of an item."""
         if self._has_result(run):
             return _RESULT_WAITS
         if run.trace.end is not None and run.trace.end in UNREADABLE:
@@ -186,7 +193,7 @@
         return known
 
     def startable_runs(self, runs: Iterable[ItemRun]) -> int:
-        """Return how many of these could be started at once at the best back end, task or not."""
+        """Return how many of these items the best back end could start now, running or not."""
         if self._index is None:
             return 0
         routes = {id(route): route for run in runs if (route := run.route(self._index))}
--- a/src/leverjunction/lots/record_trace.py
+++ b/src/leverjunction/lots/record_trace.py
@@ -1,4 +1,4 @@
-"""What is noted of the commands with results and progress. Decides nothing."""
+"""Notes about the commands that record results and progress. Decides nothing."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ResultAttempts:
-    """One result that the group does not have yet.
+    """Attempts to record one result that the group does not have yet.
 
     Attributes:
-        since_s: When it was first sent, monotonic seconds.
+        first_sent_s: When the result was first sent, in monotonic seconds.
         count: Commands that were sent with it.
     """
 
@@ -29,16 +29,16 @@
 
 
 class RecordTrace:
-    """Used by one event loop.
+    """Tracks the commands that record results and progress. It belongs to one event loop.
 
     Args:
-        now_s: Tells monotonic seconds.
-        lines: Where results are told of that took several tries; None for nowhere.
+        now_s: Returns the time in monotonic seconds.
+        lines: Receives a line for each result that took several attempts; None for no lines.
 
     Attributes:
-        taken_s: When the group took a command last.
-        begun_s: When the command was sent whose reply is not here, None if none is.
-        last_failure: Why a command was not taken last, empty since one was.
+        accepted_s: When the group last accepted a command.
+        sent_s: When the command was sent whose reply is pending, None if there is none.
+        last_failure: Why the last command was not accepted, empty if it was.
     """
 
     __slots__ = (
@@ -63,20 +63,20 @@
         self.last_failure = ""
 
     def clear(self) -> None:
-        """Forget results: another store leads. A command that is under way still is."""
+        """Forget the results, since another store leads; a pending command remains pending."""
         self._attempts.clear()
         self.last_failure = ""
 
     def attempts(self, key: ItemKey) -> ResultAttempts | None:
-        """Return what is known of a result, None if it was not sent yet."""
+        """Return the attempts to record a result, None if it was not sent yet."""
         return self._attempts.get(key)
 
     @suppress_errors
     def begin(self, command: RecordRuns) -> None:
-        """Note a command that is sent now; one before it without a reply has raised."""
+        """Note that a command is sent; a previous one without a reply has raised an error."""
         if self._command is not None:
             metrics.RECORDS.labels("raised").inc()
-            self.last_failure = "the command raised; its stack is in the log"
+            self.last_failure = "the command raised an error; see its traceback in the log"
         self._command = command
         now_s = self.sent_s = self._now_s()
         for result in command.results:
@@ -85,7 +85,7 @@
 
     @suppress_errors
     def returned(self, reply: Recorded | Failure) -> None:
-        """Note a command's reply."""
+        """Note the reply to the pending command."""
         command, self._command, self.sent_s = self._command, None, None
         if command is None:
             return
@@ -98,7 +98,7 @@
         self.accepted_s = self._now_s()
         for key in reply.rejected:
             metrics.RECORDS.labels("item_refused").inc()
-            self._log("record_refused", key, "its events do not follow on what the group has")
+            self._log("record_refused", key, "its events do not continue those that the group has")
         for result in command.results:
             self._result_accepted((result.lot_id, result.item_id), result.state.value)
 
--- a/src/leverjunction/lots/runner_monitor.py
+++ b/src/leverjunction/lots/runner_monitor.py
@@ -1,7 +1,7 @@
-"""Tells why open items do not run: figures, bounded lines, and a word when work lies still.
+"""Reports why open items do not run, by metrics, rate-limited log lines and stall warnings.
 
-Looks at what the runner has at most once a second, and decides nothing. A fault here is logged and
-never reaches the runner.
+The monitor examines the runner's state at most once a second and decides nothing. Its own errors
+are logged and never reach the runner.
 """
 
 from __future__ import annotations
@@ -26,38 +26,43 @@
 from leverjunction.routes.matching import RouteIndex
 
 UPDATE_INTERVAL_S = 1.0
-"""Seconds. With 750 open items a look takes milliseconds, and a person reads no faster."""
+"""Seconds between two updates: often enough for a person who follows them. With 750 open items an
+update takes milliseconds.
+"""
 
 MAX_CPU_SHARE = 1 / 200
-"""Of the time that looks may take: with a hundred thousand open items they are less frequent."""
+"""Largest share of time that updates may take. With a hundred thousand open items they are
+therefore less frequent.
+"""
 
 LOG_AFTER_S = 5.0
-"""Seconds without an event after which an item has a line: half of the silence that a run is borne
-for (``lost_runs.MAX_FIRST_SILENCE_S``).
+"""Seconds without an event after which an item is logged: half of the longest silence that is
+accepted of an item's first run (``lost_runs.MAX_FIRST_SILENCE_S``).
 """
 
 COMPARE_INTERVAL_S = 5.0
-"""Seconds between two comparisons with what the group has open: they read all keys."""
+"""Seconds between two comparisons with the group's open items, each of which reads all their keys.
+"""
 
 MAX_ITEMS_NAMED = 32
-"""Items of a lot that its line names."""
+"""Most items of a lot that its log line names."""
 
 UNLOGGED_ENDS = frozenset({RunEnd.DONE})
-"""Runs that are only counted."""
+"""Ends of runs that are counted but not logged."""
 
 
 class RunnerSnapshot:
-    """What there is to see at one moment.
+    """The state of the runner at one moment.
 
     Attributes:
-        status: Of the group's replica here.
-        index: The route table, None before the first.
-        back_ends: How many are known.
-        runs: The open items that the runner knows.
-        service: Tells of a service's room.
-        has_result: Tells whether an item has ended that the group still has as open.
-        waiting: Results that the group does not have yet.
-        open_keys: Reads what the group has open; None when that fails.
+        status: Status of the group's local replica.
+        index: Route table, None before the first one was received.
+        back_ends: Number of known back ends.
+        runs: Open items that the runner knows.
+        service: Returns the figures that decide whether runs of a service can start.
+        has_result: Returns whether an item has ended that the group still has as open.
+        pending_results: Results that the group has not recorded yet.
+        open_keys: Reads the keys of the group's open items; returns None when that fails.
     """
 
     __slots__ = (
@@ -99,13 +104,15 @@
 
 
 class RunnerMonitor:
-    """Used by the runner's event loop.
+    """Sets metrics and writes log lines about the runner's items.
+
+    It belongs to the runner's event loop.
 
     Args:
         clock: Source of time.
 
     Attributes:
-        records: Takes what becomes of commands.
+        records: Receives the outcome of commands that record results and progress.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -127,7 +134,7 @@
     def lot_accepted(
         self, lot_id: str, items: Iterable[OpenItem], read_status: Callable[[], GroupStatus]
     ) -> None:
-        """Note the open items of a lot that the runner did not know."""
+        """Log the open items of a lot that are new to the runner."""
         status = read_status()
         item_ids = [item.item_id for item in items]
         self._lines.write(
@@ -143,7 +150,7 @@
 
     @suppress_errors
     def run_started(self, run: ItemRun) -> None:
-        """Note a run that was started; the first one of an item has no line."""
+        """Count the start of a run; only an item's second and later runs are logged."""
         now_s = self._last_start_s = self._clock.monotonic_s()
         run.trace.start(now_s)
         metrics.STARTS.inc()
@@ -152,12 +159,14 @@
 
     @suppress_errors
     def run_ended(self, run: ItemRun, task: asyncio.Task[None] | None) -> None:
-        """Note the end of a run and of its task."""
+        """Count the end of a run whose task has ended, and log it unless the item is done."""
         trace = run.trace
         error = task.exception() if task is not None and not task.cancelled() else None
         if error is not None:
             trace.set_end(RunEnd.RAISED, repr(error))
-            logger.opt(exception=error).error("a run of item {} of lot {} raised", *run.key[::-1])
+            logger.opt(exception=error).error(
+                "a run of item {} of lot {} raised an error", *run.key[::-1]
+            )
         trace.set_end(RunEnd.PARKED if run.parking else RunEnd.STOPPED)
         assert trace.end is not None
         metrics.RUNS.labels(trace.end.value).inc()
@@ -179,7 +188,11 @@
 
     @suppress_errors
     def update(self, take_snapshot: Callable[[], RunnerSnapshot]) -> None:
-        """Set the figures and write the lines that are due, at most once in an interval."""
+        """Set the metrics and write the log lines that are due, at most once per interval.
+
+        Args:
+            take_snapshot: Returns the runner's state; called only when an update is due.
+        """
         now_s = self._clock.monotonic_s()
         if now_s < self._next_update_s:
             return
@@ -246,12 +259,12 @@
             logger.warning("{}", message) if self._stall.stalled else logger.info("{}", message)
 
     def _log_leadership_gained(self, snapshot: RunnerSnapshot, now_s: float) -> None:
-        """Say what a store that begins to lead found, and when it has no table."""
+        """Log what a store finds when it starts to lead, and that a route table is missing."""
         is_new = self._leader_since_s is None
         if is_new:
             self._leader_since_s = now_s
             logger.info(
-                "runs the items of {} in term {}: {} open in {} lots, route table {},"
+                "running the items of {} in term {}: {} open in {} lots, route table {},"
                 " {} back ends known",
                 snapshot.status.group,
                 snapshot.status.term,
@@ -262,14 +275,14 @@
             )
         if snapshot.index is None and snapshot.runs and self._logged_table != 0:
             self._logged_table = 0
-            logger.warning("{} open items wait: there is no route table yet", len(snapshot.runs))
+            logger.warning("{} open items are waiting: no route table yet", len(snapshot.runs))
         elif snapshot.index is not None:
             self._logged_table = snapshot.table
 
     def _log_leadership_lost(self, status: GroupStatus) -> None:
         if self._leader_since_s is None:
             return
-        logger.info("runs items no longer: {} in term {}", status.role, status.term)
+        logger.info("no longer running items: {} in term {}", status.role, status.term)
         self._leader_since_s = None
         self._logged_table = -1
         self._logged.clear()
@@ -287,7 +300,7 @@
             gauge.set(0)
 
     def _find_unknown_items(self, snapshot: RunnerSnapshot, now_s: float) -> None:
-        """Look for open items that the runner does not know, at two comparisons in a row."""
+        """Log open items that were unknown to the runner at two comparisons in a row."""
         if now_s - self._compared_s < COMPARE_INTERVAL_S:
             return
         self._compared_s = now_s
@@ -304,17 +317,17 @@
             self._lines.write(line)
 
     def _open_keys(self, snapshot: RunnerSnapshot) -> Collection[ItemKey] | None:
-        """Return what the group has open; None when that cannot be read, which is told."""
-        detail = "the group's replica refuses"
+        """Return the keys of the group's open items, None if they cannot be read."""
+        detail = "the group's replica refused the query"
         opened: Collection[ItemKey] | None = None
         try:
             opened = snapshot.open_keys()
         except Exception as error:
             detail = repr(error)
         if opened is None and self._readable:
-            logger.warning("what is open cannot be read: {}", detail)
+            logger.warning("the open items cannot be read: {}", detail)
         elif opened is not None and not self._readable:
-            logger.info("what is open can be read again")
+            logger.info("the open items can be read again")
         self._readable = opened is not None
         return opened
 
@@ -324,7 +337,7 @@
         snapshot: RunnerSnapshot,
         now_s: float,
     ) -> None:
-        """Write lines on the items that are quiet for longest, and how many have none."""
+        """Log the items longest without an event, and count those beyond the line budget."""
         for reason, items in unlogged.items():
             if self._lines.allows("waits", reason):
                 items.sort(key=lambda pair: pair[0].trace.heard_s, reverse=True)
@@ -371,7 +384,7 @@
             line.since_ms = ms(now_s - attempts.first_sent_s)
 
     def _log_resumed(self, snapshot: RunnerSnapshot, now_s: float) -> None:
-        """Say of items that had a line that they go on."""
+        """Log that items reported as waiting have made progress or are no longer open."""
         for key, run in list(self._logged.items()):
             trace = run.trace
             is_open = key in snapshot.runs
@@ -391,9 +404,9 @@
 
     def _set_record_gauges(self, pending_results: int, now_s: float) -> None:
         led_s = now_s if self._leader_since_s is None else self._leader_since_s
-        started_s = self.records.sent_s
+        sent_s = self.records.sent_s
         metrics.RECORDS_WAITING.set(pending_results)
-        metrics.RECORD_UNDER_WAY_S.set(0 if started_s is None else now_s - started_s)
+        metrics.RECORD_UNDER_WAY_S.set(0 if sent_s is None else now_s - sent_s)
         metrics.SINCE_START_S.set(now_s - max(self._last_start_s, led_s))
         metrics.SINCE_RECORD_S.set(now_s - max(self.records.accepted_s, led_s))
 
@@ -404,10 +417,11 @@
 
 
 def _update_trace(trace: RunTrace, status: str, now_s: float) -> str:
-    """Take an item's standing of this moment; return what it is counted as."""
+    """Update an item's status in its trace; return the status under which it is counted."""
     if status != trace.status:
         if status == TASK_LEFT and trace.status != TASK_LEFT_ONCE:
-            # Between the end of a task and its callback nothing is wrong.
+            # A task may be seen after its end and before its callback, so only a second sighting
+            # counts.
             trace.status, trace.status_since_s = TASK_LEFT_ONCE, now_s
             return Reason.PAUSES.value
         if status != TASK_LEFT or trace.status != TASK_LEFT_ONCE:
@@ -419,7 +433,7 @@
 
 
 def _is_due(trace: RunTrace, now_s: float) -> bool:
-    """Return whether an item is quiet for long, for one reason at more than one look."""
+    """Return whether an item has had no event for long, with the same status at several updates."""
     if now_s - trace.heard_s < LOG_AFTER_S:
         return False
     return now_s - trace.status_since_s >= (
--- a/src/leverjunction/lots/stall_watch.py
+++ b/src/leverjunction/lots/stall_watch.py
@@ -1,31 +1,34 @@
-"""Notices that work lies still though it could go on. Decides nothing. Pure."""
+"""Detects that work has stopped although it could continue. Decides nothing. Pure."""
 
 from __future__ import annotations
 
 STALL_S = 3.0
-"""Seconds. Two commits that take their whole time (``outbox.PROPOSE_TIMEOUT_S``): a run that can
-be started is started within a step, 0.1 s, and the pause after a failed one, 0.3 s.
+"""Seconds without any start or commit that count as a stall: two commits that take their whole time
+(``outbox.PROPOSE_TIMEOUT_S``). Starting a run takes less, namely a step of 0.1 s and, after a
+failed run, a pause of 0.3 s.
 """
 
 ACTIVE_S = 5.0
-"""Seconds. A run that was started, or told something, so lately moves: longer than the reading of a
-long prompt, half of the silence that a run is borne for (``lost_runs.MAX_FIRST_SILENCE_S``).
+"""Seconds since a run's start or its last event for which the run counts as active. Longer than a
+back end needs to process a long prompt, and half of the longest silence that is accepted of a first
+run (``lost_runs.MAX_FIRST_SILENCE_S``).
 """
 
 REPEAT_S = 30.0
-"""Seconds between two lines on the same stall."""
+"""Seconds between two log lines about the same stall."""
 
 
 class WorkState:
-    """The figures of one moment.
+    """The figures of the runner's work at one moment.
 
     Attributes:
         open_items: Open items.
-        lively: Those that run and have shown a sign of life within ``LIVELY_S``.
-        room: Runs that may be started at once.
-        started_s: When a run was started last, or the lead began.
-        recorded_s: When the group took a command last, or the lead began.
-        reasons: Open items by why they do not run, for a person.
+        active_runs: Runs that were started or sent an event within ``ACTIVE_S``.
+        startable_runs: Runs that may be started at once.
+        started_s: When the last run was started or leadership began, in monotonic seconds.
+        recorded_s: When the group last accepted a command or leadership began, in monotonic
+            seconds.
+        reasons: Numbers of open items by the reason why they do not run, as text for a log line.
     """
 
     __slots__ = (
@@ -55,14 +58,14 @@
         self.reasons = reasons
 
     def is_stalled(self, now_s: float) -> bool:
-        """Return whether something is open, room is known, and nothing moves."""
+        """Return whether there are open items and capacity for runs, but no progress."""
         if not self.open_items or self.active_runs or not self.startable_runs:
             return False
         return now_s - max(self.started_s, self.recorded_s) >= STALL_S
 
 
 class StallWatch:
-    """Tells when work begins to lie still, from time to time while it does, and when it is over."""
+    """Reports the start of a stall, repeats the report while it lasts, and reports its end."""
 
     __slots__ = ("_logged_s", "_since_s")
 
@@ -72,35 +75,35 @@
 
     @property
     def stalled(self) -> bool:
-        """Whether work lies still."""
+        """Whether work is stalled."""
         return self._since_s is not None
 
     def update(self, state: WorkState, now_s: float) -> str:
-        """Take the figures of this moment; return what is to be told, mostly nothing."""
+        """Take the current figures; return the text to log, empty unless a report is due."""
         if not state.is_stalled(now_s):
             since_s, self._since_s = self._since_s, None
             self._logged_s = float("-inf")
             if since_s is None:
                 return ""
-            return f"stalled no longer, after {now_s - since_s:.1f} s: {state.open_items} open"
+            return f"no longer stalled, after {now_s - since_s:.1f} s: {state.open_items} open"
         if self._since_s is None:
             self._since_s = max(state.started_s, state.recorded_s)
         if now_s - self._logged_s < REPEAT_S:
             return ""
         self._logged_s = now_s
         return (
-            f"stalled: {state.open_items} open items, room for {state.startable_runs},"
+            f"stalled: {state.open_items} open items, capacity for {state.startable_runs} runs,"
             f" no run started for {now_s - state.started_s:.1f} s,"
             f" nothing recorded for {now_s - state.recorded_s:.1f} s; {state.reasons}"
         )
 
 
 class AgeWatch:
-    """Tells when something has not been heard of for long, and when it is again.
+    """Reports that something has not happened for long, and that it happens again.
 
     Args:
-        what: What is not heard, as in "the runner has not taken a step".
-        limit_s: From which age on it is told.
+        condition: What is reported, such as "the runner has not taken a step".
+        limit_s: Age in seconds from which it is reported.
     """
 
     __slots__ = ("_condition", "_limit_s", "_since_s")
@@ -111,7 +114,7 @@
         self._since_s: float | None = None
 
     def update(self, age_s: float, now_s: float) -> str:
-        """Take the age of this moment; return what is to be told, mostly nothing."""
+        """Take the current age in seconds; return the text to log, empty if nothing changed."""
         if age_s >= self._limit_s:
             known, self._since_s = self._since_s, now_s - age_s
             return "" if known is not None else f"{self._condition} for {age_s:.1f} s"
--- a/src/leverjunction/lots/suppressed_errors.py
+++ b/src/leverjunction/lots/suppressed_errors.py
@@ -1,4 +1,4 @@
-"""Keeps a fault of what only tells from reaching what works."""
+"""Keeps errors of monitoring code from affecting the code that it monitors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def suppress_errors(function: Callable[P, None]) -> Callable[P, None]:
-    """Have a function that only tells raise nothing: faults are counted, the first is logged."""
+    """Make a monitoring function raise nothing: errors are counted, and the first one is logged."""
     faults = 0
 
     @functools.wraps(function)
@@ -26,6 +26,6 @@
             faults += 1
             metrics.SIGHT_FAULTS.inc()
             if faults == 1:
-                logger.exception("{} could not tell", function.__qualname__)
+                logger.exception("{} failed; its errors are suppressed", function.__qualname__)
 
     return wrapper
--- a/tests/unit/test_lots_runner_monitor.py
+++ b/tests/unit/test_lots_runner_monitor.py
@@ -125,7 +125,7 @@
         3,
         1,
     )
-    assert "WARNING 3 open items wait: there is no route table yet\n" in words
+    assert "WARNING 3 open items are waiting: no route table yet\n" in words
     assert figure("lots_oldest_open_seconds") > 0.5
 
 
@@ -155,7 +155,9 @@
     wait_until(shows("no_room", 1))
     (line,) = seen.wait("waits")
     assert (line["reason"], line["figure"], line["table"]) == ("no_room", 0, 7)
-    assert "0 free at the best back end; 1 back ends, 1 not ejected, 1 read" in str(line["detail"])
+    assert "0 free at the best back end; 1 back ends, 1 not ejected, 1 with recent load" in str(
+        line["detail"]
+    )
     back_end.online = 0
     wait_until(lambda: "item-0" in store.results())
     (moved,) = seen.wait("moves_on")
@@ -269,16 +271,18 @@
 def test_a_store_says_when_it_begins_and_ceases_to_lead(
     store: OneStore, words: list[str], runner: LotsRunner, back_end: RunnerStandIn
 ) -> None:
-    wait_until(lambda: any("runs the items of jobs-0 in term 1: 0 open" in word for word in words))
+    wait_until(
+        lambda: any("running the items of jobs-0 in term 1: 0 open" in word for word in words)
+    )
     store.role = "follower"
     runner.changed()
-    wait_until(lambda: any("runs items no longer: follower in term 1" in word for word in words))
+    wait_until(lambda: any("no longer running items: follower in term 1" in word for word in words))
     submit(store, 2)
     back_end.online = 8
     runner.set_registry(registry(ROUTED, back_end))
     store.role = "leader"
     begins = (
-        "INFO runs the items of jobs-0 in term 1: 2 open in 1 lots, route table 7,"
+        "INFO running the items of jobs-0 in term 1: 2 open in 1 lots, route table 7,"
         " 1 back ends known\n"
     )
     wait_until(lambda: begins in words)
@@ -369,9 +373,9 @@
     assert shows("waits_turn", 1)()
     fixture.error = None
     fixture.update(6)
-    assert [word for word in words if "what is open" in word] == [
-        "WARNING what is open cannot be read: OSError('the disk')\n",
-        "INFO what is open can be read again\n",
+    assert [word for word in words if "the open items" in word] == [
+        "WARNING the open items cannot be read: OSError('the disk')\n",
+        "INFO the open items can be read again\n",
     ]
 
 
@@ -388,15 +392,15 @@
     assert shows("task_left", 1)()
     assert figure("lots_stalled") == 1
     assert [word for word in words if "stalled" in word] == [
-        "WARNING stalled: 1 open items, room for 4, no run started for 3.0 s, nothing recorded"
-        " for 3.0 s; 1 task_left\n"
+        "WARNING stalled: 1 open items, capacity for 4 runs, no run started for 3.0 s,"
+        " nothing recorded for 3.0 s; 1 task_left\n"
     ]
     (line,) = seen.wait("waits")
     assert (line["item"], line["reason"]) == ("a", "task_left")
     fixture.runs.clear()
     fixture.update()
     assert figure("lots_stalled") == 0
-    assert "INFO stalled no longer, after 8.0 s: 0 open\n" in words
+    assert "INFO no longer stalled, after 8.0 s: 0 open\n" in words
 
 
 def test_hundreds_of_items_have_few_lines(seen: Seen) -> None:
@@ -438,4 +442,4 @@
     fixture.runs["lot", "a"].item = None  # type: ignore[assignment]
     fixture.update(2)
     assert figure("lots_sight_faults_total") == before + 2
-    assert sum("could not tell" in word for word in words) <= 1
+    assert sum("its errors are suppressed" in word for word in words) <= 1
--- a/tests/unit/test_lots_stall_watch.py
+++ b/tests/unit/test_lots_stall_watch.py
@@ -50,13 +50,13 @@
     watch = StallWatch()
     first = watch.update(state(), NOW_S)
     assert first == (
-        "stalled: 3 open items, room for 4, no run started for 50.0 s, nothing recorded for"
-        " 50.0 s; 3 task_left"
+        "stalled: 3 open items, capacity for 4 runs, no run started for 50.0 s,"
+        " nothing recorded for 50.0 s; 3 task_left"
     )
     assert watch.update(state(), NOW_S + 1) == ""
     assert watch.update(state(), NOW_S + REPEAT_S).startswith("stalled:")
     over = watch.update(state(active_runs=1), NOW_S + REPEAT_S + 1)
-    assert over == "stalled no longer, after 81.0 s: 3 open"
+    assert over == "no longer stalled, after 81.0 s: 3 open"
     assert not watch.stalled
     assert watch.update(state(active_runs=1), NOW_S + REPEAT_S + 2) == ""
     assert watch.update(state(), NOW_S + REPEAT_S + 3).startswith("stalled:")
