--- a/tests/unit/test_lots_batch_capacity.py
+++ b/tests/unit/test_lots_batch_capacity.py
@@ -1,4 +1,4 @@
-"""Room for batch beside online requests."""
+"""Capacity for batch runs beside online requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def service(*online: int) -> ServiceCapacity:
-    """Back ends that were watched for long; ``online`` is what each has now."""
+    """Return a service that was watched for long; ``online`` is what each back end has now."""
     capacity = ServiceCapacity()
     sample(capacity, NOW_S - WINDOW_S * 2, *(0 for _ in online))
     sample(capacity, NOW_S, *online)
@@ -35,7 +35,7 @@
     capacity.update(now_s)
 
 
-def test_without_a_reading_nothing_is_added() -> None:
+def test_without_a_sample_nothing_is_added() -> None:
     assert ServiceCapacity().allowance(NOW_S) == 0
     assert RunnerCapacity(SLOTS).free(NOW_S) == 0
 
@@ -46,8 +46,8 @@
     assert capacity.runners["0"].free(NOW_S) == 12
 
 
-def test_an_idle_service_is_filled_where_gateways_tell_of_their_requests() -> None:
-    """A slot of each back end stayed free for requests that nobody had sent for long."""
+def test_an_idle_service_is_filled_where_gateways_report_their_requests() -> None:
+    """Guards against a slot of each back end staying free although gateways report no request."""
     capacity = reported_service(0, 0)
     assert capacity.allowance(NOW_S + 2) == 24
 
@@ -55,7 +55,7 @@
 def test_a_reserve_is_kept_up_to_the_latest_peak_of_the_service() -> None:
     capacity = service(7, 1)
     sample(capacity, NOW_S + 1, 1, 1)
-    # 24 slots, 2 online, and a third of the 8 that were there a second ago.
+    # 24 slots, 2 online requests, and a third of the 8 that were online a second ago.
     assert capacity.allowance(NOW_S + 1) == 24 - 2 - 3
     sample(capacity, NOW_S + WINDOW_S + 0.5, 1, 1)
     sample(capacity, NOW_S + WINDOW_S + 1.5, 1, 1)
@@ -63,7 +63,7 @@
 
 
 def test_a_lull_after_a_high_peak_is_filled_but_for_the_reserve() -> None:
-    """Room for the whole peak was kept all the time, and batch was held to its floor."""
+    """Guards against keeping free slots for the whole peak, which held batch to its floor."""
     capacity = service(11, 11)
     sample(capacity, NOW_S + 1, 1, 1)
     assert capacity.allowance(NOW_S + 1) == 24 - 2 - 7
@@ -74,8 +74,10 @@
     [(REACTION_S * 1.01, 3), (REACTION_S / 2 * 1.01, 6), (REACTION_S / 4, 7)],
     ids=["slowly", "faster", "at most a third of the peak"],
 )
-def test_the_reserve_is_what_came_lately_while_batch_gives_way(step_s: float, reserve: int) -> None:
-    """A fixed share was kept in each lull, and a third of the slots stood empty there."""
+def test_the_reserve_is_what_arrived_lately_within_the_reaction_time(
+    step_s: float, reserve: int
+) -> None:
+    """Guards against a fixed reserve, which left a third of the slots empty in each lull."""
     capacity = service(0, 0)
     for step in range(8):
         sample(capacity, NOW_S + 1 + step * step_s, 3 * step, 0)
@@ -84,15 +86,18 @@
 
 
 def test_peaks_of_single_back_ends_at_different_times_do_not_add_up() -> None:
-    """Each back end's own peak overstated what online needed of all, and batch was starved."""
+    """Guards against adding up each back end's own peak, which starved batch."""
     capacity = service(8, 2)
     sample(capacity, NOW_S + 1, 2, 8)
     assert capacity.allowance(NOW_S + 1) == 12
 
 
 def test_many_small_back_ends_are_not_left_half_empty() -> None:
-    """A slot of each was left free beside the reserve, and readings that wavered made that large:
-    batch had 24 of 72 slots with 26 online requests, and hundreds of items waited."""
+    """Guards against a margin slot per back end on top of the reserve.
+
+    Fluctuating load samples made the reserve large: batch had 24 of 72 slots with 26 online
+    requests, and hundreds of items waited.
+    """
     capacity = ServiceCapacity()
     sample(capacity, NOW_S - WINDOW_S * 2, *[3] * 8)
     sample(capacity, NOW_S, *[5] * 8)
@@ -100,7 +105,7 @@
     assert capacity.allowance(NOW_S + 1) == 8 * SLOTS - 24 - round(40 / 3)
 
 
-def test_batch_is_parked_as_online_requests_come() -> None:
+def test_batch_is_parked_as_online_requests_arrive() -> None:
     capacity = service(10, 10)
     sample(capacity, NOW_S + 1, 0, 0)
     for runner in capacity.runners.values():
@@ -114,7 +119,7 @@
     assert [runner.excess(NOW_S + 3) for runner in capacity.runners.values()] == [5, 5]
 
 
-def test_without_readings_nothing_is_parked() -> None:
+def test_without_samples_nothing_is_parked() -> None:
     capacity = service(0)
     for _ in range(9):
         capacity.runners["0"].add_run()
@@ -123,7 +128,7 @@
 
 @pytest.mark.parametrize("counted", [0, 5])
 def test_own_runs_are_not_taken_for_online_ones(counted: int) -> None:
-    """Whether or not a reading counts the runs that have just begun: it is a little old."""
+    """A sample is slightly out of date and may or may not count runs that have just started."""
     capacity = service(0)
     runner = capacity.runners["0"]
     for _ in range(5):
@@ -153,14 +158,14 @@
 
 
 @pytest.mark.parametrize(("age_s", "allowed"), [(STALE_S - 0.1, 11), (STALE_S + 0.1, 0)])
-def test_an_old_reading_is_not_gone_by(age_s: float, allowed: int) -> None:
+def test_an_old_sample_is_not_used(age_s: float, allowed: int) -> None:
     capacity = service(0)
     assert capacity.runners["0"].free(NOW_S + age_s) == (12 if allowed else 0)
     assert capacity.allowance(NOW_S + age_s) == allowed
 
 
 def test_a_lull_is_not_filled_before_a_burst_can_have_been_seen() -> None:
-    """A new leader filled the lull after its start, and the next burst waited behind it."""
+    """Guards against a new leader filling the first lull, ahead of the next burst."""
     capacity = ServiceCapacity()
     sample(capacity, NOW_S, 0, 0)
     assert capacity.allowance(NOW_S) == 24 - 8
@@ -178,7 +183,7 @@
 
 
 def report(capacity: ServiceCapacity, now_s: float, *online: int, waiting_online: int = 0) -> None:
-    """Gateways tell how many online requests each back end has."""
+    """Report how many online requests each back end has, as gateways do."""
     for number, count in enumerate(online):
         capacity.runner(str(number), SLOTS).report_online(count, now_s)
     capacity.set_gateway_reports(gateway_count=2, interval_s=0.0, waiting_online=waiting_online)
@@ -186,7 +191,7 @@
 
 
 def reported_service(*online: int) -> ServiceCapacity:
-    """Back ends whose online requests gateways have told of for long."""
+    """Return a service whose online requests gateways have reported for long."""
     capacity = service(*online)
     for step in range(3):
         report(capacity, NOW_S + step, *online)
@@ -194,7 +199,7 @@
     return capacity
 
 
-def test_told_requests_are_not_counted_again_when_a_report_shows_them() -> None:
+def test_reported_requests_are_not_counted_again_when_a_sample_shows_them() -> None:
     capacity = reported_service(4, 2)
     assert [
         (runner.reported_online, runner.unreported_online) for runner in capacity.runners.values()
@@ -209,18 +214,18 @@
     ("age_s", "unreported_online"),
     [(0.05, 0), (SAMPLE_LAG_S - 0.05, 0), (SAMPLE_LAG_S + BUCKET_S + 0.05, 4)],
 )
-def test_a_request_whose_end_was_told_is_not_untold_while_reports_lag(
+def test_a_request_whose_end_was_reported_is_not_unreported_while_samples_lag(
     age_s: float, unreported_online: int
 ) -> None:
-    """Each end would otherwise look like an arrival that no gateway tells of."""
+    """Guards against taking each reported end for the arrival of an unreported request."""
     capacity = reported_service(4)
     report(capacity, NOW_S + 3, 0)
     sample(capacity, NOW_S + 3 + age_s, 4)
     assert capacity.runners["0"].unreported_online == unreported_online
 
 
-def test_batch_is_parked_as_soon_as_a_request_is_told() -> None:
-    """Until a report showed it, a request waited behind batch for a fifth of a second."""
+def test_batch_is_parked_as_soon_as_a_request_is_reported() -> None:
+    """Guards against a request waiting 0.2 s behind batch until a load sample shows it."""
     capacity = reported_service(2, 2)
     for runner in capacity.runners.values():
         for _ in range(10):
@@ -229,21 +234,21 @@
     assert [runner.excess(NOW_S + 2.01) for runner in capacity.runners.values()] == [2, 0]
 
 
-def test_the_reserve_is_smaller_where_batch_gives_way_sooner() -> None:
-    """A third of the slots stood empty in each lull, with dozens of items waiting."""
-    record_sample, reported_online = service(0, 0), reported_service(0, 0)
+def test_the_reserve_is_smaller_where_batch_yields_sooner() -> None:
+    """Guards against a third of the slots staying empty in each lull while dozens of items wait."""
+    sampled, reported = service(0, 0), reported_service(0, 0)
     for step in range(12):
-        sample(record_sample, NOW_S + 3 + step * REACTION_S / 6, step, 0)
-        report(reported_online, NOW_S + 3 + step * REACTION_S / 6, step, 0)
-    sample(record_sample, NOW_S + 5, 0, 0)
-    report(reported_online, NOW_S + 5, 0, 0)
-    sample(reported_online, NOW_S + 5, 0, 0)
-    assert record_sample.allowance(NOW_S + 5) == 24 - 4
-    assert reported_online.allowance(NOW_S + 5) == 24 - 1
+        sample(sampled, NOW_S + 3 + step * REACTION_S / 6, step, 0)
+        report(reported, NOW_S + 3 + step * REACTION_S / 6, step, 0)
+    sample(sampled, NOW_S + 5, 0, 0)
+    report(reported, NOW_S + 5, 0, 0)
+    sample(reported, NOW_S + 5, 0, 0)
+    assert sampled.allowance(NOW_S + 5) == 24 - 4
+    assert reported.allowance(NOW_S + 5) == 24 - 1
 
 
-def test_what_one_more_gateway_tells_is_no_rise() -> None:
-    """After each change of leader all that ran already looked like a burst for eight seconds."""
+def test_the_reports_of_one_more_gateway_are_no_rise() -> None:
+    """Guards against taking all running requests for a burst, for 8 s after a change of leader."""
     capacity = ServiceCapacity()
     sample(capacity, NOW_S - WINDOW_S, 8, 8)
     sample(capacity, NOW_S, 8, 8)
@@ -254,13 +259,13 @@
     assert capacity.allowance(NOW_S + 1) == 24
 
 
-def test_requests_that_wait_at_gateways_have_their_slots_kept() -> None:
+def test_slots_are_kept_for_requests_that_wait_at_gateways() -> None:
     capacity = reported_service(1, 1)
     report(capacity, NOW_S + 2.1, 1, 1, waiting_online=5)
     assert capacity.allowance(NOW_S + 2.1) == 24 - 2 - 5
 
 
-def test_a_new_leader_keeps_less_where_gateways_tell_it() -> None:
+def test_a_new_leader_keeps_a_smaller_reserve_where_gateways_report() -> None:
     capacity = ServiceCapacity()
     sample(capacity, NOW_S, 0, 0)
     report(capacity, NOW_S, 0, 0)
@@ -268,13 +273,13 @@
     assert capacity.allowance(NOW_S) == 24 - kept == 23
 
 
-def test_a_back_end_that_does_not_tell_its_load_holds_up_no_other() -> None:
-    """Items were started and stopped again and again, or not started at all, beside free slots.
+def test_a_back_end_without_load_samples_holds_up_no_other() -> None:
+    """Guards against items being started and stopped repeatedly, or not at all, beside free slots.
 
-    Sequence: one back end is full of batch and no reading of it comes any more; another one is
-    read and idle. Cause: the runs at all back ends were held against the slots of those that are
-    read. Settled by: loads told late by some back ends, runs of one event each (0.1 to 0.3 s), ten
-    and more of an item; with two back ends of 12 slots 0 runs allowed in place of 11.
+    One back end is full of batch runs and answers no more load samples, while another one is idle.
+    The runs at both were counted against the slots of the sampled one alone: with two back ends of
+    12 slots, 0 runs were allowed instead of 11. Items had ten or more runs of one event each (0.1
+    to 0.3 s).
     """
     capacity = service(0, 0)
     for _ in range(SLOTS):
--- a/tests/unit/test_lots_item_queue.py
+++ b/tests/unit/test_lots_item_queue.py
@@ -1,10 +1,10 @@
-"""The order of open items, and what is done with hundreds of them."""
+"""The order of open items, also with hundreds of them."""
 
 from __future__ import annotations
 
 import pytest
 
-from leverjunction.lots import item_queue as board_module
+from leverjunction.lots import item_queue as queue_module
 from leverjunction.lots.commands import OpenItem
 from leverjunction.lots.item_queue import RANKING_MAX_AGE_S, ItemQueue
 from leverjunction.lots.item_run import ItemRun
@@ -29,70 +29,70 @@
     )
 
 
-def by_due(run: ItemRun) -> Urgency:
+def rank_by_due(run: ItemRun) -> Urgency:
     return Urgency(False, run.item.due_ms)
 
 
-def names(board: ItemQueue) -> list[str]:
-    return [run.item.item_id for run in board.take()]
+def names(queue: ItemQueue) -> list[str]:
+    return [run.item.item_id for run in queue.take()]
 
 
 @pytest.fixture
-def board() -> ItemQueue:
-    made = ItemQueue()
-    made.add([item("c", 3), item("a", 1), item("b", 2)])
-    return made
+def queue() -> ItemQueue:
+    queue = ItemQueue()
+    queue.add([item("c", 3), item("a", 1), item("b", 2)])
+    return queue
 
 
-def test_what_waits_is_taken_by_urgency_and_once(board: ItemQueue) -> None:
-    assert board.rank(0.0, by_due)
-    assert names(board) == ["a", "b", "c"]
-    assert names(board) == []
+def test_waiting_items_are_taken_by_urgency_and_once(queue: ItemQueue) -> None:
+    assert queue.rank(0.0, rank_by_due)
+    assert names(queue) == ["a", "b", "c"]
+    assert names(queue) == []
 
 
-def test_a_ranking_is_used_for_a_while(board: ItemQueue) -> None:
-    """Ranking hundreds of items at each step took the leader's time: it lost its lease."""
-    board.rank(0.0, by_due)
-    assert not board.rank(RANKING_MAX_AGE_S / 2, by_due)
-    names(board)
-    assert board.rank(RANKING_MAX_AGE_S, by_due)
-    assert names(board) == ["a", "b", "c"]
+def test_a_ranking_is_used_for_a_while(queue: ItemQueue) -> None:
+    """Guards against ranking hundreds of items at each step, which cost a leader its lease."""
+    queue.rank(0.0, rank_by_due)
+    assert not queue.rank(RANKING_MAX_AGE_S / 2, rank_by_due)
+    names(queue)
+    assert queue.rank(RANKING_MAX_AGE_S, rank_by_due)
+    assert names(queue) == ["a", "b", "c"]
 
 
-def test_new_items_are_ranked_at_once(board: ItemQueue) -> None:
-    board.rank(0.0, by_due)
-    board.add([item("new", 0), item("a", 9)])
-    assert board.rank(0.01, by_due)
-    assert names(board) == ["new", "a", "b", "c"]
+def test_new_items_are_ranked_at_once(queue: ItemQueue) -> None:
+    queue.rank(0.0, rank_by_due)
+    queue.add([item("new", 0), item("a", 9)])
+    assert queue.rank(0.01, rank_by_due)
+    assert names(queue) == ["new", "a", "b", "c"]
 
 
-def test_what_ended_meanwhile_is_not_taken(board: ItemQueue) -> None:
-    board.rank(0.0, by_due)
-    gone = board.keep(frozenset({("lot", "a"), ("lot", "c")}))
+def test_items_that_ended_meanwhile_are_not_taken(queue: ItemQueue) -> None:
+    queue.rank(0.0, rank_by_due)
+    gone = queue.keep(frozenset({("lot", "a"), ("lot", "c")}))
     assert [run.item.item_id for run in gone] == ["b"]
-    assert board.rank(0.01, by_due)
-    assert names(board) == ["a", "c"]
+    assert queue.rank(0.01, rank_by_due)
+    assert names(queue) == ["a", "c"]
 
 
-def test_what_could_not_run_comes_first_the_next_time(board: ItemQueue) -> None:
-    board.rank(0.0, by_due)
-    waiting = board.take()
+def test_an_item_that_could_not_run_comes_first_the_next_time(queue: ItemQueue) -> None:
+    queue.rank(0.0, rank_by_due)
+    waiting = queue.take()
     first = next(waiting)
-    board.put_back(first)
-    assert names(board) == ["a", "b", "c"]
+    queue.put_back(first)
+    assert names(queue) == ["a", "b", "c"]
 
 
-def test_only_lots_with_unknown_items_are_read(board: ItemQueue) -> None:
+def test_only_lots_with_unknown_items_are_read(queue: ItemQueue) -> None:
     keys = [("lot", "a"), ("lot", "b"), ("other", "x")]
-    assert board.unknown_lots(keys) == {"other"}
+    assert queue.unknown_lots(keys) == {"other"}
 
 
 def test_services_are_those_of_the_open_items(
-    board: ItemQueue, monkeypatch: pytest.MonkeyPatch
+    queue: ItemQueue, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     index = RouteIndex(make_table(make_route(RouteClass.BATCH)))
-    assert board.services(index) == {SERVICE}
-    monkeypatch.setattr(board_module.ItemRun, "route", None)
-    assert board.services(index) == {SERVICE}, "worked out once for a table and a set of items"
-    board.clear()
-    assert board.services(index) == frozenset()
+    assert queue.services(index) == {SERVICE}
+    monkeypatch.setattr(queue_module.ItemRun, "route", None)
+    assert queue.services(index) == {SERVICE}, "computed once for a table and a set of items"
+    queue.clear()
+    assert queue.services(index) == frozenset()
--- a/tests/unit/test_lots_item_status.py
+++ b/tests/unit/test_lots_item_status.py
@@ -1,4 +1,4 @@
-"""Each cause for which an open item does not run has its own reason."""
+"""Each cause that keeps an open item from running has its own reason."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _Task:
-    """A task in one state."""
+    """A task that has ended or not."""
 
     def __init__(self, done: bool) -> None:
         self._done = done
@@ -113,7 +113,7 @@
 )
 def test_an_item_with_a_run(run: ItemRun, reason: Reason) -> None:
     assert classify_reason(run) is reason
-    # It is known to run, whatever is not known of the way.
+    # The reason does not depend on a route table while the item has a task.
     assert classify_reason(run, index=None) is reason
 
 
@@ -122,11 +122,11 @@
     assert classify_reason(ItemRun(item("a")), index=None, has_result=True) is Reason.RESULT_WAITS
 
 
-def test_a_left_task_is_told_even_where_there_is_no_room() -> None:
+def test_a_left_task_is_reported_even_without_capacity() -> None:
     assert classify_reason(with_task(True), ServiceAvailability()) is Reason.TASK_LEFT
 
 
-def test_each_service_is_asked_once_and_the_nearest_tells_why() -> None:
+def test_each_service_is_examined_once_and_the_closest_gives_the_reason() -> None:
     asked: list[str] = []
 
     def service(service_name: str) -> ServiceAvailability:
@@ -156,4 +156,4 @@
     trace.record_status(status, between)
     assert trace.end is end
     trace.set_end(RunEnd.STOPPED)
-    assert trace.end is end, "the first word stands"
+    assert trace.end is end, "the first end is kept"
--- a/tests/unit/test_lots_late_heads.py
+++ b/tests/unit/test_lots_late_heads.py
@@ -1,9 +1,9 @@
-"""A run that lives must end some day, however long its back end is silent before its first event.
+"""Guards against an item that never ends because its back ends send their first event late.
 
-Symptom: an item is run again and again and never ends, each run cut at the same second. Sequence:
-its first event takes longer everywhere than the longest silence that is borne (a full queue, a long
-prompt on a slowed back end). Cause: the limit doubles up to a fixed 10 s and no further, though a
-run may take 60 s. Settled by: limits at a tenth, a head after 1.2 s: 9 runs in 12 s, never done.
+The first event takes longer everywhere than the longest accepted silence, as with a full queue or a
+long prompt at a slow back end, and each run is cut at the same second. The accepted silence doubled
+only up to a fixed 10 s, although a run may take 60 s. With all limits at a tenth and a response
+head after 1.2 s, an item had 9 runs in 12 s and was never done.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import asyncio
 
 import pytest
-from tests.unit import test_lots_runner as base
+from tests.unit import test_lots_runner as runner_tests
 from tests.unit.seeded_support import wait_until
 from tests.unit.test_lots_runner import WHOLE_TEXT, OneStore, submit
 
@@ -21,9 +21,9 @@
 from testbed.routed.behaviours import behaviour
 from testbed.routed.exchange import Exchange
 
-store = base.store
-back_end = base.back_end
-runner = base.runner
+store = runner_tests.store
+back_end = runner_tests.back_end
+runner = runner_tests.runner
 
 FIRST_EVENT_S = 12.0
 
@@ -46,7 +46,7 @@
 def test_an_item_whose_first_event_always_comes_late_ends(
     store: OneStore, back_end: RunnerStandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All limits a tenth, so that it takes seconds: the head comes after 1.2 s, not 12."""
+    """All limits are a tenth, to save time: the response head comes after 1.2 s, not 12."""
     monkeypatch.setattr(lost_runs, "MAX_SILENCE_S", 6.0)
     monkeypatch.setattr(lost_runs, "MAX_FIRST_SILENCE_S", 1.0)
     monkeypatch.setattr(lost_runs, "MIN_SILENCE_S", 0.2)
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -1,4 +1,4 @@
-"""What decides on a service's room, as a person sees it: it agrees with what is decided."""
+"""The availability that is logged for a service agrees with the decisions about its runs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SLOTS = 8
 
 
-def watch_over(count: int) -> tuple[LoadWatch, Balancer]:
+def make_watch(count: int) -> tuple[LoadWatch, Balancer]:
     balancer = Balancer("z", Random(1))
     balancer.replace(
         RunnerRecord(runner_id=f"i{n}", service=SERVICE, address="a:1", zone="z", slots=SLOTS)
@@ -30,24 +30,26 @@
     return LoadWatch(sender, balancer, "z", lambda: None), balancer
 
 
-def observe(read: list[int], ejected: list[int], running: int) -> tuple[ServiceAvailability, bool]:
-    """Look at three back ends of which some were read and some are ejected."""
+def observe(
+    sampled: list[int], ejected: list[int], running: int
+) -> tuple[ServiceAvailability, bool]:
+    """Return availability and choice for three back ends, some sampled and some ejected."""
 
-    async def play() -> tuple[ServiceAvailability, bool]:
-        watch, balancer = watch_over(3)
+    async def scenario() -> tuple[ServiceAvailability, bool]:
+        watch, balancer = make_watch(3)
         now_s = asyncio.get_running_loop().time()
         for number, seat in enumerate(balancer.seats(SERVICE)):
-            if number in read:
+            if number in sampled:
                 watch.capacity_at(seat).record_sample(running, 0, now_s)
             if number in ejected:
                 seat.ejected_until_s = now_s + 5.0
         return watch.availability(SERVICE), watch.pick_runner(SERVICE) is not None
 
-    return asyncio.run(play())
+    return asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("read", "ejected", "running", "reason"),
+    ("sampled", "ejected", "running", "reason"),
     [
         ([0, 1, 2], [], 0, Reason.WAITS_TURN),
         ([0, 1, 2], [0, 1], 0, Reason.WAITS_TURN),
@@ -57,33 +59,33 @@
         ([0, 1, 2], [], SLOTS, Reason.NO_ROOM),
     ],
 )
-def test_what_is_seen_is_what_is_decided(
-    read: list[int], ejected: list[int], running: int, reason: Reason
+def test_the_availability_agrees_with_the_choice(
+    sampled: list[int], ejected: list[int], running: int, reason: Reason
 ) -> None:
-    availability, has_seat = observe(read, ejected, running)
+    availability, has_seat = observe(sampled, ejected, running)
     assert availability.reason() is reason
     assert has_seat is (availability.startable_runs > 0)
     assert (availability.known, availability.not_ejected) == (3, 3 - len(ejected))
 
 
 def test_a_service_that_is_not_known_has_no_back_ends() -> None:
-    async def play() -> ServiceAvailability:
-        return watch_over(1)[0].availability("other")
+    async def scenario() -> ServiceAvailability:
+        return make_watch(1)[0].availability("other")
 
-    assert asyncio.run(play()).reason() is Reason.NO_BACK_END
+    assert asyncio.run(scenario()).reason() is Reason.NO_BACK_END
 
 
-def test_a_look_at_a_thousand_back_ends_is_short() -> None:
-    async def play() -> float:
-        watch, balancer = watch_over(1200)
+def test_the_availability_of_a_thousand_back_ends_is_found_quickly() -> None:
+    async def scenario() -> float:
+        watch, balancer = make_watch(1200)
         now_s = asyncio.get_running_loop().time()
         for seat in balancer.seats(SERVICE):
             watch.capacity_at(seat).record_sample(0, 0, now_s)
             seat.ejected_until_s = now_s + 5.0 * (seat.record.runner_id.endswith("1"))
-        begun_s = time.thread_time()
+        started_s = time.thread_time()
         assert watch.availability(SERVICE).startable_runs > 0
-        return time.thread_time() - begun_s
+        return time.thread_time() - started_s
 
-    took_s = asyncio.run(play())
-    print(f"look at 1,200 back ends: {took_s * 1000:.1f} ms")
+    took_s = asyncio.run(scenario())
+    print(f"availability of 1,200 back ends: {took_s * 1000:.1f} ms")
     assert took_s < 0.05
--- a/tests/unit/test_lots_loop_watchdog.py
+++ b/tests/unit/test_lots_loop_watchdog.py
@@ -1,4 +1,4 @@
-"""A loop that hangs is told from one that steps, and from a process that was stopped."""
+"""A loop that hangs is told from one that steps, and from a process that was suspended."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from leverjunction.platform.headers import PlatformDialect
 
 
-def test_silence_is_counted_from_the_last_beat_seen() -> None:
+def test_silence_is_counted_from_the_last_step_seen() -> None:
     watchdog = LoopWatchdog()
     assert watchdog.check(100.0) == 0.0
     assert watchdog.check(100.5) == 0.5
@@ -27,30 +27,30 @@
     assert watchdog.check(101.5) == 0.0
 
 
-def test_a_process_that_was_stopped_does_not_take_its_loop_for_hanging() -> None:
+def test_a_process_that_was_suspended_does_not_take_its_loop_for_hanging() -> None:
     watchdog = LoopWatchdog()
     watchdog.check(100.0)
     assert watchdog.check(500.0) == 1.0
 
 
 class StuckGroup(LateGroup):
-    """A group whose status is not told until it is let go."""
+    """A group whose status blocks until the test releases it."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.stuck = threading.Event()
-        self.go_on = threading.Event()
-        self.sticks = False
+        self.blocked = threading.Event()
+        self.release = threading.Event()
+        self.blocks = False
 
     def status(self) -> GroupStatus:
-        if self.sticks:
-            self.stuck.set()
-            self.go_on.wait()
+        if self.blocks:
+            self.blocked.set()
+            self.release.wait()
         return super().status()
 
 
 def test_a_loop_that_hangs_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A store would lead on and run nothing, and nobody would notice."""
+    """Guards against a store that remains leader and silently runs nothing."""
     monkeypatch.setattr(lots_runner, "HANG_TIMEOUT_S", 1.5)
     group = StuckGroup()
     runner = LotsRunner(group, "z", PlatformDialect(), SystemClock(), Random(1))
@@ -64,9 +64,9 @@
 
     with pytest.raises(AssertionError):
         wait_until(check, 2.5)
-    group.sticks = True
-    assert group.stuck.wait(5.0)
+    group.blocks = True
+    assert group.blocked.wait(5.0)
     wait_until(check, 5.0)
     assert "completed no step" in found[0].reason
-    group.go_on.set()
+    group.release.set()
     runner.stop()
--- a/tests/unit/test_lots_lost_runs.py
+++ b/tests/unit/test_lots_lost_runs.py
@@ -1,4 +1,4 @@
-"""Runs that their back end does not have any more are found, living ones are left alone."""
+"""Runs that their back end no longer has are found, and live ones are left alone."""
 
 from __future__ import annotations
 
@@ -55,99 +55,99 @@
     return [run.item.item_id for run in runs]
 
 
-def make_silent(count: int) -> list[ItemRun]:
+def make_silent_runs(count: int) -> list[ItemRun]:
     return [make_run(f"{n}", NOW_S - 9, NOW_S - 9 + n) for n in range(count)]
 
 
 @pytest.mark.parametrize(("requests", "lost"), [(0, "012"), (1, "01"), (2, "0"), (3, ""), (9, "")])
-def test_as_many_are_lost_as_the_reports_lack_the_longest_silent_first(
+def test_as_many_are_lost_as_the_samples_lack_the_longest_silent_first(
     requests: int, lost: str
 ) -> None:
-    assert names(make_samples(requests).find(make_silent(3), NOW_S)) == list(lost)
+    assert names(make_samples(requests).find(make_silent_runs(3), NOW_S)) == list(lost)
 
 
-def test_one_report_that_shows_all_runs_counts_more_than_the_others() -> None:
+def test_one_sample_that_shows_all_runs_outweighs_the_others() -> None:
     lost_runs = make_samples(0, NOW_S - 5, NOW_S - 0.6)
     lost_runs.add_sample("i-1", LoadSample(NOW_S - 0.5, 3))
     for step in range(5):
         lost_runs.add_sample("i-1", LoadSample(NOW_S - 0.4 + step * INTERVAL_S, 0))
-    assert lost_runs.find(make_silent(3), NOW_S) == []
+    assert lost_runs.find(make_silent_runs(3), NOW_S) == []
 
 
-def test_a_run_is_lost_at_the_earliest_when_reports_must_show_it() -> None:
-    reports = make_samples(0)
+def test_a_run_is_lost_at_the_earliest_when_samples_must_show_it() -> None:
+    samples = make_samples(0)
     soon_s = NOW_S - CONFIRM_S - SETTLE_S
-    assert names(reports.find([make_run("a", soon_s - 0.2, soon_s - 0.2)], NOW_S)) == ["a"]
-    assert reports.find([make_run("a", soon_s + 0.1, soon_s + 0.1)], NOW_S) == []
+    assert names(samples.find([make_run("a", soon_s - 0.2, soon_s - 0.2)], NOW_S)) == ["a"]
+    assert samples.find([make_run("a", soon_s + 0.1, soon_s + 0.1)], NOW_S) == []
 
 
 def test_a_run_that_is_heard_of_is_counted_but_never_lost() -> None:
-    living = make_run("living", NOW_S - 9, NOW_S - 0.1)
+    live = make_run("live", NOW_S - 9, NOW_S - 0.1)
     silent_runs = make_run("silent", NOW_S - 9, NOW_S - 8)
-    assert names(make_samples(1).find([living, silent_runs], NOW_S)) == ["silent"]
-    assert make_samples(2).find([living, silent_runs], NOW_S) == []
-    assert make_samples(0).find([living], NOW_S) == []
+    assert names(make_samples(1).find([live, silent_runs], NOW_S)) == ["silent"]
+    assert make_samples(2).find([live, silent_runs], NOW_S) == []
+    assert make_samples(0).find([live], NOW_S) == []
 
 
-def test_a_run_that_has_perhaps_just_ended_accuses_no_other() -> None:
-    """Its last events are on their way, and the report shows the silent living one only."""
+def test_a_run_that_may_just_have_ended_makes_no_other_look_lost() -> None:
+    """One run's last events are still in transmission, and the load sample shows only the other."""
     ending = make_run("ending", NOW_S - 9, NOW_S - SETTLE_S - 0.2)
     silent_runs = make_run("silent", NOW_S - 9, NOW_S - 8)
     assert make_samples(1).find([ending, silent_runs], NOW_S) == []
 
 
 def test_requests_of_others_hide_a_lost_run() -> None:
-    """Online requests come and go: better late than a living run that is ended."""
-    assert make_samples(5).find(make_silent(3), NOW_S) == []
+    """Online requests come and go: detecting a lost run late is better than ending a live one."""
+    assert make_samples(5).find(make_silent_runs(3), NOW_S) == []
 
 
-def test_a_living_run_is_not_ended_on_the_word_of_a_gateway() -> None:
-    """Living runs were ended because a gateway's word outlived its request.
+def test_a_live_run_is_not_ended_because_of_a_gateways_report() -> None:
+    """Guards against ending live runs because of a gateway's outdated report.
 
-    Sequence: a gateway tells of a request that its back end has no more, since it hangs on a silent
-    path or the gateway was killed; beside it a batch run is silent and lives. Cause: what was told
-    was taken for present, so the report of one request seemed to lack the run. So reports have
-    nothing but what the back end itself says.
+    A gateway reports a request that its back end no longer has, because the request hangs on a
+    silent connection or the gateway was killed. The request was taken for present, so the load
+    sample of one request seemed to lack a silent batch run beside it. Load samples therefore
+    contain only what the back end itself reports.
     """
-    living = make_run("living", NOW_S - 3, NOW_S - 3)
+    live = make_run("live", NOW_S - 3, NOW_S - 3)
     assert LoadSample._fields == ("at_s", "requests")
-    assert make_samples(1).find([living], NOW_S) == []
+    assert make_samples(1).find([live], NOW_S) == []
 
 
-def test_few_reports_or_old_ones_prove_nothing() -> None:
-    assert make_samples(0, NOW_S - 0.8).find(make_silent(2), NOW_S) == []
+def test_few_or_old_samples_prove_nothing() -> None:
+    assert make_samples(0, NOW_S - 0.8).find(make_silent_runs(2), NOW_S) == []
     rare = LostRuns()
     rare.keep(frozenset({"i-1"}))
     rare.add_sample("i-1", LoadSample(NOW_S - 4, 0))
     rare.add_sample("i-1", LoadSample(NOW_S, 0))
-    assert rare.find(make_silent(2), NOW_S) == []
+    assert rare.find(make_silent_runs(2), NOW_S) == []
 
 
-def test_rare_reports_count_when_there_are_enough() -> None:
+def test_rare_samples_count_when_there_are_enough() -> None:
     rare = LostRuns()
     rare.keep(frozenset({"i-1"}))
     for ago_s in (4, 2, 0):
         rare.add_sample("i-1", LoadSample(NOW_S - ago_s, 0))
-    assert names(rare.find(make_silent(2), NOW_S)) == ["0", "1"]
+    assert names(rare.find(make_silent_runs(2), NOW_S)) == ["0", "1"]
 
 
-def test_reports_that_are_wrong_end_few_runs_of_an_item() -> None:
+def test_wrong_samples_end_few_runs_of_an_item() -> None:
     run = make_run("a", NOW_S - 9, NOW_S - 9)
     for _ in range(MAX_TRUSTED_ENDS):
         assert names(make_samples(0).find([run], NOW_S)) == ["a"]
         run.end_lost(NOW_S)
-        # It is heard of again, and goes silent again: a back end that does not report a run that it
-        # has preempted would have it ended at every pause.
+        # The run sends an event and goes silent again: a back end that does not report a run it has
+        # preempted would otherwise have it ended at every pause.
         run.silent_runs = 0
         run.mark_sent(NOW_S - 9)
     assert make_samples(0).find([run], NOW_S) == []
 
 
 def test_a_silent_run_at_a_back_end_that_has_left_is_lost() -> None:
-    reports = make_samples(0)
+    samples = make_samples(0)
     silent_s = NOW_S - GONE_SILENCE_S
     runs = [make_run("a", 0, silent_s, "i-2"), make_run("b", 0, silent_s + 0.1, "i-2")]
-    assert names(reports.find(runs, NOW_S)) == ["a"]
+    assert names(samples.find(runs, NOW_S)) == ["a"]
 
 
 def test_a_run_that_is_not_sent_yet_is_not_lost() -> None:
--- a/tests/unit/test_lots_quarantine.py
+++ b/tests/unit/test_lots_quarantine.py
@@ -1,9 +1,9 @@
-"""An item under which back ends end must not go on ending them.
+"""Guards against an item that crashes one back end after the other.
 
-Runs of an item that ended with their back end were only repeated: failed runs are those that a back
-end answers with a failure, and such an item is never answered. It was run until its time was over,
-at one back end after the other, and whatever ran beside it was lost each time: 18 runs in 9 s, the
-sound items of its lot among those that started anew.
+Runs of an item that ended with their back end were only repeated, because failed runs are those
+that a back end answers with a failure, and such an item is never answered. It was run until its
+time limit passed, and whatever ran beside it was lost each time: 18 runs in 9 s, with the sound
+items of its lot among those that started again.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 BACK_ENDS = 4
 RESTART_S = 0.5
 WATCHED_S = 8.0
-ENOUGH = 3
-MADE_S = 0.6
-"""Of a run: a good part of its events has come to the store by then."""
+CRASHES_TO_QUARANTINE = 3
+PROGRESS_S = 0.6
+"""Duration of a run after which a good part of its events has reached the store."""
 
 
-class Back:
-    """Back ends that end under one body, and what the runner is told of them."""
+class CrashingBackEnds:
+    """Back ends that crash under one body, and their registry snapshots for the runner."""
 
     def __init__(self, runner: LotsRunner) -> None:
         self._runner = runner
@@ -46,7 +46,7 @@
         self._lock = threading.Lock()
         self._revision = 0
         self.all = [
-            MortalRunner(f"i-{number}", b"deadly", RESTART_S, self._tell)
+            MortalRunner(f"i-{number}", b"deadly", RESTART_S, self._register)
             for number in range(BACK_ENDS)
         ]
 
@@ -54,10 +54,10 @@
         for back_end in self.all:
             back_end.stop()
 
-    def _tell(self, record: RunnerRecord) -> None:
+    def _register(self, record: RunnerRecord) -> None:
         table = make_table(make_route(RouteClass.BATCH, max_attempts=3))
         with self._lock:
-            # One of each address: an older start has ended when the next one tells of itself.
+            # One record for each address: an older start has ended when the next one registers.
             self._records[record.address] = record
             self._revision += 1
             view = FleetView(revision=self._revision, runners=tuple(self._records.values()))
@@ -70,14 +70,14 @@
 
 
 @pytest.fixture
-def back(store: OneStore) -> Iterator[Back]:
-    made = LotsRunner(store, "z1", PlatformDialect(), SystemClock(), Random(1))
-    store.runner = made
-    back = Back(made)
-    made.start()
-    yield back
-    made.stop()
-    back.stop()
+def back_ends(store: OneStore) -> Iterator[CrashingBackEnds]:
+    runner = LotsRunner(store, "z1", PlatformDialect(), SystemClock(), Random(1))
+    store.runner = runner
+    back_ends = CrashingBackEnds(runner)
+    runner.start()
+    yield back_ends
+    runner.stop()
+    back_ends.stop()
 
 
 def submit(store: OneStore, bodies: dict[str, bytes], events: int = 5) -> None:
@@ -98,22 +98,22 @@
     store.propose(encode_command(lot), 1.0)
 
 
-def test_an_item_ends_no_more_than_a_few_back_ends(store: OneStore, back: Back) -> None:
+def test_an_item_crashes_only_a_few_back_ends(store: OneStore, back_ends: CrashingBackEnds) -> None:
     sound = {f"item-{number}": b"sound" for number in range(12)}
     submit(store, {"bad": b"deadly", **sound})
     wait_until(lambda: len(store.results()) == len(sound))
     time.sleep(WATCHED_S)
-    sends = [seen for back_end in back.all for seen in back_end.begun(b"deadly")]
-    assert len(sends) == ENOUGH
+    sends = [seen for back_end in back_ends.all for seen in back_end.begun(b"deadly")]
+    assert len(sends) == CRASHES_TO_QUARANTINE
     assert store.results() == {name: ("done", WHOLE_TEXT) for name in sound}
 
 
 def test_the_body_of_an_item_is_kept_sent_and_read_back_byte_for_byte(
-    store: OneStore, back: Back
+    store: OneStore, back_ends: CrashingBackEnds
 ) -> None:
-    """Also of one that ends its back ends: each run of it carries the bytes that its caller sent.
+    """Each run of an item carries the bytes that its caller sent, also if it crashes back ends.
 
-    A day of bad items was judged as "the body was changed" for these items alone. Digests at
+    A check of a whole day once reported "the body was changed" for such items alone. Digests at
     receiving, at each sending and at reading back were the same for all 149 items of that day.
     """
     random = Random(7)
@@ -125,7 +125,7 @@
     wait_until(lambda: len(store.results()) == len(sound))
     sent = {
         (seen.target.rpartition("/")[2], seen.body)
-        for back_end in back.all
+        for back_end in back_ends.all
         for start in back_end.starts
         for seen in start.seen
     }
@@ -137,37 +137,40 @@
     return encode(ReadBody(lot_id="lot", item_id=item_id))
 
 
-def test_an_item_beside_ends_of_another_cause_is_done(store: OneStore, back: Back) -> None:
-    """An accepted item was held for ten minutes, though nothing was wrong with it.
+def test_an_item_beside_crashes_of_another_cause_is_done(
+    store: OneStore, back_ends: CrashingBackEnds
+) -> None:
+    """Guards against an item that is quarantined for ten minutes without having caused a crash.
 
-    Back ends ended four times in 30 s under other causes, and the item had the bad luck to run
-    there: three ends, so it counted as their cause. But it had got further in each run, as a
-    request that ends its back end at once does not:
+    Back ends ended four times in 30 s for other reasons, and the item happened to run there at
+    three of these ends, so it was counted as their cause. But each run had made progress, unlike a
+    request that crashes its back end at once:
 
         run_ended l784a25cd54dc.32 cut, parts 5, events 9, at i-1@1796259727245
         run_ended l784a25cd54dc.32 cut, parts 3, events 11, at i-3@1796259727308
         back end i-1@1796259734608 ended under request 0500.. (attempt l784a25cd54dc.32): refused
 
-    The end of a run that has gone on for a while now counts a third of one that has just begun.
+    The end of a run that has gone on for a while therefore counts a third of one that has just
+    begun.
     """
     submit(store, {"long": b"sound"}, events=300)
-    for _ in range(ENOUGH + 1):
-        wait_until(lambda: _longest_run_s(back) >= MADE_S)
-        for start in _running(back):
+    for _ in range(CRASHES_TO_QUARANTINE + 1):
+        wait_until(lambda: _longest_run_s(back_ends) >= PROGRESS_S)
+        for start in _running(back_ends):
             start.end()
             start.wait()
     wait_until(lambda: "long" in store.results(), 12.0)
     assert store.results()["long"][0] == "done"
 
 
-def _running(back: Back) -> list[MortalStart]:
-    """Return the starts that have a run of an item now."""
-    latest = [back_end.starts[-1] for back_end in back.all]
+def _running(back_ends: CrashingBackEnds) -> list[MortalStart]:
+    """Return the starts of back ends that are running an item."""
+    latest = [back_end.starts[-1] for back_end in back_ends.all]
     return [start for start in latest if start.held and not start.has_ended]
 
 
-def _longest_run_s(back: Back) -> float:
-    """Return for how long the run of an item has gone on, 0 while none does."""
+def _longest_run_s(back_ends: CrashingBackEnds) -> float:
+    """Return the duration of the longest current run of an item in seconds, 0 if there is none."""
     now_s = time.monotonic()
-    began_s = [seen.began_s for start in _running(back) for seen in start.held]
+    began_s = [seen.began_s for start in _running(back_ends) for seen in start.held]
     return max((now_s - at_s for at_s in began_s), default=0.0)
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -1,4 +1,4 @@
-"""Items run to their end at back ends that misbehave; results are listed once."""
+"""The runner finishes items at back ends that misbehave, and each result is listed once."""
 
 from __future__ import annotations
 
@@ -51,7 +51,9 @@
 from testbed.routed.silent_path import SilentPath
 
 HOST_IP = f"127.{20 + (os.getpid() >> 8) % 200}.{os.getpid() & 255}.253"
-"""Of this process alone: datagrams meant for another one's runner would be taken for its own."""
+"""Loopback address of this process alone, so that no datagram for another test's runner arrives
+here.
+"""
 
 UDP_PORT = 19083
 QUERIES = msgspec.json.Decoder(LotQuery)
@@ -65,10 +67,10 @@
     def __init__(self) -> None:
         self.role = "leader"
         self.runner: LotsRunner | None = None
-        self.hold_s = 0.0
-        self.held = 0
+        self.commit_s = 0.0
+        self.slow_commits = 0
         self.failing: dict[type[msgspec.Struct], int] = {}
-        """How many of the next queries of a kind fail."""
+        """Number of the next queries of a type that fail."""
         self._lock = threading.Lock()
         self._machine = LotsStateMachine()
         self._connection = sqlite3.connect(":memory:", check_same_thread=False)
@@ -76,9 +78,9 @@
         self._index = 0
 
     def propose(self, command: bytes, timeout_s: float) -> bytes | Failure:
-        if self.hold_s:
-            self.held += 1
-            time.sleep(min(self.hold_s, timeout_s))
+        if self.commit_s:
+            self.slow_commits += 1
+            time.sleep(min(self.commit_s, timeout_s))
         with self._lock:
             self._index += 1
             wall_ms = SystemClock().wall_ms()
@@ -114,7 +116,7 @@
         )
 
     def results(self, lot: str = "lot") -> dict[str, tuple[str, str]]:
-        """State and text of each listed item; fails when one is listed twice."""
+        """Return state and text of each listed item; fail if an item is listed twice."""
         page = decode_reply(self.query_local(encode(ReadResults(lot, 0, 10**6))), ResultsPage)
         assert isinstance(page, ResultsPage)
         listed = {item.item_id: (item.state.value, item.text) for item in page.results}
@@ -122,7 +124,7 @@
         return listed
 
     def progress(self) -> KnownProgress | Failure:
-        """Events of the first item that the group has."""
+        """Return what the group has recorded of the first item."""
         return decode_reply(self.query_local(encode(ReadProgress("lot", "item-0"))), KnownProgress)
 
 
@@ -139,18 +141,18 @@
 
 @pytest.fixture
 def runner(store: OneStore, back_end: RunnerStandIn) -> Iterator[LotsRunner]:
-    made = LotsRunner(
+    runner = LotsRunner(
         store, "z", PlatformDialect(), SystemClock(), Random(1), datagrams=f"{HOST_IP}:{UDP_PORT}"
     )
-    store.runner = made
+    store.runner = runner
     record = RunnerRecord(
         runner_id="i-1", service=SERVICE, address=back_end.address, zone="z", slots=8
     )
     table = make_table(make_route(RouteClass.BATCH, max_attempts=3))
-    made.set_registry(Snapshot(table, FleetView(revision=1, runners=(record,))))
-    made.start()
-    yield made
-    made.stop()
+    runner.set_registry(Snapshot(table, FleetView(revision=1, runners=(record,))))
+    runner.start()
+    yield runner
+    runner.stop()
 
 
 def submit(store: OneStore, count: int, lot_id: str = "lot") -> list[str]:
@@ -200,21 +202,17 @@
 
 
 @pytest.mark.usefixtures("runner")
-def test_items_whose_answers_are_lost_are_run_again_soon(
+def test_items_whose_responses_are_lost_are_retried_soon(
     store: OneStore, back_end: RunnerStandIn
 ) -> None:
-    """Items lay open for ten seconds at each lost answer.
-
-    Symptom: accepted items are neither done nor given up, each with a run that its back end has
-    ended; the back ends have free slots, and the store starts nothing.
-    Sequence: a back end runs an item, and the answer, or the rest of it, or its end, is lost while
-    the connection stays open. Twice in a row for each item here.
-    Cause: only silence on the connection was watched, for 10 s at each run, since living runs may
-    be silent. That the back end itself reported fewer requests than the store had there was read
-    ten times a second and not used.
-    Settled by: one lost answer, done after 10.6 s with two runs, at the head, in the middle and
-    before the end alike; two in a row after 21 s. The line "batch of ..: N open, N running" kept
-    its N for as long, beside reports of no request at all.
+    """Guards against items staying open for 10 s at each lost response.
+
+    A back end runs an item, but the response, the rest of it or its end is lost while the
+    connection stays open, here twice in a row for each item. Only silence on the connection was
+    watched, for 10 s at each run because live runs may be silent; the back end's load samples, read
+    ten times a second, showed fewer requests than the store had there and were not used. An item
+    with one lost response took 10.6 s and two runs, whichever part was lost; with two in a row, 21
+    s.
     """
     back_end.then(*["answer lost", "rest lost", "end lost"] * 2)
     names = submit(store, 3)
@@ -222,28 +220,25 @@
     wait_until(lambda: store.results() == whole, 9.0)
 
 
-def test_an_item_on_a_kept_connection_that_went_silent_is_run_again_soon(
+def test_an_item_on_a_kept_connection_that_went_silent_is_retried_soon(
     store: OneStore, back_end: RunnerStandIn
 ) -> None:
-    """Items lay open with at most one run each, while their store tried them again and again.
-
-    Symptom: accepted items are neither done nor given up, the back end works on none and sees no
-    run of them, the store says that they run.
-    Sequence: a store has run items at a back end and keeps connections to it for the next ones; all
-    open connections go silent for good, new ones work; an item is run.
-    Cause: a run on such a connection was waited for 10 s. The next reading of the load, and the
-    next run, took the next kept connection, silent as well, at the cost of the whole limit again.
-    Settled by: a lot of one item was open for 10.6 s, and the back end saw one run of it, the last.
+    """Guards against a store trying one silent kept connection after the other.
+
+    A store has run items at a back end and keeps its connections for the next ones; then all of
+    these go silent for good, while new connections work. A run on such a connection was waited for
+    10 s, and the next load sample and the next run took another silent one. A lot of one item
+    stayed open for 10.6 s, and the back end saw only the last run of it.
     """
     with SilentPath(back_end.address) as path:
-        made = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
-        store.runner = made
+        runner = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
+        store.runner = runner
         record = RunnerRecord(
             runner_id="i-1", service=SERVICE, address=path.address, zone="z", slots=8
         )
         table = make_table(make_route(RouteClass.BATCH, max_attempts=3))
-        made.set_registry(Snapshot(table, FleetView(revision=1, runners=(record,))))
-        made.start()
+        runner.set_registry(Snapshot(table, FleetView(revision=1, runners=(record,))))
+        runner.start()
         try:
             submit(store, 8)
             wait_until(lambda: len(store.results()) == 8)
@@ -251,24 +246,25 @@
             submit(store, 1, "next")
             wait_until(lambda: store.results("next") == {"item-0": ("done", WHOLE_TEXT)}, 5.0)
         finally:
-            made.stop()
+            runner.stop()
 
 
 @pytest.mark.usefixtures("runner")
-def test_a_run_that_lives_on_in_silence_is_not_cut(
-    store: OneStore, back_end: RunnerStandIn
-) -> None:
-    """As one that was preempted: its back end reports it all the time."""
+def test_a_silent_run_that_is_alive_is_not_cut(store: OneStore, back_end: RunnerStandIn) -> None:
+    """A preempted run is silent, but its back end reports it all the time."""
     back_end.then("stream with a pause")
     submit(store, 1)
     wait_until(lambda: store.results() == {"item-0": ("done", WHOLE_TEXT)})
     assert len(back_end.seen) == 1
 
 
-def test_a_run_that_has_ended_is_not_missed_at_its_back_end(
+def test_a_run_that_has_ended_is_not_taken_for_lost(
     store: OneStore, back_end: RunnerStandIn, runner: LotsRunner
 ) -> None:
-    """The pause before the next run counted as a run, and another was ended in its place."""
+    """Guards against counting the pause before the next run as a run.
+
+    Its back end seemed to have lost a run then, and another one was ended in its place.
+    """
     back_end.usual = "not run"
     submit(store, 1)
     wait_until(lambda: len(back_end.seen) == 1)
@@ -278,10 +274,10 @@
 
 
 @pytest.mark.usefixtures("runner")
-def test_a_run_that_hangs_is_ended_in_a_share_of_the_time_of_its_item(
+def test_a_run_that_hangs_is_ended_within_a_share_of_its_due_time(
     store: OneStore, back_end: RunnerStandIn
 ) -> None:
-    """Its back end reports it all the time, so only its silence tells."""
+    """The back end reports the run all the time, so only its silence shows that it hangs."""
     back_end.then("silent")
     submit(store, 1)
     wait_until(lambda: store.results() == {"item-0": ("done", WHOLE_TEXT)}, 6.0)
@@ -300,7 +296,7 @@
     assert len(back_end.seen) == runs
 
 
-def test_a_parked_run_goes_on_where_it_stopped(
+def test_a_parked_run_continues_where_it_stopped(
     store: OneStore, back_end: RunnerStandIn, runner: LotsRunner
 ) -> None:
     back_end.then("stream that stops")
@@ -316,31 +312,31 @@
     assert back_end.seen[-1].headers["last-event-id"] == "1"
 
 
-def tell(online: int) -> None:
-    """Tell the runner, as a gateway does, of online requests at its back end."""
-    word = OnlineLoads(gateway="g", whole=True, runners={"i-1": online}, held={})
-    envelope = Envelope(kind=MessageKind.ONLINE_LOADS, incarnation=1, body=encode(word))
+def report_online(online: int) -> None:
+    """Report online requests at the back end to the runner, as a gateway does."""
+    report = OnlineLoads(gateway="g", whole=True, runners={"i-1": online}, held={})
+    envelope = Envelope(kind=MessageKind.ONLINE_LOADS, incarnation=1, body=encode(report))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         sender.sendto(encode_envelope(envelope, CLUSTER_KEY), (HOST_IP, UDP_PORT))
 
 
 @pytest.mark.usefixtures("runner")
-def test_batch_gives_way_to_a_request_that_no_report_shows_yet(
+def test_batch_yields_to_a_request_that_no_sample_shows_yet(
     store: OneStore, back_end: RunnerStandIn
 ) -> None:
-    """Requests waited behind batch until the next report showed them."""
+    """Guards against a request waiting behind batch until a load sample shows it."""
     back_end.usual = "stream that stops"
-    tell(0)
+    report_online(0)
     submit(store, 8)
     wait_until(lambda: len(back_end.seen) >= 4)
     for _ in range(20):
-        tell(8)
+        report_online(8)
         time.sleep(0.02)
     assert all(run.gone_after_s is not None for run in back_end.seen[:4])
 
 
-class _NoLoads:
-    """Room at one back end."""
+class _UnsampledLoads:
+    """Load of one back end, without any samples."""
 
     def __init__(self) -> None:
         self.capacity = RunnerCapacity(8)
@@ -350,39 +346,42 @@
 
 
 def test_a_run_that_is_parked_before_its_first_step_is_run_again(store: OneStore) -> None:
-    """A gateway's word that was handled right after the start left the item lying for good, and
-    its slot counted as taken."""
-
-    async def play() -> None:
-        made = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
-        loads = _NoLoads()
-        made._loads = loads  # type: ignore[assignment]
-        made._wake = asyncio.Event()
+    """Guards against an item that is never run again while its slot stays occupied.
+
+    A gateway's report that is handled right after the start of a run cancels its task before the
+    task's first step.
+    """
+
+    async def scenario() -> None:
+        runner = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
+        loads = _UnsampledLoads()
+        runner._loads = loads  # type: ignore[assignment]
+        runner._wake = asyncio.Event()
         submit(store, 1)
         opened = decode_reply(store.query_local(encode(ReadOpenItems())), OpenItems)
         assert isinstance(opened, OpenItems)
         run = ItemRun(opened.items[0])
         record = RunnerRecord(runner_id="i-1", service=SERVICE, address="a:1", zone="z", slots=8)
-        made._start(run, RunnerSeat(record))
+        runner._start(run, RunnerSeat(record))
         assert loads.capacity.own_runs == 1
         run.stop()
         await asyncio.sleep(0.05)
         assert (run.task, loads.capacity.own_runs) == (None, 0)
-        assert made._wake.is_set()
+        assert runner._wake.is_set()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.usefixtures("runner")
 @pytest.mark.parametrize("query", [ReadOpenKeys, ReadOpenItems])
-def test_a_read_of_what_is_open_that_fails_is_repeated(
+def test_a_failed_read_of_the_open_items_is_repeated(
     store: OneStore, query: type[msgspec.Struct]
 ) -> None:
-    """Accepted items waited until something else changed, at the end of a day for good.
+    """Guards against accepted items waiting until something else changes, or for good.
 
-    Sequence: a store takes the lead; its read of the open items, or of one lot's, fails; nothing
-    else changes. Cause: the change was noted as read before it was. What settled it: the items
-    not on the board 15 s later, no line in the log, no back end asked.
+    A store becomes leader, its read of the open items or of one lot's items fails, and nothing else
+    changes. The change was marked as read before the read: 15 s later the items were still unknown,
+    with no log line and no request to a back end.
     """
     store.role = "follower"
     time.sleep(0.6)
@@ -393,12 +392,13 @@
 
 
 @pytest.mark.usefixtures("runner")
-def test_a_loop_that_ends_is_begun_anew(store: OneStore, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A store led on and ran nothing, and nobody noticed.
+def test_a_loop_that_fails_is_started_again(
+    store: OneStore, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against a store that remains leader and silently runs nothing.
 
-    Sequence: an error outside the loop's step; the thread ends; items are accepted. Cause: nothing
-    began the loop anew or told the process. What settled it: no thread of that name, the replica
-    "leader", items open, no line of the runner after the error.
+    An error outside the event loop's step ends the loop's thread, and items are accepted later.
+    Nothing started another loop or told the process.
     """
     pause = LotsRunner._pause
     ended: list[bool] = []
@@ -416,13 +416,11 @@
 
 
 @pytest.mark.usefixtures("runner")
-def test_batch_gives_way_while_a_commit_takes_long(
-    store: OneStore, back_end: RunnerStandIn
-) -> None:
+def test_batch_yields_while_a_commit_takes_long(store: OneStore, back_end: RunnerStandIn) -> None:
     back_end.then("stream that stops")
     submit(store, 1)
-    store.hold_s = 1.5
-    wait_until(lambda: store.held == 1)
+    store.commit_s = 1.5
+    wait_until(lambda: store.slow_commits == 1)
     back_end.online = 8
     wait_until(lambda: back_end.seen[0].gone_after_s is not None, 0.8)
 
@@ -448,10 +446,8 @@
 
 
 @pytest.mark.usefixtures("runner")
-def test_the_next_leader_goes_on_with_what_runs_had(
-    store: OneStore, back_end: RunnerStandIn
-) -> None:
-    """Each change of leader began all runs anew, seconds of work of every one of them."""
+def test_the_next_leader_continues_the_runs(store: OneStore, back_end: RunnerStandIn) -> None:
+    """Guards against each change of leader restarting all runs, at the cost of seconds of work."""
     back_end.then("stream that stops")
     submit(store, 1)
     wait_until(lambda: store.progress() == KnownProgress(1, "1"))
@@ -463,10 +459,10 @@
 
 
 @pytest.mark.usefixtures("runner")
-def test_a_run_that_does_not_follow_on_what_the_group_has_goes_on_from_there(
+def test_a_run_that_differs_from_the_group_continues_from_its_events(
     store: OneStore, back_end: RunnerStandIn
 ) -> None:
-    """A new leader may begin before it has applied all that the old one recorded."""
+    """A new leader may start runs before it has applied all that its predecessor recorded."""
     back_end.then("stream that stops")
     submit(store, 1)
     wait_until(lambda: len(back_end.seen) == 1)
--- a/tests/unit/test_lots_runner_monitor.py
+++ b/tests/unit/test_lots_runner_monitor.py
@@ -1,4 +1,4 @@
-"""What a person sees of a runner whose items do not run: figures and lines."""
+"""The monitor shows why items do not run, in metrics and log lines."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 ROUTED = make_table(make_route(RouteClass.BATCH, max_attempts=3), version=7)
 
 
-def figure(name: str, **labels: str) -> float:
+def metric(name: str, **labels: str) -> float:
     return REGISTRY.get_sample_value(name, labels) or 0.0
 
 
-def shows(reason: str, count: int) -> Callable[[], bool]:
-    return lambda: figure("lots_open_items", reason=reason) == count
+def shows_open(reason: str, count: int) -> Callable[[], bool]:
+    return lambda: metric("lots_open_items", reason=reason) == count
 
 
-class Seen:
-    """What was written so far."""
+class LineCapture:
+    """The JSON lines written so far."""
 
     def __init__(self, capfd: pytest.CaptureFixture[str]) -> None:
         self._capfd = capfd
@@ -67,13 +67,13 @@
 
 
 @pytest.fixture
-def seen(capfd: pytest.CaptureFixture[str]) -> Seen:
-    return Seen(capfd)
+def captured(capfd: pytest.CaptureFixture[str]) -> LineCapture:
+    return LineCapture(capfd)
 
 
 @pytest.fixture
-def words() -> Iterator[list[str]]:
-    """Plain lines of the log."""
+def log_lines() -> Iterator[list[str]]:
+    """Plain log lines, with their level."""
     written: list[str] = []
     handler = logger.add(lambda message: written.append(str(message)), format="{level} {message}")
     yield written
@@ -93,7 +93,7 @@
 
 @pytest.fixture
 def runner(store: OneStore, monkeypatch: pytest.MonkeyPatch) -> Iterator[LotsRunner]:
-    """A runner that has heard nothing of the registry, and is looked at often."""
+    """A runner without a registry snapshot, whose monitor is updated often."""
     monkeypatch.setattr(monitor_module, "UPDATE_INTERVAL_S", 0.1)
     monkeypatch.setattr(monitor_module, "LOG_AFTER_S", 0.6)
     made = LotsRunner(store, "z", PlatformDialect(), SystemClock(), Random(1))
@@ -111,69 +111,73 @@
     return Snapshot(table, FleetView(revision=1, runners=records))
 
 
-def test_no_table(store: OneStore, runner: LotsRunner, seen: Seen, words: list[str]) -> None:
+def test_no_table(
+    store: OneStore, runner: LotsRunner, captured: LineCapture, log_lines: list[str]
+) -> None:
     submit(store, 3)
-    wait_until(shows("no_table", 3))
-    lines = seen.wait("waits", 3)
+    wait_until(shows_open("no_table", 3))
+    lines = captured.wait("waits", 3)
     assert {(line["lot"], line["item"], line["reason"]) for line in lines} == {
         ("lot", f"item-{number}", "no_table") for number in range(3)
     }
     assert all(int(str(line["quiet_ms"])) >= 600 for line in lines)
-    (taken,) = seen.lines("lot_taken_in")
+    (taken,) = captured.lines("lot_taken_in")
     assert (taken["items"], taken["count"], taken["term"]) == (
         ["item-0", "item-1", "item-2"],
         3,
         1,
     )
-    assert "WARNING 3 open items are waiting: no route table yet\n" in words
-    assert figure("lots_oldest_open_seconds") > 0.5
+    assert "WARNING 3 open items are waiting: no route table yet\n" in log_lines
+    assert metric("lots_oldest_open_seconds") > 0.5
 
 
-def test_no_route(store: OneStore, runner: LotsRunner, back_end: RunnerStandIn, seen: Seen) -> None:
+def test_no_route(
+    store: OneStore, runner: LotsRunner, back_end: RunnerStandIn, captured: LineCapture
+) -> None:
     elsewhere = make_table(make_route(RouteClass.BATCH, prefix="/elsewhere/"), version=9)
     runner.set_registry(registry(elsewhere, back_end))
     submit(store, 1)
-    wait_until(shows("no_route", 1))
-    (line,) = seen.wait("waits")
+    wait_until(shows_open("no_route", 1))
+    (line,) = captured.wait("waits")
     assert (line["reason"], line["table"]) == ("no_route", 9)
 
 
-def test_no_back_end(store: OneStore, runner: LotsRunner, seen: Seen) -> None:
+def test_no_back_end(store: OneStore, runner: LotsRunner, captured: LineCapture) -> None:
     runner.set_registry(registry(ROUTED))
     submit(store, 1)
-    wait_until(shows("no_back_end", 1))
-    (line,) = seen.wait("waits")
+    wait_until(shows_open("no_back_end", 1))
+    (line,) = captured.wait("waits")
     assert (line["reason"], line["service"], line["figure"]) == ("no_back_end", SERVICE, 0)
 
 
 def test_no_room_and_then_room(
-    store: OneStore, runner: LotsRunner, back_end: RunnerStandIn, seen: Seen
+    store: OneStore, runner: LotsRunner, back_end: RunnerStandIn, captured: LineCapture
 ) -> None:
     back_end.online = 8
     runner.set_registry(registry(ROUTED, back_end))
     submit(store, 1)
-    wait_until(shows("no_room", 1))
-    (line,) = seen.wait("waits")
+    wait_until(shows_open("no_room", 1))
+    (line,) = captured.wait("waits")
     assert (line["reason"], line["figure"], line["table"]) == ("no_room", 0, 7)
     assert "0 free at the best back end; 1 back ends, 1 not ejected, 1 with recent load" in str(
         line["detail"]
     )
     back_end.online = 0
     wait_until(lambda: "item-0" in store.results())
-    (moved,) = seen.wait("moves_on")
+    (moved,) = captured.wait("moves_on")
     assert (moved["item"], moved["detail"]) == ("item-0", "was no_room")
-    wait_until(lambda: figure("lots_oldest_open_seconds") == 0)
+    wait_until(lambda: metric("lots_oldest_open_seconds") == 0)
 
 
-def test_a_run_that_tells_nothing_more(
-    store: OneStore, runner: LotsRunner, back_end: RunnerStandIn, seen: Seen
+def test_a_run_that_sends_nothing_more(
+    store: OneStore, runner: LotsRunner, back_end: RunnerStandIn, captured: LineCapture
 ) -> None:
     back_end.usual = "stream that stops"
     runner.set_registry(registry(ROUTED, back_end))
-    starts = figure("lots_run_starts_total")
+    starts = metric("lots_run_starts_total")
     submit(store, 1)
-    wait_until(shows("runs", 1))
-    (line,) = seen.wait("waits")
+    wait_until(shows_open("runs", 1))
+    (line,) = captured.wait("waits")
     assert (line["reason"], line["runner_id"], line["runs"], line["events"]) == (
         "runs",
         "i-1",
@@ -181,14 +185,14 @@
         1,
     )
     assert int(str(line["since_ms"])) >= int(str(line["quiet_ms"])) >= 600
-    assert figure("lots_run_starts_total") == starts + 1
+    assert metric("lots_run_starts_total") == starts + 1
 
 
 def test_a_result_that_is_not_recorded(
     store: OneStore,
     runner: LotsRunner,
     back_end: RunnerStandIn,
-    seen: Seen,
+    captured: LineCapture,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     submit(store, 1)
@@ -196,14 +200,14 @@
     refusal = Failure(kind=FailureKind.NO_QUORUM, reason="no quorum", step=Step.APPLYING)
     monkeypatch.setattr(store, "propose", lambda _command, _timeout_s: refusal)
     runner.set_registry(registry(ROUTED, back_end))
-    wait_until(shows("result_waits", 1))
-    assert figure("lots_records_waiting") == 1
-    (line,) = seen.wait("waits")
+    wait_until(shows_open("result_waits", 1))
+    assert metric("lots_records_waiting") == 1
+    (line,) = captured.wait("waits")
     assert (line["reason"], line["detail"]) == ("result_waits", "no quorum")
     assert int(str(line["tries"])) >= 2
-    assert figure("lots_records_total", result="no_quorum") >= 2
+    assert metric("lots_records_total", result="no_quorum") >= 2
     monkeypatch.setattr(store, "propose", taking)
-    (recorded,) = seen.wait("recorded")
+    (recorded,) = captured.wait("recorded")
     assert (recorded["item"], recorded["detail"]) == ("item-0", "done")
     assert int(str(recorded["tries"])) > int(str(line["tries"]))
 
@@ -215,14 +219,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     submit(store, 1)
-    before = figure("lots_records_total", result="raised")
+    before = metric("lots_records_total", result="raised")
 
     def raising(_command: bytes, _timeout_s: float) -> bytes:
         raise OSError("the disk")
 
     monkeypatch.setattr(store, "propose", raising)
     runner.set_registry(registry(ROUTED, back_end))
-    wait_until(lambda: figure("lots_records_total", result="raised") > before)
+    wait_until(lambda: metric("lots_records_total", result="raised") > before)
 
 
 def test_a_command_that_never_returns_is_seen(
@@ -234,8 +238,8 @@
     submit(store, 1)
     monkeypatch.setattr(store, "propose", lambda _command, _timeout_s: time.sleep(1.5))
     runner.set_registry(registry(ROUTED, back_end))
-    wait_until(lambda: figure("lots_record_under_way_seconds") > 0.8)
-    assert figure("lots_records_waiting") == 1
+    wait_until(lambda: metric("lots_record_under_way_seconds") > 0.8)
+    assert metric("lots_records_waiting") == 1
 
 
 @pytest.mark.parametrize(
@@ -247,52 +251,54 @@
         ("fault", RunEnd.FAILED),
     ],
 )
-def test_a_run_that_was_not_whole_has_a_line(
+def test_an_incomplete_run_has_a_line(
     store: OneStore,
     runner: LotsRunner,
     back_end: RunnerStandIn,
-    seen: Seen,
+    captured: LineCapture,
     behaviour: str,
     end: RunEnd,
 ) -> None:
     back_end.then(behaviour)
-    done = figure("lots_runs_total", end="done")
+    done = metric("lots_runs_total", end="done")
     runner.set_registry(registry(ROUTED, back_end))
     submit(store, 1)
     wait_until(lambda: "item-0" in store.results())
-    (ended,) = seen.wait("run_ended")
+    (ended,) = captured.wait("run_ended")
     assert (ended["item"], ended["runner_id"], ended["reason"]) == ("item-0", "i-1", end.value)
-    assert seen.wait("run_started")[0]["runs"] == 2
-    # The run that was whole is only counted.
-    wait_until(lambda: figure("lots_runs_total", end="done") == done + 1)
-    assert len(seen.lines("run_ended")) == 1
+    assert captured.wait("run_started")[0]["runs"] == 2
+    # The run with the complete response is only counted.
+    wait_until(lambda: metric("lots_runs_total", end="done") == done + 1)
+    assert len(captured.lines("run_ended")) == 1
 
 
-def test_a_store_says_when_it_begins_and_ceases_to_lead(
-    store: OneStore, words: list[str], runner: LotsRunner, back_end: RunnerStandIn
+def test_a_store_logs_when_it_gains_and_loses_leadership(
+    store: OneStore, log_lines: list[str], runner: LotsRunner, back_end: RunnerStandIn
 ) -> None:
     wait_until(
-        lambda: any("running the items of jobs-0 in term 1: 0 open" in word for word in words)
+        lambda: any("running the items of jobs-0 in term 1: 0 open" in line for line in log_lines)
     )
     store.role = "follower"
     runner.changed()
-    wait_until(lambda: any("no longer running items: follower in term 1" in word for word in words))
+    wait_until(
+        lambda: any("no longer running items: follower in term 1" in line for line in log_lines)
+    )
     submit(store, 2)
     back_end.online = 8
     runner.set_registry(registry(ROUTED, back_end))
     store.role = "leader"
-    begins = (
+    gained_again = (
         "INFO running the items of jobs-0 in term 1: 2 open in 1 lots, route table 7,"
         " 1 back ends known\n"
     )
-    wait_until(lambda: begins in words)
-    wait_until(shows("no_room", 2))
+    wait_until(lambda: gained_again in log_lines)
+    wait_until(shows_open("no_room", 2))
     store.role = "follower"
-    wait_until(shows("no_room", 0))
+    wait_until(shows_open("no_room", 0))
 
 
-class _Clock:
-    """A clock that is set."""
+class _ManualClock:
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -304,18 +310,18 @@
         return round(self.now_s * 1000)
 
 
-class _Left:
-    """A task that is over."""
+class _EndedTask:
+    """A task that has ended."""
 
     def done(self) -> bool:
         return True
 
 
 class MonitorFixture:
-    """A sight over items that are set up by hand, looked at once a second."""
+    """A monitor of items that the test sets up, updated once a second."""
 
     def __init__(self, names: list[str], known: list[str]) -> None:
-        self.clock = _Clock()
+        self.clock = _ManualClock()
         self.monitor = RunnerMonitor(self.clock)
         self.runs = {run.key: run for run in (ItemRun(item(name)) for name in known)}
         self.keys = {("lot", name) for name in names}
@@ -331,7 +337,7 @@
 
     def snapshot(self) -> RunnerSnapshot:
         return RunnerSnapshot(
-            status=_leads(),
+            status=_leader_status(),
             index=RouteIndex(ROUTED),
             back_ends=1,
             runs=self.runs,
@@ -347,82 +353,82 @@
         return self.keys
 
 
-def _leads() -> GroupStatus:
+def _leader_status() -> GroupStatus:
     return OneStore().status()
 
 
-def test_an_item_that_the_runner_does_not_know_is_found(seen: Seen) -> None:
+def test_an_item_that_the_runner_does_not_know_is_found(captured: LineCapture) -> None:
     fixture = MonitorFixture(["a", "lost"], ["a"])
     fixture.update(4)
-    assert shows("not_taken_in", 0)()
+    assert shows_open("not_taken_in", 0)()
     fixture.update(4)
-    assert shows("not_taken_in", 1)()
-    lines = seen.wait("waits", 2)
+    assert shows_open("not_taken_in", 1)()
+    lines = captured.wait("waits", 2)
     assert [line["item"] for line in lines if line["reason"] == "not_taken_in"] == ["lost"]
     fixture.keys.discard(("lot", "lost"))
     fixture.update(5)
-    assert shows("not_taken_in", 0)()
+    assert shows_open("not_taken_in", 0)()
 
 
-def test_a_group_that_cannot_be_read_is_told_once_and_the_figures_go_on(
-    words: list[str],
+def test_a_group_that_cannot_be_read_is_logged_once_and_the_metrics_go_on(
+    log_lines: list[str],
 ) -> None:
     fixture = MonitorFixture(["a"], ["a"])
     fixture.error = OSError("the disk")
     fixture.update(12)
-    assert shows("waits_turn", 1)()
+    assert shows_open("waits_turn", 1)()
     fixture.error = None
     fixture.update(6)
-    assert [word for word in words if "the open items" in word] == [
+    assert [line for line in log_lines if "the open items" in line] == [
         "WARNING the open items cannot be read: OSError('the disk')\n",
         "INFO the open items can be read again\n",
     ]
 
 
-def test_a_task_that_is_over_and_not_given_back_stalls_the_store(
-    seen: Seen, words: list[str]
+def test_a_task_that_ended_without_cleanup_stalls_the_store(
+    captured: LineCapture, log_lines: list[str]
 ) -> None:
-    """The state that the incident was suspected to have ended in."""
+    """An incident was suspected to have ended in this state."""
     fixture = MonitorFixture(["a"], ["a"])
-    left: asyncio.Task[None] = _Left()  # type: ignore[assignment]
-    fixture.runs["lot", "a"].task = left
+    ended_task: asyncio.Task[None] = _EndedTask()  # type: ignore[assignment]
+    fixture.runs["lot", "a"].task = ended_task
     fixture.update(1)
-    assert shows("pauses", 1)(), "a moment before its callback nothing is wrong"
+    assert shows_open("pauses", 1)(), "a moment before its callback nothing is wrong"
     fixture.update(7)
-    assert shows("task_left", 1)()
-    assert figure("lots_stalled") == 1
-    assert [word for word in words if "stalled" in word] == [
+    assert shows_open("task_left", 1)()
+    assert metric("lots_stalled") == 1
+    assert [line for line in log_lines if "stalled" in line] == [
         "WARNING stalled: 1 open items, capacity for 4 runs, no run started for 3.0 s,"
         " nothing recorded for 3.0 s; 1 task_left\n"
     ]
-    (line,) = seen.wait("waits")
+    (line,) = captured.wait("waits")
     assert (line["item"], line["reason"]) == ("a", "task_left")
     fixture.runs.clear()
     fixture.update()
-    assert figure("lots_stalled") == 0
-    assert "INFO no longer stalled, after 8.0 s: 0 open\n" in words
+    assert metric("lots_stalled") == 0
+    assert "INFO no longer stalled, after 8.0 s: 0 open\n" in log_lines
 
 
-def test_hundreds_of_items_have_few_lines(seen: Seen) -> None:
+def test_hundreds_of_items_have_few_lines(captured: LineCapture) -> None:
     names = [f"n{number}" for number in range(300)]
     fixture = MonitorFixture(names, names)
     fixture.service = ServiceAvailability(known=1, not_ejected=1, with_recent_load=1)
     fixture.update(round(LOG_AFTER_S) + 2)
     time.sleep(0.3)
-    assert shows("no_room", 300)()
-    assert len(seen.lines("waits")) == FREQUENT_LINES
+    assert shows_open("no_room", 300)()
+    assert len(captured.lines("waits")) == FREQUENT_LINES
     fixture.update(round(INTERVAL_S))
-    (left_out,) = seen.wait("left_out")
+    (left_out,) = captured.wait("left_out")
     assert (left_out["reason"], left_out["count"]) == ("waits no_room", 300 - FREQUENT_LINES)
 
 
-def test_looks_that_take_long_are_less_frequent() -> None:
-    """With a hundred thousand open items they would take a good part of the loop's time."""
+def test_updates_that_take_long_are_less_frequent() -> None:
+    """With 100 000 open items, updates would otherwise take much of the event loop's time."""
     fixture = MonitorFixture(["a"], ["a"])
-    looked: list[float] = []
+    updated_s: list[float] = []
 
     def slow() -> RunnerSnapshot:
-        looked.append(fixture.clock.now_s)
+        updated_s.append(fixture.clock.now_s)
         until_s = time.thread_time() + 4.5 * MAX_CPU_SHARE
         while time.thread_time() < until_s:
             pass
@@ -431,15 +437,15 @@
     for _ in range(20):
         fixture.clock.now_s += 1.0
         fixture.monitor.update(slow)
-    pauses = [after - before for before, after in itertools.pairwise(looked)]
+    pauses = [after - before for before, after in itertools.pairwise(updated_s)]
     assert min(pauses) >= 5.0
-    assert len(looked) >= 2
+    assert len(updated_s) >= 2
 
 
-def test_a_fault_of_the_sight_reaches_nobody(words: list[str]) -> None:
+def test_an_error_of_the_monitor_is_suppressed(log_lines: list[str]) -> None:
     fixture = MonitorFixture(["a"], ["a"])
-    before = figure("lots_sight_faults_total")
+    before = metric("lots_sight_faults_total")
     fixture.runs["lot", "a"].item = None  # type: ignore[assignment]
     fixture.update(2)
-    assert figure("lots_sight_faults_total") == before + 2
-    assert sum("its errors are suppressed" in word for word in words) <= 1
+    assert metric("lots_sight_faults_total") == before + 2
+    assert sum("its errors are suppressed" in line for line in log_lines) <= 1
--- a/tests/unit/test_lots_stall_watch.py
+++ b/tests/unit/test_lots_stall_watch.py
@@ -1,4 +1,4 @@
-"""When work is said to lie still, and when not."""
+"""When work is reported as stalled, and when it is not."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert watch.stalled is stalled
 
 
-def test_a_stall_is_told_once_in_a_while_and_when_it_is_over() -> None:
+def test_a_stall_is_reported_repeatedly_and_when_it_is_over() -> None:
     watch = StallWatch()
     first = watch.update(state(), NOW_S)
     assert first == (
@@ -62,7 +62,7 @@
     assert watch.update(state(), NOW_S + REPEAT_S + 3).startswith("stalled:")
 
 
-def test_an_age_is_told_when_it_passes_its_limit_and_when_it_is_over() -> None:
+def test_an_age_is_reported_when_it_passes_its_limit_and_when_it_is_over() -> None:
     watch = AgeWatch("nothing is heard of X", 5.0)
     assert watch.update(4.9, 100.0) == ""
     assert watch.update(5.5, 101.0) == "nothing is heard of X for 5.5 s"
@@ -84,7 +84,7 @@
     assert budget.renew(10.0 + 2 * INTERVAL_S) == {}
 
 
-def test_what_a_backlog_brings_has_fewer_lines() -> None:
+def test_kinds_that_a_backlog_causes_have_fewer_lines() -> None:
     budget = LineBudget()
     budget.renew(10.0)
     taken = [budget.take("waits no_room") for _ in range(LINES_PER_INTERVAL)]
--- a/tests/unit/test_lots_unsendable.py
+++ b/tests/unit/test_lots_unsendable.py
@@ -1,10 +1,9 @@
-"""One item that cannot be sent must cost the store and its back ends next to nothing.
+"""An item that cannot be sent must cost the store and its back ends almost nothing.
 
-Symptom: a store logs four errors a second for each such item and opens as many connections.
-Sequence: a lot is accepted whose item has a header value (or a path) that HTTP/1.1 cannot carry.
-Cause: what the item carries was not checked as the lot was taken; the run raised before the pause
-after a run, so it was begun anew at each ranking, on a new connection, until its wait was over.
-Settled by: 11 tries and 12 new connections in 3 s.
+Guards against four logged errors a second for each such item, and as many new connections. A lot
+was accepted whose item has a header value or a path that HTTP/1.1 cannot carry. That was not
+checked on acceptance, and the run raised an error before the pause that follows a run, so it was
+started again at each ranking until its time limit passed: 11 runs and 12 new connections in 3 s.
 """
 
 from __future__ import annotations
@@ -12,27 +11,27 @@
 import time
 
 import pytest
-from tests.unit import test_lots_runner as base
+from tests.unit import test_lots_runner as runner_tests
 from tests.unit.test_lots_runner import OneStore
 
 from leverjunction.lots.attempts import Attempts
 from leverjunction.lots.commands import LotItem, SubmitLot, encode_command
 from testbed.routed import HOST, RunnerStandIn
 
-store = base.store
-back_end = base.back_end
-runner = base.runner
+store = runner_tests.store
+back_end = runner_tests.back_end
+runner = runner_tests.runner
 
 
 @pytest.mark.usefixtures("runner")
 def test_an_item_that_cannot_be_sent_is_not_tried_without_a_pause(
     store: OneStore, back_end: RunnerStandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tries: list[float] = []
+    attempts: list[float] = []
     attempt = Attempts.attempt
 
     async def counted(self: Attempts, run: object, seat: object) -> bool:
-        tries.append(time.monotonic())
+        attempts.append(time.monotonic())
         return await attempt(self, run, seat)  # type: ignore[arg-type]
 
     monkeypatch.setattr(Attempts, "attempt", counted)
@@ -50,5 +49,5 @@
     )
     store.propose(encode_command(lot), 1.0)
     time.sleep(3.0)
-    assert len(tries) <= 6
+    assert len(attempts) <= 6
     assert back_end.accepted <= 4
--- a/tests/unit/test_lots_urgency.py
+++ b/tests/unit/test_lots_urgency.py
@@ -1,4 +1,4 @@
-"""Which items run first."""
+"""The order in which items run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 }
 
 
-def test_the_first_due_in_front_and_the_late_last() -> None:
+def test_the_earliest_due_run_first_and_late_items_last() -> None:
     times = RunTimes()
     ranked = sorted(ITEMS, key=lambda name: times.urgency(*ITEMS[name]))
     assert ranked == [
@@ -29,18 +29,21 @@
     ]
 
 
-def test_an_item_that_was_worked_on_is_not_late_for_its_whole_time() -> None:
-    """Parked runs near their end were taken for late ones, parked first and not taken up again."""
+def test_the_time_already_spent_on_an_item_counts() -> None:
+    """Guards against taking parked runs near their end for late ones.
+
+    They were parked first and not resumed.
+    """
     assert not RunTimes().urgency(1.0, INITIAL_RUN_S - 0.5).late
     assert RunTimes().urgency(1.0, 0.0).late
 
 
 @pytest.mark.parametrize("worked_s", [INITIAL_RUN_S, 100.0])
-def test_what_took_its_time_is_not_taken_for_done(worked_s: float) -> None:
+def test_an_item_that_exceeded_the_average_is_not_taken_for_done(worked_s: float) -> None:
     assert RunTimes().remaining_s(worked_s) == INITIAL_RUN_S * MIN_REMAINING_SHARE
 
 
-def test_the_usual_time_follows_the_items() -> None:
+def test_the_average_follows_the_items() -> None:
     times = RunTimes()
     for _ in range(60):
         times.record(9.0)
