--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -68,32 +68,32 @@
         self._outbox = outbox
         self._quarantine = quarantine
 
-    async def attempt(self, run: ItemRun, seat: RunnerSeat) -> bool:
+    async def attempt(self, run: ItemRun, runner: RunnerSeat) -> bool:
         """Run an item once at a back end; return whether the item has ended."""
         request = self._build_request(run.item)
         if request is None or not self._load_progress(run):
             run.trace.set_end(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
             return False
         run.suspect_key = self._quarantine.find(request)
-        if not self._quarantine.may_begin(run.suspect_key, seat.record.start):
+        if not self._quarantine.may_begin(run.suspect_key, runner.record.start):
             run.trace.set_end(RunEnd.QUARANTINED)
             return False
-        with self._quarantine.trial(run.suspect_key, seat.record.start):
-            return await self._run(run, seat, request)
+        with self._quarantine.trial(run.suspect_key, runner.record.start):
+            return await self._run(run, runner, request)
 
-    async def _run(self, run: ItemRun, seat: RunnerSeat, request: CallerRequest) -> bool:
+    async def _run(self, run: ItemRun, runner: RunnerSeat, request: CallerRequest) -> bool:
         """Send an item's request and read the response; return whether the item has ended."""
         loop = asyncio.get_running_loop()
         if run.silent_runs:
             # A network path that went silent may affect kept connections to other back ends as
             # well.
-            self._sender.distrust(seat)
+            self._sender.distrust(runner)
         run.mark_sent(loop.time())
         response = await self._sender.send(
             Dispatch(
                 request,
                 self._dialect.read_request(request.headers),
-                seat,
+                runner,
                 repeatable=True,
                 last_event_id=run.stream.last_id,
                 until_s=loop.time() + RUN_TIMEOUT_S,
@@ -102,7 +102,7 @@
         )
         if isinstance(response, Failure):
             run.trace.record_failure(response)
-            self._note_failure(run, seat, request, response)
+            self._note_failure(run, runner, request, response)
             if response.kind is FailureKind.DEADLINE_EXCEEDED:
                 _note_silence(run, loop.time())
             return False
@@ -115,7 +115,7 @@
             if failure is not None:
                 run.stream.broken()
         if failure is not None:
-            self._note_failure(run, seat, request, failure)
+            self._note_failure(run, runner, request, failure)
             return False
         run.suspect_key = run.suspect_key or self._quarantine.find(request)
         if run.suspect_key:
@@ -123,17 +123,17 @@
         return self._handle_status(run, response.head.status)
 
     def _note_failure(
-        self, run: ItemRun, seat: RunnerSeat, request: CallerRequest, failure: Failure
+        self, run: ItemRun, runner: RunnerSeat, request: CallerRequest, failure: Failure
     ) -> None:
         """Report to the quarantine what a failed run says about its back end and its item."""
         if failure.kind is FailureKind.NOT_LISTENING:
-            self._quarantine.not_listening(seat.record)
+            self._quarantine.not_listening(runner.record)
         if is_lost_run(failure):
             self._quarantine.lost(
                 request,
                 run.route_name,
                 run.item.item_id,
-                seat.record,
+                runner.record,
                 ran_on=ran_on(run.first_output_s, asyncio.get_running_loop().time()),
             )
 
--- a/src/leverjunction/lots/batch_capacity.py
+++ b/src/leverjunction/lots/batch_capacity.py
@@ -86,7 +86,7 @@
         self._buckets: deque[tuple[float, int]] = deque()
 
     def record(self, now_s: float, value: int) -> None:
-        """Add the current value."""
+        """Record the current value."""
         if self._buckets and now_s - self._buckets[-1][0] < BUCKET_S:
             started_s, maximum = self._buckets[-1]
             self._buckets[-1] = (started_s, max(maximum, value))
@@ -118,7 +118,7 @@
         self._rises = SlidingMaximum(WINDOW_S)
 
     def record(self, now_s: float, level: int) -> None:
-        """Add the current value."""
+        """Record the current value."""
         # The newest level from before the reaction time is kept: it was in force when that time
         # began.
         while len(self._levels) > 1 and self._levels[1][0] <= now_s - self.reaction_s:
@@ -140,7 +140,7 @@
     """The load of one back end.
 
     Attributes:
-        slots: Requests that it processes at the same time.
+        slots: Requests that it can process at the same time.
         own_runs: Batch runs of this process there.
         reported_online: Online requests there that gateways report.
         unreported_online: Online requests that its last load sample shows beyond those.
@@ -211,7 +211,7 @@
         return now_s - self._sampled_s > STALE_S
 
     def excess(self, now_s: float) -> int:
-        """Return how many batch runs take slots that online requests need here."""
+        """Return how many batch runs here take slots that online requests need."""
         if self.is_stale(now_s):
             return 0
         return max(0, min(self.own_runs, self.online + self.own_runs - self.slots))
@@ -226,17 +226,17 @@
 class OccupiedSlot:
     """A back end's slot that a batch run occupies; freeing it more than once has no effect."""
 
-    __slots__ = ("_room",)
+    __slots__ = ("_capacity",)
 
-    def __init__(self, room: RunnerCapacity) -> None:
-        self._room: RunnerCapacity | None = room
-        room.add_run()
+    def __init__(self, capacity: RunnerCapacity) -> None:
+        self._capacity: RunnerCapacity | None = capacity
+        capacity.add_run()
 
     def free(self) -> None:
         """Release the slot."""
-        if self._room is not None:
-            self._room.remove_run()
-            self._room = None
+        if self._capacity is not None:
+            self._capacity.remove_run()
+            self._capacity = None
 
 
 class ServiceCapacity:
--- a/tests/unit/test_lots_load_watch.py
+++ b/tests/unit/test_lots_load_watch.py
@@ -38,11 +38,11 @@
     async def scenario() -> tuple[ServiceAvailability, bool]:
         watch, balancer = make_watch(3)
         now_s = asyncio.get_running_loop().time()
-        for number, seat in enumerate(balancer.seats(SERVICE)):
+        for number, runner in enumerate(balancer.seats(SERVICE)):
             if number in sampled:
-                watch.capacity_at(seat).record_sample(running, 0, now_s)
+                watch.capacity_at(runner).record_sample(running, 0, now_s)
             if number in ejected:
-                seat.ejected_until_s = now_s + 5.0
+                runner.ejected_until_s = now_s + 5.0
         return watch.availability(SERVICE), watch.pick_runner(SERVICE) is not None
 
     return asyncio.run(scenario())
@@ -79,9 +79,9 @@
     async def scenario() -> float:
         watch, balancer = make_watch(1200)
         now_s = asyncio.get_running_loop().time()
-        for seat in balancer.seats(SERVICE):
-            watch.capacity_at(seat).record_sample(0, 0, now_s)
-            seat.ejected_until_s = now_s + 5.0 * (seat.record.runner_id.endswith("1"))
+        for runner in balancer.seats(SERVICE):
+            watch.capacity_at(runner).record_sample(0, 0, now_s)
+            runner.ejected_until_s = now_s + 5.0 * (runner.record.runner_id.endswith("1"))
         started_s = time.thread_time()
         assert watch.availability(SERVICE).startable_runs > 0
         return time.thread_time() - started_s
--- a/tests/unit/test_lots_loop_watchdog.py
+++ b/tests/unit/test_lots_loop_watchdog.py
@@ -1,4 +1,4 @@
-"""A loop that hangs is told from one that steps, and from a process that was suspended."""
+"""A loop that hangs is distinguished from one that steps and from a suspended process."""
 
 from __future__ import annotations
 
--- a/tests/unit/test_lots_runner.py
+++ b/tests/unit/test_lots_runner.py
@@ -398,7 +398,7 @@
     """Guards against a store that remains leader and silently runs nothing.
 
     An error outside the event loop's step ends the loop's thread, and items are accepted later.
-    Nothing started another loop or told the process.
+    Nothing started another loop or notified the process.
     """
     pause = LotsRunner._pause
     ended: list[bool] = []
--- a/tests/unit/test_lots_unsendable.py
+++ b/tests/unit/test_lots_unsendable.py
@@ -30,9 +30,9 @@
     attempts: list[float] = []
     attempt = Attempts.attempt
 
-    async def counted(self: Attempts, run: object, seat: object) -> bool:
+    async def counted(self: Attempts, run: object, runner: object) -> bool:
         attempts.append(time.monotonic())
-        return await attempt(self, run, seat)  # type: ignore[arg-type]
+        return await attempt(self, run, runner)  # type: ignore[arg-type]
 
     monkeypatch.setattr(Attempts, "attempt", counted)
     item = LotItem(
