--- a/src/leverjunction/lots/batch_capacity.py
+++ b/src/leverjunction/lots/batch_capacity.py
@@ -283,7 +283,7 @@
         """Return the back ends with a recent load sample, with their ids."""
         return [(key, runner) for key, runner in self.runners.items() if not runner.is_stale(now_s)]
 
-    def keep(self, keys: frozenset[str]) -> None:
+    def retain(self, keys: frozenset[str]) -> None:
         """Drop all back ends but those listed."""
         self.runners = {key: runner for key, runner in self.runners.items() if key in keys}
 
--- a/src/leverjunction/lots/item_queue.py
+++ b/src/leverjunction/lots/item_queue.py
@@ -51,7 +51,7 @@
             self.runs.setdefault(run.key, run)
         self._discard_ranking()
 
-    def keep(self, keys: frozenset[ItemKey]) -> list[ItemRun]:
+    def retain(self, keys: frozenset[ItemKey]) -> list[ItemRun]:
         """Drop all items but those listed, and return the dropped ones."""
         gone = [run for key, run in self.runs.items() if key not in keys]
         for run in gone:
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -66,11 +66,11 @@
         self._capacities.clear()
         self.lost_runs.clear()
 
-    def keep(self, runner_ids: frozenset[str]) -> None:
+    def retain(self, runner_ids: frozenset[str]) -> None:
         """Drop all back ends but those listed."""
         for capacity in self._capacities.values():
-            capacity.keep(runner_ids)
-        self.lost_runs.keep(runner_ids)
+            capacity.retain(runner_ids)
+        self.lost_runs.retain(runner_ids)
 
     def poll(self, services: Iterable[str]) -> None:
         """Keep sampling the load of every back end of these services."""
--- a/src/leverjunction/lots/lost_runs.py
+++ b/src/leverjunction/lots/lost_runs.py
@@ -100,7 +100,7 @@
         """Forget all samples."""
         self._samples.clear()
 
-    def keep(self, runner_ids: frozenset[str]) -> None:
+    def retain(self, runner_ids: frozenset[str]) -> None:
         """Set the present back ends, and drop the samples of all others."""
         self._present = runner_ids
         self._samples = {
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -324,7 +324,7 @@
             return
         self._balancer.replace(snapshot.view.runners)
         self._quarantine.replace(snapshot.view.runners, snapshot.suspects)
-        self._loads.keep(frozenset(record.start for record in snapshot.view.runners))
+        self._loads.retain(frozenset(record.start for record in snapshot.view.runners))
         if self._index is None or self._index.table.version < snapshot.table.version:
             self._index = RouteIndex(snapshot.table)
         self._applied_snapshot = snapshot
@@ -364,7 +364,7 @@
         if opened is None:
             return False
         keys = frozenset(opened.keys)
-        for run in self._queue.keep(keys):
+        for run in self._queue.retain(keys):
             run.stop()
         self._outbox.keep(keys)
         complete = True
--- a/src/testbed/placement/batch.py
+++ b/src/testbed/placement/batch.py
@@ -149,7 +149,7 @@
         self._times.record(run.worked_s)
         self.done_s[run.item.item_id] = self._loop.time()
         keys = frozenset(key for key in self._queue.runs if key != run.key)
-        self._queue.keep(keys)
+        self._queue.retain(keys)
 
     def _urgency(self, run: ItemRun) -> Urgency:
         due_in_s = run.item.due_ms / 1000 + run.item.accepted_ms / 1000 - self._loop.time()
--- a/tests/unit/test_lots_batch_capacity.py
+++ b/tests/unit/test_lots_batch_capacity.py
@@ -178,7 +178,7 @@
 
 def test_back_ends_that_are_gone_are_forgotten() -> None:
     capacity = service(0, 0)
-    capacity.keep(frozenset({"1"}))
+    capacity.retain(frozenset({"1"}))
     assert capacity.allowance(NOW_S) == 11
 
 
--- a/tests/unit/test_lots_item_queue.py
+++ b/tests/unit/test_lots_item_queue.py
@@ -68,7 +68,7 @@
 
 def test_items_that_ended_meanwhile_are_not_taken(queue: ItemQueue) -> None:
     queue.rank(0.0, rank_by_due)
-    gone = queue.keep(frozenset({("lot", "a"), ("lot", "c")}))
+    gone = queue.retain(frozenset({("lot", "a"), ("lot", "c")}))
     assert [run.item.item_id for run in gone] == ["b"]
     assert queue.rank(0.01, rank_by_due)
     assert names(queue) == ["a", "c"]
--- a/tests/unit/test_lots_lost_runs.py
+++ b/tests/unit/test_lots_lost_runs.py
@@ -45,7 +45,7 @@
 
 def make_samples(requests: int, from_s: float = NOW_S - 5.0, to_s: float = NOW_S) -> LostRuns:
     lost_runs = LostRuns()
-    lost_runs.keep(frozenset({"i-1"}))
+    lost_runs.retain(frozenset({"i-1"}))
     for step in range(round((to_s - from_s) / INTERVAL_S) + 1):
         lost_runs.add_sample("i-1", LoadSample(from_s + step * INTERVAL_S, requests))
     return lost_runs
@@ -117,7 +117,7 @@
 def test_few_or_old_samples_prove_nothing() -> None:
     assert make_samples(0, NOW_S - 0.8).find(make_silent_runs(2), NOW_S) == []
     rare = LostRuns()
-    rare.keep(frozenset({"i-1"}))
+    rare.retain(frozenset({"i-1"}))
     rare.add_sample("i-1", LoadSample(NOW_S - 4, 0))
     rare.add_sample("i-1", LoadSample(NOW_S, 0))
     assert rare.find(make_silent_runs(2), NOW_S) == []
@@ -125,7 +125,7 @@
 
 def test_rare_samples_count_when_there_are_enough() -> None:
     rare = LostRuns()
-    rare.keep(frozenset({"i-1"}))
+    rare.retain(frozenset({"i-1"}))
     for ago_s in (4, 2, 0):
         rare.add_sample("i-1", LoadSample(NOW_S - ago_s, 0))
     assert names(rare.find(make_silent_runs(2), NOW_S)) == ["0", "1"]
