--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -6,12 +6,14 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from leverjunction.lots.batch_capacity import OccupiedSlot
+from leverjunction.lots.commands import LotAccepted
+
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent.parent / "src"))
 
 from leverjunction.clock import LOADED_S
 from leverjunction.lots import client
-from leverjunction.lots.commands import EndLot, LotAccepted, SubmitLot
-from leverjunction.lots.room import TakenSlot
+from leverjunction.lots.commands import EndLot, SubmitLot
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.roles import main
 from leverjunction.proxy import caller_connection, forwarding
@@ -62,7 +64,7 @@
 def _leave_what_was_cut() -> None:
     """An item whose run was cut waits for an end of that run that never comes."""
 
-    def free_only(_runner: LotsRunner, _run: object, slot: TakenSlot) -> None:
+    def free_only(_runner: LotsRunner, _run: object, slot: OccupiedSlot) -> None:
         slot.free()
 
     LotsRunner._run_ended = free_only  # type: ignore[method-assign, assignment]
--- a/src/leverjunction/lots/attempts.py
+++ b/src/leverjunction/lots/attempts.py
@@ -32,22 +32,25 @@
 
 RUN_TIMEOUT_S = 60.0
 READ_INTERVAL_S = 0.12
-"""Nobody waits for the single events of an item, and each would cost a wake-up."""
+"""Interval at which a response is read: nobody waits for the single events of an item, and each
+would cost a wake-up.
+"""
 
 OK = 200
 UNPROCESSABLE = 422
 SERVER_ERROR = 500
 
-NOT_HEARD = Failure(
+INCOMPLETE = Failure(
     kind=FailureKind.DEADLINE_EXCEEDED,
-    reason="the run was ended here, or nothing more came of it",
+    reason="the run was stopped, or its response did not continue",
     step=Step.RELAYING,
     execution=Execution.UNKNOWN,
 )
+"""Outcome of a run that was stopped here, or whose response ended too early or went silent."""
 
 
 class Attempts:
-    """Used by one event loop."""
+    """Sends items to back ends and interprets the responses. It belongs to one event loop."""
 
     __slots__ = ("_dialect", "_group", "_outbox", "_quarantine", "_sender")
 
@@ -66,26 +69,27 @@
         self._quarantine = quarantine
 
     async def attempt(self, run: ItemRun, runner: TrackedRunner) -> bool:
-        """Run an item once; return whether it has ended."""
-        request = self._request(run.item)
-        if request is None or not self._follow(run):
-            run.trace.over(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
+        """Run an item once at a back end; return whether the item has ended."""
+        request = self._build_request(run.item)
+        if request is None or not self._load_progress(run):
+            run.trace.set_end(RunEnd.NO_BODY if request is None else RunEnd.NO_PROGRESS)
             return False
         run.suspect_key = self._quarantine.find(request)
         if not self._quarantine.may_run(run.suspect_key, runner.record.start):
-            run.trace.over(RunEnd.QUARANTINED)
+            run.trace.set_end(RunEnd.QUARANTINED)
             return False
         with self._quarantine.trial(run.suspect_key, runner.record.start):
             return await self._run(run, runner, request)
 
     async def _run(self, run: ItemRun, runner: TrackedRunner, request: CallerRequest) -> bool:
-        """Send an item's request and take its answer; return whether the item has ended."""
+        """Send an item's request and read the response; return whether the item has ended."""
         loop = asyncio.get_running_loop()
-        if run.silent:
-            # A path that goes silent may concern kept connections to other back ends as well.
+        if run.silent_runs:
+            # A network path that went silent may affect kept connections to other back ends as
+            # well.
             self._sender.close_idle_connections(runner)
-        run.was_sent(loop.time())
-        answer = await self._sender.send(
+        run.mark_sent(loop.time())
+        response = await self._sender.send(
             Dispatch(
                 request,
                 self._dialect.read_request(request.headers),
@@ -94,36 +98,36 @@
                 last_event_id=run.stream.last_id,
                 until_s=loop.time() + RUN_TIMEOUT_S,
                 head_timeouts=HeadTimeouts.without_hedge(
-                    loop.time() + silence_s(run.item.due_ms, run.silent)
+                    loop.time() + silence_s(run.item.due_ms, run.silent_runs)
                 ),
             )
         )
-        if isinstance(answer, Failure):
-            run.trace.not_answered(answer)
-            self._note_end(run, runner, request, answer)
-            if answer.kind is FailureKind.DEADLINE_EXCEEDED:
-                _silent(run, loop.time())
+        if isinstance(response, Failure):
+            run.trace.record_failure(response)
+            self._note_failure(run, runner, request, response)
+            if response.kind is FailureKind.DEADLINE_EXCEEDED:
+                _note_silence(run, loop.time())
             return False
-        run.trace.heard(loop.time())
-        broken: Failure | None = NOT_HEARD
+        run.trace.mark_heard(loop.time())
+        failure: Failure | None = INCOMPLETE
         try:
-            broken = await self._read_answer(run, answer)
+            failure = await self._read_response(run, response)
         finally:
-            # Also when it is parked: a later run continues after the last whole event.
-            if broken is not None:
+            # Also when the run is parked: a later run continues after the last complete event.
+            if failure is not None:
                 run.stream.discard_partial()
-        if broken is not None:
-            self._note_end(run, runner, request, broken)
+        if failure is not None:
+            self._note_failure(run, runner, request, failure)
             return False
         run.suspect_key = run.suspect_key or self._quarantine.find(request)
         if run.suspect_key:
             self._quarantine.answered(run.suspect_key)
-        return self._judge(run, answer.head.status)
+        return self._handle_status(run, response.head.status)
 
-    def _note_end(
+    def _note_failure(
         self, run: ItemRun, runner: TrackedRunner, request: CallerRequest, failure: Failure
     ) -> None:
-        """Note what a failed run says of its back end, and of the item itself."""
+        """Report to the quarantine what a failed run says about its back end and its item."""
         if failure.kind is FailureKind.NOT_LISTENING:
             self._quarantine.not_listening(runner.record)
         if is_lost_run(failure):
@@ -135,43 +139,45 @@
                 ran_on=ran_on(run.first_output_s, asyncio.get_running_loop().time()),
             )
 
-    async def _read_answer(self, run: ItemRun, answer: OpenedResponse) -> Failure | None:
-        """Take an answer's events; return why it did not come whole, None if it did."""
-        whole = False
+    async def _read_response(self, run: ItemRun, response: OpenedResponse) -> Failure | None:
+        """Read a response's events; return why it is incomplete, or None if it is complete."""
+        complete = False
         loop = asyncio.get_running_loop()
-        answer.connection.set_read_interval(READ_INTERVAL_S)
+        response.connection.set_read_interval(READ_INTERVAL_S)
         try:
             while True:
-                run.was_heard(loop.time())
-                async with asyncio.timeout(silence_s(run.item.due_ms, run.silent)):
-                    event = await answer.connection.next_event()
+                run.mark_heard(loop.time())
+                async with asyncio.timeout(silence_s(run.item.due_ms, run.silent_runs)):
+                    event = await response.connection.next_event()
                 if isinstance(event, Failure | ResponseHead):
-                    run.trace.over(RunEnd.CUT, event.reason if isinstance(event, Failure) else "")
-                    return event if isinstance(event, Failure) else NOT_HEARD
+                    run.trace.set_end(
+                        RunEnd.CUT, event.reason if isinstance(event, Failure) else ""
+                    )
+                    return event if isinstance(event, Failure) else INCOMPLETE
                 if isinstance(event, ResponseEnd):
-                    whole = True
+                    complete = True
                     return None
-                run.silent = 0
+                run.silent_runs = 0
                 run.note_output(loop.time())
-                if answer.head.status == OK:
+                if response.head.status == OK:
                     run.stream.feed(event)
-                run.trace.heard(loop.time())
+                run.trace.mark_heard(loop.time())
         except TimeoutError:
-            run.trace.over(RunEnd.SILENT, f"nothing came for {loop.time() - run.heard_s:.1f} s")
-            _silent(run, loop.time())
-            return NOT_HEARD
+            run.trace.set_end(RunEnd.SILENT, f"no data for {loop.time() - run.heard_s:.1f} s")
+            _note_silence(run, loop.time())
+            return INCOMPLETE
         finally:
-            self._sender.finish(answer, whole)
+            self._sender.finish(response, complete)
 
-    def _judge(self, run: ItemRun, status: int) -> bool:
-        """Note what a whole answer means for the item; return whether it has ended."""
-        run.trace.judged(status, run.stream.is_between_events)
+    def _handle_status(self, run: ItemRun, status: int) -> bool:
+        """Apply a complete response to its item; return whether the item has ended."""
+        run.trace.record_status(status, run.stream.is_between_events)
         if status == OK and run.stream.is_between_events:
             self._outbox.complete(run)
             return True
         run.stream.discard_partial()
         if status == UNPROCESSABLE:
-            self._outbox.give_up(run, "it can never be done")
+            self._outbox.give_up(run, "the back end cannot process it")
             return True
         if status != SERVER_ERROR:
             return False
@@ -182,19 +188,24 @@
         self._outbox.give_up(run, f"{run.failures} runs failed")
         return True
 
-    def _follow(self, run: ItemRun) -> bool:
-        """Have a run's stream go on from the events that the group has."""
-        if run.follows:
+    def _load_progress(self, run: ItemRun) -> bool:
+        """Make a run's stream continue after the events that the group has.
+
+        Returns:
+            Whether the stream is ready to continue.
+        """
+        if run.progress_loaded:
             return True
         raw = self._group.query_local(encode(ReadProgress(*run.key)))
         progress = decode_reply(raw, RecordedProgress)
         if isinstance(progress, Failure):
             return False
         run.stream = ItemStream(progress.count, progress.last_id)
-        run.follows = True
+        run.progress_loaded = True
         return True
 
-    def _request(self, item: OpenItem) -> CallerRequest | None:
+    def _build_request(self, item: OpenItem) -> CallerRequest | None:
+        """Return the request of an item, or None if its body cannot be read from the group."""
         raw = self._group.query_local(encode(ReadBody(item.lot_id, item.item_id)))
         body = decode_reply(raw, ItemBody)
         if isinstance(body, Failure):
@@ -205,12 +216,12 @@
         return CallerRequest(b"POST", item.path.encode(), headers, body.body, now_s)
 
 
-def _silent(run: ItemRun, now_s: float) -> None:
-    """Note that a run ends because nothing came."""
+def _note_silence(run: ItemRun, now_s: float) -> None:
+    """Count and log a run that ends because its back end sent nothing."""
     lot_id, item_id = run.key
-    run.silent += 1
+    run.silent_runs += 1
     logger.info(
-        "item {} of lot {} is run again: back end {} was silent for {:.1f} s",
+        "retrying item {} of lot {}: back end {} was silent for {:.1f} s",
         item_id,
         lot_id,
         run.runner_id,
--- a/src/leverjunction/lots/load_watch.py
+++ b/src/leverjunction/lots/load_watch.py
@@ -1,4 +1,4 @@
-"""Reads the back ends' load while there is batch work, and keeps the room that follows from it."""
+"""Samples the load of back ends while there is batch work, and tracks the capacity left for it."""
 
 from __future__ import annotations
 
@@ -7,36 +7,41 @@
 
 from loguru import logger
 
+from leverjunction.lots.batch_capacity import RunnerCapacity, ServiceCapacity
 from leverjunction.lots.gateway_loads import GatewayLoads
-from leverjunction.lots.lost_runs import LostRuns, Report
-from leverjunction.lots.room import SeatRoom, ServiceRoom
-from leverjunction.lots.standing import ServiceSight
+from leverjunction.lots.item_status import ServiceAvailability
+from leverjunction.lots.lost_runs import LoadSample, LostRuns
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.proxy.tracked_runner import TrackedRunner
 
-READ_INTERVAL_S = 0.1
-"""Pause between two readings of a back end: how soon batch learns that it has to give way."""
+POLL_INTERVAL_S = 0.1
+"""Pause between two load samples of a back end; it bounds how soon batch yields."""
 
-READS_PER_S = 200
-"""Of all back ends of a service together: many of them are read less often."""
+MAX_POLLS_PER_S = 200
+"""Load samples per second of all back ends of a service together; with many of them, each is
+sampled less often.
+"""
 
 LOG_INTERVAL_S = 5.0
-NEAR_ROOM = 3
-"""Slots that a back end in this zone must have free to be preferred to one with more elsewhere."""
+MIN_LOCAL_SLOTS = 3
+"""Free slots that a back end in this zone needs to be preferred to one with more in another zone.
+"""
 
 
 class LoadWatch:
-    """Used by one event loop.
+    """Knows the load of the back ends, and chooses where batch runs start and stop.
+
+    It belongs to one event loop.
 
     Args:
-        sender: Sends the readings.
+        sender: Sends the requests for load samples.
         balancer: Knows the back ends.
         zone: Zone of this process.
-        read: Called after each reading.
+        on_sample: Called after each sample.
 
     Attributes:
-        lost_runs: Takes each reading too.
+        lost_runs: Receives each sample too, to find runs that their back ends no longer have.
     """
 
     def __init__(
@@ -44,91 +49,103 @@
         sender: Sender,
         balancer: Balancer,
         zone: str,
-        read: Callable[[], None],
+        on_sample: Callable[[], None],
     ) -> None:
         self._sender = sender
         self._balancer = balancer
         self._zone = zone
-        self._read_one = read
-        self._rooms: dict[str, ServiceRoom] = {}
-        self._reading: dict[str, asyncio.Task[None]] = {}
+        self._on_sample = on_sample
+        self._capacities: dict[str, ServiceCapacity] = {}
+        self._polls: dict[str, asyncio.Task[None]] = {}
         self._logged_s = float("-inf")
         self.lost_runs = LostRuns()
         self._loop = asyncio.get_running_loop()
 
     def clear(self) -> None:
-        """Forget all: another store leads the group."""
-        self._rooms.clear()
+        """Forget everything: another store leads the group."""
+        self._capacities.clear()
         self.lost_runs.clear()
 
-    def keep(self, runner_ids: frozenset[str]) -> None:
-        """Forget back ends that are gone."""
-        for room in self._rooms.values():
-            room.keep(runner_ids)
-        self.lost_runs.keep(runner_ids)
+    def retain(self, runner_ids: frozenset[str]) -> None:
+        """Drop all back ends but those listed."""
+        for capacity in self._capacities.values():
+            capacity.retain(runner_ids)
+        self.lost_runs.retain(runner_ids)
 
-    def read(self, services: Iterable[str]) -> None:
-        """Ask every back end of these services for its load, a few times a second."""
+    def poll(self, services: Iterable[str]) -> None:
+        """Keep sampling the load of every back end of these services."""
         now_s = self._loop.time()
         for service in services:
-            self._room(service).note(now_s)
-            seats = self._balancer.available(service)
-            pause_s = max(READ_INTERVAL_S, len(seats) / READS_PER_S)
-            for seat in seats:
-                key = seat.record.start
-                if key not in self._reading:
-                    self._reading[key] = self._loop.create_task(self._read(seat, pause_s))
-
-    def tell(self, loads: GatewayLoads) -> None:
-        """Take what gateways tell of their online requests."""
+            self._capacity(service).update(now_s)
+            runners = self._balancer.available(service)
+            pause_s = max(POLL_INTERVAL_S, len(runners) / MAX_POLLS_PER_S)
+            for runner in runners:
+                key = runner.record.start
+                if key not in self._polls:
+                    self._polls[key] = self._loop.create_task(self._poll(runner, pause_s))
+
+    def apply_gateway_loads(self, loads: GatewayLoads) -> None:
+        """Apply what gateways report about their online requests."""
         now_s = self._loop.time()
         loads.expire(now_s)
-        for service, room in self._rooms.items():
-            for key, seat in room.seats.items():
-                seat.tell(loads.at_back_end(key), now_s)
-            room.hear(loads.gateway_count, loads.update_interval_s(), loads.waiting(service))
-            room.note(now_s)
+        for service, capacity in self._capacities.items():
+            for key, runner in capacity.runners.items():
+                runner.report_online(loads.at_back_end(key), now_s)
+            capacity.set_gateway_reports(
+                loads.gateway_count, loads.update_interval_s(), loads.waiting(service)
+            )
+            capacity.update(now_s)
 
     def online(self) -> dict[str, int]:
-        """Return the online requests at each back end whose load is known."""
+        """Return the online requests at each back end with a recent load sample."""
         now_s = self._loop.time()
-        rooms = self._rooms.values()
-        return {key: seat.online for room in rooms for key, seat in room.read(now_s)}
-
-    def room_at(self, seat: TrackedRunner) -> SeatRoom:
-        """Return what is known of one back end."""
-        return self._room(seat.record.service).seat(seat.record.start, seat.record.slots)
+        capacities = self._capacities.values()
+        return {
+            key: runner.online
+            for capacity in capacities
+            for key, runner in capacity.fresh_runners(now_s)
+        }
+
+    def capacity_at(self, runner: TrackedRunner) -> RunnerCapacity:
+        """Return the load of one back end."""
+        return self._capacity(runner.record.service).runner(
+            runner.record.start, runner.record.slots
+        )
 
-    def free_seat(self, service: str) -> TrackedRunner | None:
-        """Return the back end with most room for batch; None while online requests need it all."""
+    def pick_runner(self, service: str) -> TrackedRunner | None:
+        """Return the best back end for one more batch run, None while there is no capacity."""
         now_s = self._loop.time()
-        if self._room(service).allowance(now_s) <= 0:
+        if self._capacity(service).allowance(now_s) <= 0:
             return None
         free = [
-            (self.room_at(seat).free(now_s), seat)
-            for seat in self._balancer.available(service)
-            if seat.ejected_until_s <= now_s
+            (self.capacity_at(runner).free(now_s), runner)
+            for runner in self._balancer.available(service)
+            if runner.ejected_until_s <= now_s
         ]
-        room, seat = max(free, key=self._preference, default=(0, None))
-        return seat if room > 0 else None
+        free_slots, runner = max(free, key=self._preference, default=(0, None))
+        return runner if free_slots > 0 else None
 
-    def sight(self, service: str) -> ServiceSight:
-        """Return what decides on the room of a service, for a person."""
+    def availability(self, service: str) -> ServiceAvailability:
+        """Return the figures that decide whether runs of a service can start, for log lines."""
         now_s = self._loop.time()
-        seats = self._balancer.available(service)
-        room = self._rooms.get(service)
-        free = {key: seat.free(now_s) for key, seat in room.read(now_s)} if room else {}
-        sound: list[int | None] = []
+        runners = self._balancer.available(service)
+        capacity = self._capacities.get(service)
+        free = (
+            {key: runner.free(now_s) for key, runner in capacity.fresh_runners(now_s)}
+            if capacity
+            else {}
+        )
+        not_ejected: list[int | None] = []
         ejected: list[int | None] = []
-        for seat in seats:
-            kept = sound if seat.ejected_until_s <= now_s else ejected
-            kept.append(free.get(seat.record.start))
-        return ServiceSight(
-            known=len(seats),
-            sound=len(sound),
-            read=sum(1 for count in sound if count is not None),
-            allowance=room.allowance(now_s) if room else 0,
-            free=max((count or 0 for count in sound), default=0),
+        for runner in runners:
+            kept = not_ejected if runner.ejected_until_s <= now_s else ejected
+            kept.append(free.get(runner.record.start))
+        return ServiceAvailability(
+            known=len(runners),
+            not_ejected=len(not_ejected),
+            with_recent_load=sum(1 for count in not_ejected if count is not None),
+            allowance=capacity.allowance(now_s) if capacity else 0,
+            free=max((count or 0 for count in not_ejected), default=0),
             free_ejected=max((count or 0 for count in ejected), default=0),
         )
 
@@ -136,58 +153,66 @@
         """Return the back ends at which a batch run should be parked, one entry for each run."""
         now_s = self._loop.time()
         parked: list[str] = []
-        for room in self._rooms.values():
-            here = {key: seat.excess(now_s) for key, seat in room.seats.items()}
-            left = room.excess(now_s) - sum(here.values())
-            own = {key: seat.own - here[key] for key, seat in room.read(now_s)}
-            while left > 0 and any(own.values()):
-                fullest = max(own, key=lambda key: (own[key], key))
-                own[fullest] -= 1
-                here[fullest] += 1
-                left -= 1
-            parked += [key for key, count in here.items() for _ in range(count)]
+        for capacity in self._capacities.values():
+            to_park_at = {key: runner.excess(now_s) for key, runner in capacity.runners.items()}
+            remaining = capacity.excess(now_s) - sum(to_park_at.values())
+            own_runs = {
+                key: runner.own_runs - to_park_at[key]
+                for key, runner in capacity.fresh_runners(now_s)
+            }
+            while remaining > 0 and any(own_runs.values()):
+                fullest = max(own_runs, key=lambda key: (own_runs[key], key))
+                own_runs[fullest] -= 1
+                to_park_at[fullest] += 1
+                remaining -= 1
+            parked += [key for key, count in to_park_at.items() for _ in range(count)]
         return parked
 
     def is_to_log(self) -> bool:
-        """Return whether it is time for the next line."""
+        """Return whether the next log line is due."""
         return self._loop.time() - self._logged_s >= LOG_INTERVAL_S
 
     def log(self, open_items: int, running: int) -> None:
-        """Say how much runs, and why not more."""
+        """Log how much runs for each service, and what limits it.
+
+        Args:
+            open_items: Open items of all services.
+            running: Items of all services that are being run.
+        """
         now_s = self._loop.time()
         self._logged_s = now_s
-        for service, room in self._rooms.items():
+        for service, capacity in self._capacities.items():
             logger.info(
                 "batch of {}: {} open, {} running, {} may be added; online peak {}, now {},"
-                " {} slots read",
+                " {} slots with recent load",
                 service,
                 open_items,
                 running,
-                *room.figures(now_s),
+                *capacity.summary(now_s),
             )
 
-    def _room(self, service: str) -> ServiceRoom:
-        return self._rooms.setdefault(service, ServiceRoom())
+    def _capacity(self, service: str) -> ServiceCapacity:
+        return self._capacities.setdefault(service, ServiceCapacity())
 
     def _preference(self, candidate: tuple[int, TrackedRunner]) -> tuple[bool, int, str]:
-        """Rank back ends: with room in this zone, as bodies are large; then by room."""
-        room, seat = candidate
-        near = seat.record.zone == self._zone and room >= NEAR_ROOM
-        return (near, room, seat.record.start)
+        """Rank back ends: in this zone first, as item bodies are large; then by free slots."""
+        free_slots, runner = candidate
+        is_local = runner.record.zone == self._zone and free_slots >= MIN_LOCAL_SLOTS
+        return (is_local, free_slots, runner.record.start)
 
-    async def _read(self, seat: TrackedRunner, pause_s: float) -> None:
+    async def _poll(self, runner: TrackedRunner, pause_s: float) -> None:
         try:
-            load = await self._sender.read_load(seat)
+            load = await self._sender.read_load(runner)
             if load is None:
-                self._sender.close_idle_connections(seat)
-                # The last reading grows old, and then nothing is added there.
+                self._sender.close_idle_connections(runner)
+                # The last sample expires, and then no run is added there.
                 return
             now_s = self._loop.time()
-            room = self.room_at(seat)
-            room.read(load.running, load.waiting, now_s)
-            report = Report(now_s, load.running + load.waiting)
-            self.lost_runs.note(seat.record.start, report)
-            self._read_one()
+            capacity = self.capacity_at(runner)
+            capacity.record_sample(load.running, load.waiting, now_s)
+            sample = LoadSample(now_s, load.running + load.waiting)
+            self.lost_runs.add_sample(runner.record.start, sample)
+            self._on_sample()
             await asyncio.sleep(pause_s)
         finally:
-            self._reading.pop(seat.record.start, None)
+            self._polls.pop(runner.record.start, None)
--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -310,7 +310,7 @@
         self._node_watch.check_registry_age(self._follower.age_s())
         runner = self._runner
         if runner is not None:
-            self._node_watch.check_step_age(runner.step_age_s(), runner.whereabouts)
+            self._node_watch.check_step_age(runner.step_age_s(), runner.describe_thread)
 
     def _maintain_group(self) -> None:
         """On the leader, request the voters that the registry names and delete old lots."""
--- a/src/leverjunction/lots/node_watch.py
+++ b/src/leverjunction/lots/node_watch.py
@@ -51,22 +51,22 @@
             age_s: That time in seconds.
         """
         metrics.REGISTRY_AGE_S.set(age_s)
-        message = self._registry.look(age_s, self._clock.monotonic_s())
+        message = self._registry.update(age_s, self._clock.monotonic_s())
         if message:
             logger.warning("{}", message)
 
-    def check_step_age(self, age_s: float, whereabouts: Callable[[], str]) -> None:
+    def check_step_age(self, age_s: float, describe_thread: Callable[[], str]) -> None:
         """Export and check the time since the runner's last step.
 
         Args:
             age_s: That time in seconds.
-            whereabouts: Returns the current stack of the runner's thread; called only when a
+            describe_thread: Returns the current stack of the runner's thread; called only when a
                 warning is logged.
         """
         metrics.STEP_AGE_S.set(age_s)
-        message = self._steps.look(age_s, self._clock.monotonic_s())
+        message = self._steps.update(age_s, self._clock.monotonic_s())
         if message:
-            logger.warning("{}; {}", message, whereabouts())
+            logger.warning("{}; {}", message, describe_thread())
 
 
 def format_thread_stack(thread: threading.Thread) -> str:
--- a/src/leverjunction/lots/outbox.py
+++ b/src/leverjunction/lots/outbox.py
@@ -231,7 +231,9 @@
             return []
         self._progress_sent_s = now_s
         unfinished = [
-            run for run in runs if run.stream.count and run.follows and not self.has_result(run)
+            run
+            for run in runs
+            if run.stream.count and run.progress_loaded and not self.has_result(run)
         ]
         # Longest first: if not all fit into one command, the items that would lose most are sent.
         return sorted(unfinished, key=lambda run: run.stream.count, reverse=True)
--- a/src/leverjunction/lots/runner.py
+++ b/src/leverjunction/lots/runner.py
@@ -1,7 +1,9 @@
 """Runs the open items of a group of lots, on the store that leads the group.
 
-One event loop in a thread of its own. What is open is read from the group's applied state, so a
-new leader goes on where the old one stopped; results count only once the group has them.
+A lot is a batch job: a set of opaque HTTP requests, its items, each of which is sent to a back end
+until it is done or given up. The runner is one event loop in a thread of its own. It reads the open
+items from the applied state of the replicated group, so a new leader continues where the previous
+one stopped, and a result counts only once the group has committed it.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 from leverjunction.consensus.api import ReplicatedGroup
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.lots.attempts import Attempts
-from leverjunction.lots.board import Board
+from leverjunction.lots.batch_capacity import OccupiedSlot
 from leverjunction.lots.commands import (
     OpenItem,
     OpenItems,
@@ -28,14 +30,14 @@
     ReadOpenItems,
     ReadOpenKeys,
 )
+from leverjunction.lots.item_queue import ItemQueue
 from leverjunction.lots.item_run import ItemKey, ItemRun
 from leverjunction.lots.load_listener import LoadListener
 from leverjunction.lots.load_watch import LoadWatch
+from leverjunction.lots.loop_watchdog import LoopWatchdog
 from leverjunction.lots.node_watch import format_thread_stack
 from leverjunction.lots.outbox import Outbox
-from leverjunction.lots.pulse import Pulse
-from leverjunction.lots.room import TakenSlot
-from leverjunction.lots.sight import RunnerSight, Scene
+from leverjunction.lots.runner_monitor import RunnerMonitor, RunnerSnapshot
 from leverjunction.lots.urgency import RunTimes, Urgency
 from leverjunction.proxy.attempt import Sender
 from leverjunction.proxy.balancer import Balancer
@@ -55,27 +57,37 @@
 IDLE_STEP_S = 0.5
 STOP_TIMEOUT_S = 2.0
 RETRY_PAUSE_S = 0.3
-RAISED_PAUSE_MOST_S = 5.0
-"""Longest pause after runs that an error here ended; it doubles from the usual one."""
+MAX_ERROR_PAUSE_S = 5.0
+"""Longest pause after runs that an unexpected error ended. The pause doubles with each such run in
+a row, starting from twice ``RETRY_PAUSE_S``.
+"""
 
-HANGS_S = 60.0
-"""A loop without a step for so long is a fault of the process, which ends to start anew: longer
-than a disk stalls under a replica that still takes part in its group.
+HANG_TIMEOUT_S = 60.0
+"""Time without a completed step after which the process reports itself as faulty, so that it exits
+and is restarted. Longer than a disk may stall under a replica that still takes part in its group.
 """
 
-RENEW_PAUSE_S = 0.5
-READ_AGAIN_S = 2.0
-"""What is open is read again after so long, whether a change was told or not."""
+RESTART_PAUSE_S = 0.5
+READ_INTERVAL_S = 2.0
+"""Time after which the open items are read again even if no change was reported."""
 
-READ_SHARE = 0.02
-"""Of this loop's time: with very many open items they are read again less often."""
+MAX_READ_SHARE = 0.02
+"""Largest share of the event loop's time spent on reading open items. With very many open items
+they are read less often.
+"""
 
 GIVE_UP_MARGIN_S = 3.0
-"""Clocks of machines differ: an item is given up only when its time is surely over."""
+"""Tolerance for clock differences between machines: an item is given up only once its time limit
+has passed by this much.
+"""
 
 
 class LotsRunner:
-    """Used by its own event loop; ``changed`` and ``set_registry`` by any thread."""
+    """Runs the open items of a group while this process leads it.
+
+    The work happens on the runner's own event loop. ``changed`` and ``set_registry`` may be called
+    from any thread.
+    """
 
     def __init__(
         self,
@@ -91,15 +103,16 @@
         """Prepare a runner.
 
         Args:
-            group: The group whose items are run.
+            group: Replicated group whose items are run.
             zone: Zone of this process.
-            dialect: Words of the back ends.
+            dialect: Headers and paths that the back ends understand.
             clock: Source of time.
-            random: Draws the services of split routes.
-            datagrams: Address where gateways tell of their online requests; empty for none.
-            report: Takes the evidence against items under which back ends end.
-            is_in_doubt: Returns whether this process stood still and has not heard the registry
-                since; nothing new is run meanwhile.
+            random: Chooses the service on routes that split traffic.
+            datagrams: Address to listen on for the gateways' reports of online requests; empty for
+                none.
+            report: Receives the evidence against items whose back ends crash.
+            is_in_doubt: Returns whether this process was suspended and has not heard from the
+                registry since; no run is started meanwhile.
         """
         self._report = report
         self._is_in_doubt = is_in_doubt
@@ -111,32 +124,32 @@
         self._random = random
         self._index: RouteIndex | None = None
         self._snapshot: Snapshot | None = None
-        self._taken: Snapshot | None = None
-        self._board = Board()
+        self._applied_snapshot: Snapshot | None = None
+        self._queue = ItemQueue()
         self._times = RunTimes()
-        self._sight = RunnerSight(clock)
-        self._stepped_s = clock.monotonic_s()
+        self._monitor = RunnerMonitor(clock)
+        self._last_step_s = clock.monotonic_s()
         self._dirty = True
-        self._read_again_s = 0.0
-        self._reads_fail = False
-        self._pulse = Pulse()
+        self._next_read_s = 0.0
+        self._read_failing = False
+        self._watchdog = LoopWatchdog()
         self._stopped = False
         self._loop: asyncio.AbstractEventLoop | None = None
         self._wake: asyncio.Event | None = None
         self._thread = threading.Thread(target=self._run_loop, name="lots-runner", daemon=True)
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the runner's thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop all runs; another store goes on with them."""
+        """Stop all runs; another store continues them."""
         self._stopped = True
         self.changed()
         self._thread.join(STOP_TIMEOUT_S)
 
     def changed(self) -> None:
-        """Note that the group's state changed."""
+        """Notify the runner that the group's state has changed."""
         self._dirty = True
         loop, wake = self._loop, self._wake
         if loop is None or wake is None:
@@ -144,56 +157,62 @@
         try:
             loop.call_soon_threadsafe(wake.set)
         except RuntimeError:
-            # The loop has ended: the next one reads all. An error here would undo the command
-            # that is being applied, on this replica alone.
-            logger.debug("no loop of the runner is told of a change")
+            # The event loop has ended, and the next one reads everything. An exception raised here
+            # would abort the command that is being applied, on this replica alone.
+            logger.debug("no event loop of the lots runner is running: change not signalled")
 
     def set_registry(self, snapshot: Snapshot) -> None:
-        """Take a newer registry."""
+        """Replace the registry snapshot by a newer one."""
         self._snapshot = snapshot
         self.changed()
 
     def step_age_s(self) -> float:
-        """Return the seconds since the loop last took a step."""
-        return self._clock.monotonic_s() - self._stepped_s
+        """Return the seconds since the event loop last completed a step."""
+        return self._clock.monotonic_s() - self._last_step_s
 
-    def whereabouts(self) -> str:
-        """Return where the loop's thread is, for a person."""
+    def describe_thread(self) -> str:
+        """Return a readable description of where the event loop's thread is."""
         return format_thread_stack(self._thread)
 
     def fault(self) -> Failure | None:
-        """Return why no items are run any more, None while they are; to be asked regularly."""
-        silent_s = self._pulse.look(self._clock.monotonic_s())
-        if self._stopped or self._thread.ident is None or silent_s < HANGS_S:
+        """Return why items are no longer run, or None while they are.
+
+        The time without a step is measured between calls, so it has to be called regularly.
+        """
+        silent_s = self._watchdog.check(self._clock.monotonic_s())
+        if self._stopped or self._thread.ident is None or silent_s < HANG_TIMEOUT_S:
             return None
         return Failure(
             kind=FailureKind.INTERNAL,
-            reason=f"the loop that runs the items of lots has made no step for {silent_s:.0f} s",
+            reason=f"the event loop of the lots runner completed no step for {silent_s:.0f} s",
             step=Step.SENDING,
         )
 
     def _run_loop(self) -> None:
-        """Run loops until asked to stop: after one that ends by an error comes another."""
+        """Run event loops until asked to stop, replacing any that fails."""
         while not self._stopped:
             try:
                 with asyncio.Runner(loop_factory=SteadyLoop) as loop_runner:
                     loop_runner.run(self._main())
             except Exception:
-                # The replica may lead on: without a loop nothing of what it has would be run.
-                logger.exception("the loop that runs the items of lots has ended; another begins")
-                time.sleep(RENEW_PAUSE_S)
+                # The replica may still be the leader, and without an event loop none of its items
+                # would run.
+                logger.exception("the event loop of the lots runner has failed; starting another")
+                time.sleep(RESTART_PAUSE_S)
 
     async def _main(self) -> None:
+        """Run steps until asked to stop."""
         self._loop = asyncio.get_running_loop()
         self._wake = asyncio.Event()
-        # All is read from the group: what an earlier loop had belongs to its tasks.
-        self._board = Board()
-        self._taken = None
+        # Everything is read from the group again: the state of an earlier event loop belongs to its
+        # cancelled tasks.
+        self._queue = ItemQueue()
+        self._applied_snapshot = None
         self._dirty = True
         pool = RunnerPool()
         self._balancer = Balancer(self._zone, self._random)
         sender = Sender(pool, self._balancer, self._dialect)
-        self._outbox = Outbox(self._group, self._sight.records)
+        self._outbox = Outbox(self._group, self._monitor.records)
         self._quarantine = Quarantine(self._report)
         self._attempts = Attempts(
             self._group, sender, self._dialect, self._outbox, self._quarantine
@@ -203,7 +222,7 @@
         self._listener = LoadListener(
             CLUSTER_KEY,
             self._has_work,
-            self._give_way,
+            self._yield_to_online,
             self._loads.online,
             lambda: self._balancer.order,
         )
@@ -214,26 +233,28 @@
                 try:
                     self._step()
                 except Exception:
-                    logger.exception("a step of the runner of lots failed")
-                self._pulse.beat()
-                self._stepped_s = self._clock.monotonic_s()
-                self._sight.look(self._scene)
+                    logger.exception("a step of the lots runner failed")
+                self._watchdog.record_step()
+                self._last_step_s = self._clock.monotonic_s()
+                self._monitor.update(self._monitor_snapshot)
                 await self._pause()
         finally:
             self._listener.close()
             self._drop_all()
             pool.close()
 
-    def _scene(self) -> Scene:
-        """Return what there is to see; it changes nothing."""
-        return Scene(
+    def _monitor_snapshot(self) -> RunnerSnapshot:
+        """Return the current state for the monitor, without changing anything."""
+        return RunnerSnapshot(
             status=self._group.status(),
             index=self._index,
-            back_ends=0 if self._taken is None else len(self._taken.view.runners),
-            runs=self._board.runs,
-            service=self._loads.sight,
+            back_ends=0
+            if self._applied_snapshot is None
+            else len(self._applied_snapshot.view.runners),
+            runs=self._queue.runs,
+            service=self._loads.availability,
             has_result=self._outbox.has_result,
-            waiting=self._outbox.pending_results,
+            pending_results=self._outbox.pending_results,
             open_keys=self._open_keys,
         )
 
@@ -242,25 +263,29 @@
         return None if opened is None else opened.keys
 
     def _has_work(self) -> bool:
-        return bool(self._board.runs)
+        return bool(self._queue.runs)
 
-    def _give_way(self) -> None:
-        """Make room at once for online requests that a gateway told of; fill it a little later."""
-        self._loads.tell(self._listener.loads)
+    def _yield_to_online(self) -> None:
+        """Park runs at once for online requests that a gateway reported, and wake the loop.
+
+        The freed capacity is filled again in a later step.
+        """
+        self._loads.apply_gateway_loads(self._listener.loads)
         self._park()
         assert self._wake is not None
         self._wake.set()
 
     async def _pause(self) -> None:
         assert self._wake is not None
-        busy = bool(self._board.runs) or not self._outbox.is_empty
+        busy = bool(self._queue.runs) or not self._outbox.is_empty
         try:
             async with asyncio.timeout(STEP_S if busy else IDLE_STEP_S):
                 await self._wake.wait()
         except TimeoutError:
             return
         self._wake.clear()
-        # What is read, accepted or listed at the same time is handled together.
+        # Load samples, new items and results that arrive at about the same time are handled in one
+        # step.
         await asyncio.sleep(STEP_S / 4)
 
     def _step(self) -> None:
@@ -268,84 +293,89 @@
             self._drop_all()
             self._dirty = True
             return
-        # First what is ready to be recorded: it must not wait for the rest to succeed.
+        # Results come first: recording them must not depend on the success of the rest of the step.
         self._record()
         self._read_if_due()
-        self._take_registry()
+        self._apply_registry()
         index = self._index
-        if index is None or not self._board.runs:
+        if index is None or not self._queue.runs:
             return
-        self._loads.read(self._board.services(index))
-        self._loads.tell(self._listener.loads)
+        self._loads.poll(self._queue.services(index))
+        self._loads.apply_gateway_loads(self._listener.loads)
         self._log()
         self._park()
-        self._end_lost()
-        self._give_up_late()
+        self._end_lost_runs()
+        self._give_up_overdue()
         if not self._is_in_doubt():
             self._start_runs(index)
 
     def _record(self) -> None:
-        """Replicate what is new, beside all else: batch gives way also in a long commit."""
+        """Replicate new results in a separate task.
+
+        Runs therefore yield to online requests even during a long commit.
+        """
         if self._recording is None or self._recording.done():
-            recording = self._outbox.record(self._board.runs.values())
-            self._recording = asyncio.get_running_loop().create_task(_logged(recording))
+            recording = self._outbox.record(self._queue.runs.values())
+            self._recording = asyncio.get_running_loop().create_task(_log_errors(recording))
 
-    def _take_registry(self) -> None:
+    def _apply_registry(self) -> None:
         snapshot = self._snapshot
-        if snapshot is None or snapshot is self._taken:
+        if snapshot is None or snapshot is self._applied_snapshot:
             return
         self._balancer.replace(snapshot.view.runners)
         self._quarantine.replace(snapshot.view.runners, snapshot.suspects)
-        self._loads.keep(frozenset(record.start for record in snapshot.view.runners))
+        self._loads.retain(frozenset(record.start for record in snapshot.view.runners))
         if self._index is None or self._index.table.version < snapshot.table.version:
             self._index = RouteIndex(snapshot.table)
-        self._taken = snapshot
+        self._applied_snapshot = snapshot
 
     def _drop_all(self) -> None:
-        for run in self._board.running():
+        for run in self._queue.running():
             run.stop()
-        self._board.clear()
+        self._queue.clear()
         self._outbox.clear()
         self._loads.clear()
 
     def _read_if_due(self) -> None:
-        """Read what is open after a change, after a read that failed, and now and then."""
+        """Read the open items after a change, after a failed read, and once in a while."""
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        if not self._dirty and begun_s < self._read_again_s:
+        started_s = loop.time()
+        if not self._dirty and started_s < self._next_read_s:
             return
         self._dirty = False
-        whole = False
+        complete = False
         try:
-            whole = self._read_open()
+            complete = self._read_open()
         finally:
             ended_s = loop.time()
-            self._read_again_s = ended_s + max(READ_AGAIN_S, (ended_s - begun_s) / READ_SHARE)
-            if not whole:
-                # Nothing else tells of the change that this read was to take in.
+            self._next_read_s = ended_s + max(
+                READ_INTERVAL_S, (ended_s - started_s) / MAX_READ_SHARE
+            )
+            if not complete:
+                # No other signal repeats the change that this read should have picked up.
                 self._dirty = True
-        if whole is self._reads_fail:
-            self._reads_fail = not whole
-            logger.warning("the open items are {}", "read again" if whole else "not read yet")
+        if complete is self._read_failing:
+            self._read_failing = not complete
+            logger.warning("reading the open items {}", "succeeds again" if complete else "fails")
 
     def _read_open(self) -> bool:
-        """Take new items in, stop those that are not open any more; return whether all was read."""
+        """Add new items and stop those no longer open; return whether everything was read."""
         opened = self._query(ReadOpenKeys(), OpenKeys)
         if opened is None:
             return False
         keys = frozenset(opened.keys)
-        for run in self._board.keep(keys):
+        for run in self._queue.retain(keys):
             run.stop()
         self._outbox.retain(keys)
-        whole = True
-        for lot_id in self._board.unknown_lots(opened.keys):
+        complete = True
+        for lot_id in self._queue.unknown_lots(opened.keys):
             items = self._query(ReadOpenItems(lot_id), OpenItems)
             if items is None:
-                whole = False
+                complete = False
             else:
-                self._board.add(items.items)
-                self._sight.taken_in(lot_id, items.items, self._group.status)
-        return whole
+                self._queue.add(items.items)
+                self._monitor.lot_accepted(lot_id, items.items, self._group.status)
+        return complete
 
     def _query(self, query: msgspec.Struct, reply_type: type[T]) -> T | None:
         reply = decode_reply(self._group.query_local(encode(query)), reply_type)
@@ -353,76 +383,82 @@
 
     def _log(self) -> None:
         if self._loads.is_to_log():
-            self._loads.log(len(self._board.runs), sum(1 for _ in self._board.running()))
+            self._loads.log(len(self._queue.runs), sum(1 for _ in self._queue.running()))
 
     def _park(self) -> None:
-        """Give way to online requests: those runs stop that have most time left."""
+        """Park the runs with the most time left where online requests need their slots."""
         parked = self._loads.to_park()
         if not parked:
             return
-        running = [run for run in self._board.running() if not run.parking]
+        running = [run for run in self._queue.running() if not run.parking]
         for runner_id in parked:
-            here = [run for run in running if run.runner_id == runner_id and not run.parking]
-            if not here:
+            candidates = [run for run in running if run.runner_id == runner_id and not run.parking]
+            if not candidates:
                 continue
-            run = max(here, key=self._urgency)
+            run = max(candidates, key=self._urgency)
             run.parking = True
             run.stop()
 
-    def _end_lost(self) -> None:
-        """End the runs that their back ends do not have any more."""
+    def _end_lost_runs(self) -> None:
+        """End the runs that their back ends no longer have."""
         now_s = asyncio.get_running_loop().time()
-        for run in self._loads.lost_runs.find(self._board.running(), now_s):
-            run.lost(now_s)
+        for run in self._loads.lost_runs.find(self._queue.running(), now_s):
+            run.end_lost(now_s)
 
-    def _give_up_late(self) -> None:
-        if not self._board.rank(asyncio.get_running_loop().time(), self._urgency):
+    def _give_up_overdue(self) -> None:
+        """Give up waiting items whose time limit has passed, whenever the ranking is renewed."""
+        if not self._queue.rank(asyncio.get_running_loop().time(), self._urgency):
             return
-        for run in self._board.runs.values():
-            if run.task is None and self._is_over(run.item) and not self._outbox.has_result(run):
-                self._outbox.give_up(run, "its time is over")
+        for run in self._queue.runs.values():
+            if run.task is None and self._is_overdue(run.item) and not self._outbox.has_result(run):
+                self._outbox.give_up(run, "its time limit has passed")
 
     def _start_runs(self, index: RouteIndex) -> None:
-        """Start what is most urgent, as long as there is room for it."""
-        roomy = {item for item in self._board.services(index) if self._loads.free_seat(item)}
+        """Start the most urgent items, as long as there is capacity for them."""
+        with_capacity = {
+            item for item in self._queue.services(index) if self._loads.pick_runner(item)
+        }
         blocked: list[ItemRun] = []
-        waiting = self._board.take() if roomy else iter(())
+        waiting = self._queue.take() if with_capacity else iter(())
         for run in waiting:
             route = run.route(index)
-            if route is None or self._outbox.has_result(run) or self._is_held(run):
+            if route is None or self._outbox.has_result(run) or self._is_quarantined(run):
                 continue
             service = draw_service(route, self._random)
-            seat = self._loads.free_seat(service) if service in roomy else None
-            if seat is not None:
-                self._start(run, seat)
+            runner = self._loads.pick_runner(service) if service in with_capacity else None
+            if runner is not None:
+                self._start(run, runner)
                 continue
-            roomy.discard(service)
+            with_capacity.discard(service)
             blocked.append(run)
-            if not roomy:
+            if not with_capacity:
                 break
         for run in reversed(blocked):
-            self._board.put_back(run)
+            self._queue.put_back(run)
 
-    def _is_held(self, run: ItemRun) -> bool:
-        """Return whether an item waits until it may be run again without harm.
+    def _is_quarantined(self, run: ItemRun) -> bool:
+        """Return whether an item is quarantined, because back ends crashed while running it.
 
-        It is not given up earlier than others: its time decides, and a verdict may end before.
+        Such an item is not given up early: only its own time limit ends it, since the quarantine
+        may be lifted before.
         """
         return self._quarantine.standing(run.suspect_key) is Standing.REFUSED
 
-    def _start(self, run: ItemRun, seat: TrackedRunner) -> None:
-        # Counted at once, so that the next item sees this one.
-        slot = TakenSlot(self._loads.room_at(seat))
-        run.begin_at(seat.record.start)
-        self._sight.started(run)
-        run.task = asyncio.get_running_loop().create_task(self._run(run, seat, slot))
-        # A task that is cancelled before its first step runs none of its own code.
+    def _start(self, run: ItemRun, runner: TrackedRunner) -> None:
+        # The slot is occupied at once, so that the choice for the next item takes it into account.
+        slot = OccupiedSlot(self._loads.capacity_at(runner))
+        run.assign_to(runner.record.start)
+        self._monitor.run_started(run)
+        run.task = asyncio.get_running_loop().create_task(self._run(run, runner, slot))
+        # A task that is cancelled before its first step runs none of its own code, so a callback
+        # cleans up.
         run.task.add_done_callback(lambda _task: self._run_ended(run, slot))
 
-    def _run_ended(self, run: ItemRun, slot: TakenSlot) -> None:
+    def _run_ended(self, run: ItemRun, slot: OccupiedSlot) -> None:
+        """Release the slot of a run whose task has ended, and wake the loop."""
         slot.free()
         task, run.task = run.task, None
-        self._sight.ended(run, task)
+        self._monitor.run_ended(run, task)
         if self._wake is not None:
             self._wake.set()
 
@@ -431,37 +467,37 @@
         due_in_s = (item.accepted_ms + item.due_ms - self._clock.wall_ms()) / 1000
         return self._times.urgency(due_in_s, run.worked_s)
 
-    def _is_over(self, item: OpenItem) -> bool:
+    def _is_overdue(self, item: OpenItem) -> bool:
         age_s = (self._clock.wall_ms() - item.accepted_ms) / 1000
         return item.give_up_s > 0 and age_s > item.give_up_s + GIVE_UP_MARGIN_S
 
-    async def _run(self, run: ItemRun, seat: TrackedRunner, slot: TakenSlot) -> None:
+    async def _run(self, run: ItemRun, runner: TrackedRunner, slot: OccupiedSlot) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         ended = False
         try:
-            ended = await self._attempts.attempt(run, seat)
-            run.raised = 0
+            ended = await self._attempts.attempt(run, runner)
+            run.consecutive_errors = 0
         except Exception:
-            # An item that cannot be sent would be tried at each ranking, each time on a new
-            # connection: 11 times in 3 s.
+            # Without this pause an item that cannot be sent is retried at each ranking, each time
+            # on a new connection: 11 times in 3 s.
             slot.free()
             run.sent_s = None
-            run.raised += 1
-            await asyncio.sleep(min(RAISED_PAUSE_MOST_S, RETRY_PAUSE_S * 2.0**run.raised))
+            run.consecutive_errors += 1
+            await asyncio.sleep(min(MAX_ERROR_PAUSE_S, RETRY_PAUSE_S * 2.0**run.consecutive_errors))
             raise
         finally:
             slot.free()
             run.sent_s = None
             run.worked_s += loop.time() - started_s
         if ended:
-            self._times.ended(run.worked_s)
+            self._times.record(run.worked_s)
         else:
             await asyncio.sleep(RETRY_PAUSE_S)
 
 
-async def _logged(work: Coroutine[None, None, None]) -> None:
+async def _log_errors(work: Coroutine[None, None, None]) -> None:
     try:
         await work
     except Exception:
-        logger.exception("results and progress are not recorded yet")
+        logger.exception("results and progress could not be recorded yet")
--- /dev/null
+++ b/src/leverjunction/lots/runner_monitor.py
@@ -0,0 +1,480 @@
+"""Reports why open items do not run, by metrics, rate-limited log lines and stall warnings.
+
+The monitor examines the runner's state at most once a second and decides nothing. Its own errors
+are logged and never reach the runner.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Collection, Iterable
+
+from loguru import logger
+
+from leverjunction.clock import Clock
+from leverjunction.consensus.api import GroupStatus
+from leverjunction.lots import metrics
+from leverjunction.lots.commands import OpenItem
+from leverjunction.lots.item_lines import ItemLine, ItemLineWriter, ms
+from leverjunction.lots.item_run import ItemKey, ItemRun
+from leverjunction.lots.item_status import ItemStatus, Reason, ServiceAvailability, StatusClassifier
+from leverjunction.lots.record_trace import RecordTrace
+from leverjunction.lots.run_trace import RunEnd, RunTrace
+from leverjunction.lots.stall_watch import ACTIVE_S, StallWatch, WorkState
+from leverjunction.lots.suppressed_errors import suppress_errors
+from leverjunction.routes.matching import RouteIndex
+
+UPDATE_INTERVAL_S = 1.0
+"""Seconds between two updates: often enough for a person who follows them. With 750 open items an
+update takes milliseconds.
+"""
+
+MAX_CPU_SHARE = 1 / 200
+"""Largest share of time that updates may take. With a hundred thousand open items they are
+therefore less frequent.
+"""
+
+LOG_AFTER_S = 5.0
+"""Seconds without an event after which an item is logged: half of the longest silence that is
+accepted of an item's first run (``lost_runs.MAX_FIRST_SILENCE_S``).
+"""
+
+COMPARE_INTERVAL_S = 5.0
+"""Seconds between two comparisons with the group's open items, each of which reads all their keys.
+"""
+
+MAX_ITEMS_NAMED = 32
+"""Most items of a lot that its log line names."""
+
+UNLOGGED_ENDS = frozenset({RunEnd.DONE})
+"""Ends of runs that are counted but not logged."""
+
+
+class RunnerSnapshot:
+    """The state of the runner at one moment.
+
+    Attributes:
+        status: Status of the group's local replica.
+        index: Route table, None before the first one was received.
+        back_ends: Number of known back ends.
+        runs: Open items that the runner knows.
+        service: Returns the figures that decide whether runs of a service can start.
+        has_result: Returns whether an item has ended that the group still has as open.
+        pending_results: Results that the group has not recorded yet.
+        open_keys: Reads the keys of the group's open items; returns None when that fails.
+    """
+
+    __slots__ = (
+        "back_ends",
+        "has_result",
+        "index",
+        "open_keys",
+        "pending_results",
+        "runs",
+        "service",
+        "status",
+    )
+
+    def __init__(
+        self,
+        *,
+        status: GroupStatus,
+        index: RouteIndex | None,
+        back_ends: int,
+        runs: dict[ItemKey, ItemRun],
+        service: Callable[[str], ServiceAvailability],
+        has_result: Callable[[ItemRun], bool],
+        pending_results: int,
+        open_keys: Callable[[], Collection[ItemKey] | None],
+    ) -> None:
+        self.status = status
+        self.index = index
+        self.back_ends = back_ends
+        self.runs = runs
+        self.service = service
+        self.has_result = has_result
+        self.pending_results = pending_results
+        self.open_keys = open_keys
+
+    @property
+    def table(self) -> int:
+        """Version of the route table, 0 for none."""
+        return 0 if self.index is None else self.index.table.version
+
+
+class RunnerMonitor:
+    """Sets metrics and writes log lines about the runner's items.
+
+    It belongs to the runner's event loop.
+
+    Args:
+        clock: Source of time.
+
+    Attributes:
+        records: Receives the outcome of commands that record results and progress.
+    """
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._lines = ItemLineWriter(clock)
+        self.records = RecordTrace(clock.monotonic_s, self._lines)
+        self._stall = StallWatch()
+        self._next_update_s = float("-inf")
+        self._compared_s = float("-inf")
+        self._leader_since_s: float | None = None
+        self._last_start_s = float("-inf")
+        self._logged_table = -1
+        self._readable = True
+        self._logged: dict[ItemKey, ItemRun] = {}
+        self._unknown_keys: frozenset[ItemKey] = frozenset()
+        self._unknown_count = 0
+
+    @suppress_errors
+    def lot_accepted(
+        self, lot_id: str, items: Iterable[OpenItem], read_status: Callable[[], GroupStatus]
+    ) -> None:
+        """Log the open items of a lot that are new to the runner."""
+        status = read_status()
+        item_ids = [item.item_id for item in items]
+        self._lines.write(
+            ItemLine(
+                event="lot_taken_in",
+                lot=lot_id,
+                items=tuple(item_ids[:MAX_ITEMS_NAMED]),
+                count=len(item_ids),
+                term=status.term,
+                index=status.applied_index,
+            )
+        )
+
+    @suppress_errors
+    def run_started(self, run: ItemRun) -> None:
+        """Count the start of a run; only an item's second and later runs are logged."""
+        now_s = self._last_start_s = self._clock.monotonic_s()
+        run.trace.start(now_s)
+        metrics.STARTS.inc()
+        if run.trace.runs > 1:
+            self._lines.write(_make_line("run_started", run, runs=run.trace.runs))
+
+    @suppress_errors
+    def run_ended(self, run: ItemRun, task: asyncio.Task[None] | None) -> None:
+        """Count the end of a run whose task has ended, and log it unless the item is done."""
+        trace = run.trace
+        error = task.exception() if task is not None and not task.cancelled() else None
+        if error is not None:
+            trace.set_end(RunEnd.RAISED, repr(error))
+            logger.opt(exception=error).error(
+                "a run of item {} of lot {} raised an error", *run.key[::-1]
+            )
+        trace.set_end(RunEnd.PARKED if run.parking else RunEnd.STOPPED)
+        assert trace.end is not None
+        metrics.RUNS.labels(trace.end.value).inc()
+        if trace.end in UNLOGGED_ENDS:
+            return
+        took_s = self._clock.monotonic_s() - trace.started_s
+        self._lines.write(
+            _make_line(
+                "run_ended",
+                run,
+                reason=trace.end.value,
+                detail=trace.detail,
+                since_ms=ms(took_s),
+                runs=trace.runs,
+                parts=trace.parts,
+                events=run.stream.recorded + run.stream.count,
+            )
+        )
+
+    @suppress_errors
+    def update(self, take_snapshot: Callable[[], RunnerSnapshot]) -> None:
+        """Set the metrics and write the log lines that are due, at most once per interval.
+
+        Args:
+            take_snapshot: Returns the runner's state; called only when an update is due.
+        """
+        now_s = self._clock.monotonic_s()
+        if now_s < self._next_update_s:
+            return
+        self._next_update_s = now_s + UPDATE_INTERVAL_S
+        started_s = time.thread_time()
+        self._update(take_snapshot(), now_s)
+        took_s = time.thread_time() - started_s
+        self._next_update_s = now_s + max(UPDATE_INTERVAL_S, took_s / MAX_CPU_SHARE)
+        metrics.LOOK_S.inc(took_s)
+
+    def _update(self, snapshot: RunnerSnapshot, now_s: float) -> None:
+        self._lines.renew(now_s)
+        if snapshot.status.role != "leader":
+            self._log_leadership_lost(snapshot.status)
+            return
+        self._find_unknown_items(snapshot, now_s)
+        self._log_leadership_gained(snapshot, now_s)
+        classifier = StatusClassifier(snapshot.index, snapshot.service, snapshot.has_result)
+        counts: dict[str, int] = {}
+        unlogged: dict[str, list[tuple[ItemRun, ItemStatus]]] = {}
+        active_runs = 0
+        heard_s = now_s
+        oldest_ms = wall_ms = self._clock.wall_ms()
+        for run in snapshot.runs.values():
+            status = classifier.classify(run)
+            trace = run.trace
+            key = _update_trace(trace, status.key, now_s)
+            counts[key] = counts.get(key, 0) + 1
+            if trace.logged_status != key and _is_due(trace, now_s):
+                unlogged.setdefault(key, []).append((run, status))
+            if trace.heard_s < heard_s:
+                heard_s = trace.heard_s
+            if run.item.accepted_ms < oldest_ms:
+                oldest_ms = run.item.accepted_ms
+            if key in RUNNING_STATUSES and now_s - max(trace.heard_s, trace.started_s) < ACTIVE_S:
+                active_runs += 1
+        self._log_waiting(unlogged, snapshot, now_s)
+        self._log_resumed(snapshot, now_s)
+        counts[Reason.NOT_TAKEN_IN.value] = self._unknown_count
+        _set_open_gauges(counts, (wall_ms - oldest_ms) / 1000, now_s - heard_s)
+        self._set_record_gauges(snapshot.pending_results, now_s)
+        startable_runs = (
+            classifier.startable_runs(snapshot.runs.values())
+            if snapshot.runs and not active_runs
+            else 0
+        )
+        self._check_stall(counts, active_runs, startable_runs, now_s)
+
+    def _check_stall(
+        self, counts: dict[str, int], active_runs: int, startable_runs: int, now_s: float
+    ) -> None:
+        assert self._leader_since_s is not None
+        state = WorkState(
+            open_items=sum(counts.values()),
+            active_runs=active_runs,
+            startable_runs=startable_runs,
+            started_s=max(self._last_start_s, self._leader_since_s),
+            recorded_s=max(self.records.accepted_s, self._leader_since_s),
+            reasons=", ".join(f"{count} {reason}" for reason, count in counts.items() if count),
+        )
+        message = self._stall.update(state, now_s)
+        metrics.STALLED.set(self._stall.stalled)
+        if message:
+            logger.warning("{}", message) if self._stall.stalled else logger.info("{}", message)
+
+    def _log_leadership_gained(self, snapshot: RunnerSnapshot, now_s: float) -> None:
+        """Log what a store finds when it starts to lead, and that a route table is missing."""
+        is_new = self._leader_since_s is None
+        if is_new:
+            self._leader_since_s = now_s
+            logger.info(
+                "running the items of {} in term {}: {} open in {} lots, route table {},"
+                " {} back ends known",
+                snapshot.status.group,
+                snapshot.status.term,
+                len(snapshot.runs),
+                len({lot for lot, _ in snapshot.runs}),
+                snapshot.table or "none",
+                snapshot.back_ends,
+            )
+        if snapshot.index is None and snapshot.runs and self._logged_table != 0:
+            self._logged_table = 0
+            logger.warning("{} open items are waiting: no route table yet", len(snapshot.runs))
+        elif snapshot.index is not None:
+            self._logged_table = snapshot.table
+
+    def _log_leadership_lost(self, status: GroupStatus) -> None:
+        if self._leader_since_s is None:
+            return
+        logger.info("no longer running items: {} in term {}", status.role, status.term)
+        self._leader_since_s = None
+        self._logged_table = -1
+        self._logged.clear()
+        self._unknown_keys = frozenset()
+        self._unknown_count = 0
+        self._stall = StallWatch()
+        _set_open_gauges({}, 0.0, 0.0)
+        for gauge in (
+            metrics.RECORDS_WAITING,
+            metrics.RECORD_UNDER_WAY_S,
+            metrics.SINCE_START_S,
+            metrics.SINCE_RECORD_S,
+            metrics.STALLED,
+        ):
+            gauge.set(0)
+
+    def _find_unknown_items(self, snapshot: RunnerSnapshot, now_s: float) -> None:
+        """Log open items that were unknown to the runner at two comparisons in a row."""
+        if now_s - self._compared_s < COMPARE_INTERVAL_S:
+            return
+        self._compared_s = now_s
+        opened = self._open_keys(snapshot)
+        if opened is None:
+            return
+        candidates = frozenset(key for key in opened if key not in snapshot.runs)
+        unknown = candidates & self._unknown_keys
+        self._unknown_keys = candidates
+        self._unknown_count = len(unknown)
+        for lot, item in sorted(unknown):
+            reason = Reason.NOT_TAKEN_IN.value
+            line = ItemLine(event="waits", lot=lot, item=item, reason=reason, table=snapshot.table)
+            self._lines.write(line)
+
+    def _open_keys(self, snapshot: RunnerSnapshot) -> Collection[ItemKey] | None:
+        """Return the keys of the group's open items, None if they cannot be read."""
+        detail = "the group's replica refused the query"
+        opened: Collection[ItemKey] | None = None
+        try:
+            opened = snapshot.open_keys()
+        except Exception as error:
+            detail = repr(error)
+        if opened is None and self._readable:
+            logger.warning("the open items cannot be read: {}", detail)
+        elif opened is not None and not self._readable:
+            logger.info("the open items can be read again")
+        self._readable = opened is not None
+        return opened
+
+    def _log_waiting(
+        self,
+        unlogged: dict[str, list[tuple[ItemRun, ItemStatus]]],
+        snapshot: RunnerSnapshot,
+        now_s: float,
+    ) -> None:
+        """Log the items longest without an event, and count those beyond the line budget."""
+        for reason, items in unlogged.items():
+            if self._lines.allows("waits", reason):
+                items.sort(key=lambda pair: pair[0].trace.heard_s, reverse=True)
+            while items and self._lines.allows("waits", reason):
+                run, status = items.pop()
+                self._lines.write(self._waiting_line(run, status, snapshot, now_s))
+                run.trace.logged_status = reason
+                run.trace.logged_s = now_s
+                self._logged[run.key] = run
+            if items:
+                self._lines.left_out("waits", reason, len(items))
+
+    def _waiting_line(
+        self, run: ItemRun, status: ItemStatus, snapshot: RunnerSnapshot, now_s: float
+    ) -> ItemLine:
+        trace = run.trace
+        line = _make_line(
+            "waits",
+            run,
+            reason=status.reason.value,
+            detail=trace.detail,
+            since_ms=ms(now_s - trace.status_since_s),
+            quiet_ms=ms(now_s - trace.heard_s),
+            runs=trace.runs,
+            parts=trace.parts,
+            events=run.stream.recorded,
+            table=snapshot.table,
+            service=status.service_name,
+        )
+        if status.service is not None:
+            line.figure = status.service.startable_runs
+            line.detail = str(status.service)
+        elif status.reason is Reason.RUNS:
+            line.since_ms = ms(now_s - trace.started_s)
+        elif status.reason is Reason.RESULT_WAITS:
+            self._add_attempts(line, run, now_s)
+        return line
+
+    def _add_attempts(self, line: ItemLine, run: ItemRun, now_s: float) -> None:
+        attempts = self.records.attempts(run.key)
+        line.detail = self.records.last_failure or "no reply yet"
+        if attempts is not None:
+            line.tries = attempts.count
+            line.since_ms = ms(now_s - attempts.first_sent_s)
+
+    def _log_resumed(self, snapshot: RunnerSnapshot, now_s: float) -> None:
+        """Log that items reported as waiting have made progress or are no longer open."""
+        for key, run in list(self._logged.items()):
+            trace = run.trace
+            is_open = key in snapshot.runs
+            if is_open and trace.heard_s <= trace.logged_s:
+                continue
+            del self._logged[key]
+            line = _make_line(
+                "moves_on",
+                run,
+                reason=trace.status if is_open else "not_open",
+                detail=f"was {trace.logged_status}",
+                since_ms=ms(now_s - trace.logged_s),
+                runs=trace.runs,
+            )
+            self._lines.write(line)
+            trace.logged_status = ""
+
+    def _set_record_gauges(self, pending_results: int, now_s: float) -> None:
+        led_s = now_s if self._leader_since_s is None else self._leader_since_s
+        sent_s = self.records.sent_s
+        metrics.RECORDS_WAITING.set(pending_results)
+        metrics.RECORD_UNDER_WAY_S.set(0 if sent_s is None else now_s - sent_s)
+        metrics.SINCE_START_S.set(now_s - max(self._last_start_s, led_s))
+        metrics.SINCE_RECORD_S.set(now_s - max(self.records.accepted_s, led_s))
+
+
+RUNNING_STATUSES = frozenset({Reason.RUNS.value, Reason.STOPS.value, Reason.PAUSES.value})
+TASK_LEFT = Reason.TASK_LEFT.value
+TASK_LEFT_ONCE = "task_left_once"
+
+
+def _update_trace(trace: RunTrace, status: str, now_s: float) -> str:
+    """Update an item's status in its trace; return the status under which it is counted."""
+    if status != trace.status:
+        if status == TASK_LEFT and trace.status != TASK_LEFT_ONCE:
+            # A task may be seen after its end and before its callback, so only a second sighting
+            # counts.
+            trace.status, trace.status_since_s = TASK_LEFT_ONCE, now_s
+            return Reason.PAUSES.value
+        if status != TASK_LEFT or trace.status != TASK_LEFT_ONCE:
+            trace.status_since_s = now_s
+        trace.status = status
+    if not trace.heard_s:
+        trace.heard_s = now_s
+    return status
+
+
+def _is_due(trace: RunTrace, now_s: float) -> bool:
+    """Return whether an item has had no event for long, with the same status at several updates."""
+    if now_s - trace.heard_s < LOG_AFTER_S:
+        return False
+    return now_s - trace.status_since_s >= (
+        LOG_AFTER_S if trace.logged_status else UPDATE_INTERVAL_S
+    )
+
+
+def _set_open_gauges(counts: dict[str, int], oldest_s: float, quiet_s: float) -> None:
+    for reason in Reason:
+        metrics.OPEN_ITEMS.labels(reason.value).set(counts.get(reason.value, 0))
+    metrics.OLDEST_OPEN_S.set(max(0.0, oldest_s))
+    metrics.LONGEST_QUIET_S.set(quiet_s)
+
+
+def _make_line(
+    event: str,
+    run: ItemRun,
+    *,
+    reason: str = "",
+    detail: str = "",
+    since_ms: int | None = None,
+    quiet_ms: int | None = None,
+    runs: int = 0,
+    parts: int = 0,
+    events: int = 0,
+    table: int = 0,
+    service: str = "",
+) -> ItemLine:
+    lot, item = run.key
+    return ItemLine(
+        event=event,
+        lot=lot,
+        item=item,
+        reason=reason,
+        detail=detail,
+        since_ms=since_ms,
+        quiet_ms=quiet_ms,
+        runner_id=run.runner_id,
+        runs=runs,
+        parts=parts,
+        events=events,
+        table=table,
+        service=service,
+    )
--- a/tests/unit/test_lots_node_watch.py
+++ b/tests/unit/test_lots_node_watch.py
@@ -57,20 +57,21 @@
     watch = NodeWatch(SystemClock())
     wait_until(lambda: runner.step_age_s() > 0.3)
     (message,) = logs_of(
-        lambda: watch.check_step_age(runner.step_age_s() + 3.0, runner.whereabouts)
+        lambda: watch.check_step_age(runner.step_age_s() + 3.0, runner.describe_thread)
     )
     assert message.startswith("the runner of lots has not taken a step for 3.")
     assert "thread lots-runner is in" in message
     assert "_step (runner.py:" in message
     assert (
-        logs_of(lambda: watch.check_step_age(runner.step_age_s() + 3.5, runner.whereabouts)) == []
+        logs_of(lambda: watch.check_step_age(runner.step_age_s() + 3.5, runner.describe_thread))
+        == []
     )
     released.set()
     wait_until(lambda: runner.step_age_s() < 0.3)
-    (recovery,) = logs_of(lambda: watch.check_step_age(runner.step_age_s(), runner.whereabouts))
+    (recovery,) = logs_of(lambda: watch.check_step_age(runner.step_age_s(), runner.describe_thread))
     assert recovery.startswith("the runner of lots has not taken a step: over, after ")
     runner.stop()
-    assert runner.whereabouts() == "thread lots-runner has ended"
+    assert runner.describe_thread() == "thread lots-runner has ended"
 
 
 def test_store_logs_missing_control_processes(
--- a/tests/unit/test_lots_outbox.py
+++ b/tests/unit/test_lots_outbox.py
@@ -91,7 +91,7 @@
         assert isinstance(opened, OpenItems)
         runs = [ItemRun(item) for item in opened.items]
         for run in runs:
-            run.follows = True
+            run.progress_loaded = True
         return runs
 
     def progress(self) -> RecordedProgress | Failure:
@@ -240,7 +240,7 @@
         assert group.results() == {f"item-{n}": ("done", FULL_TEXT) for n in (0, 2)}
         # The item is run again, after its recorded events.
         assert not outbox.has_result(runs[1])
-        assert not runs[1].follows
+        assert not runs[1].progress_loaded
 
     asyncio.run(scenario())
 
