--- a/src/leverjunction/gateway/http_server.py
+++ b/src/leverjunction/gateway/http_server.py
@@ -18,7 +18,7 @@
 
 from leverjunction.clock import steady_s
 from leverjunction.gateway.listener import LISTEN_BACKLOG, DrainedConnections
-from leverjunction.gateway.slow_senders import SlowSenderGuard
+from leverjunction.gateway.slow_clients import SlowSenderGuard
 
 HANDOVER_KEY = "leverjunction.handover"
 REQUEST_KEY = "leverjunction.http_request"
--- a/src/leverjunction/gateway/online.py
+++ b/src/leverjunction/gateway/online.py
@@ -9,8 +9,8 @@
 
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure, FailureKind, Step
+from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.claims import ClaimDesk, HeldClaim, RecordedAnswer
-from leverjunction.gateway.gate import AdmissionGate
 from leverjunction.gateway.http_server import Handover
 from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import OnlineRequest, OpenAnswer, WholeAnswer
--- a/src/leverjunction/gateway/runtime.py
+++ b/src/leverjunction/gateway/runtime.py
@@ -17,10 +17,10 @@
 from leverjunction.backends.client import EngineClient
 from leverjunction.clock import SystemClock, steady_s
 from leverjunction.config.gateway import GatewayConfig
+from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.cache_feed import CacheFeed
 from leverjunction.gateway.claims import ClaimDesk
 from leverjunction.gateway.exchange import DigestOutbox, ExchangeLoop
-from leverjunction.gateway.gate import AdmissionGate
 from leverjunction.gateway.harvest import BatchHarvest
 from leverjunction.gateway.http_server import StreamingServer
 from leverjunction.gateway.inflight import Inflight
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -14,7 +14,7 @@
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway.admission import QueueLimits
-from leverjunction.gateway.gate import AdmissionGate
+from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenAnswer, WholeAnswer
 from leverjunction.gateway.retry import RetryBudget, may_repeat
--- a/src/testbed/simulation/gateway_node.py
+++ b/src/testbed/simulation/gateway_node.py
@@ -7,9 +7,9 @@
 from types import SimpleNamespace
 
 from leverjunction.errors import Failure, FailureKind, Step
+from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.claims import ClaimDesk
 from leverjunction.gateway.exchange import DigestOutbox, ExchangeLoop
-from leverjunction.gateway.gate import AdmissionGate
 from leverjunction.gateway.harvest import BatchHarvest
 from leverjunction.gateway.inflight import Inflight
 from leverjunction.gateway.journal import Journal
