--- a/src/leverjunction/api/completions.py
+++ b/src/leverjunction/api/completions.py
@@ -11,13 +11,13 @@
 from leverjunction.backends.types import CHAT_PATH, COMPLETION_PATH
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.gateway.http_server import HANDOVER_KEY, body_is_read, refuse_body
-from leverjunction.gateway.inflight import Inflight
+from leverjunction.gateway.inflight import InflightRequests
 from leverjunction.gateway.online import (
     SSE_TYPE,
     Answer,
     CallerRequest,
     OnlineService,
-    RelayedAnswer,
+    RelayedResponse,
     new_request_id,
 )
 from leverjunction.settings.resolved import ResolvedSettings
@@ -35,7 +35,7 @@
         self,
         service: OnlineService,
         settings: Callable[[], ResolvedSettings],
-        inflight: Inflight,
+        inflight: InflightRequests,
         max_body_bytes: int,
     ) -> None:
         self._service = service
@@ -152,7 +152,7 @@
         return error_response(answer, request_id)
     response = cherrypy.response
     response.headers["X-Request-Id"] = request_id
-    if isinstance(answer, RelayedAnswer):
+    if isinstance(answer, RelayedResponse):
         response.headers["Content-Type"] = SSE_TYPE
         response.headers["Cache-Control"] = "no-cache"
         response.stream = True
--- a/src/leverjunction/gateway/claims.py
+++ b/src/leverjunction/gateway/claims.py
@@ -54,7 +54,7 @@
     attempt_id: str
 
 
-class ClaimDesk:
+class ClaimClient:
     """Makes and finishes claims. Thread-safe."""
 
     def __init__(self, control: Proposer, groups: Callable[[], list[str]], gateway_id: str) -> None:
--- a/src/leverjunction/gateway/http_server.py
+++ b/src/leverjunction/gateway/http_server.py
@@ -18,7 +18,7 @@
 
 from leverjunction.clock import steady_s
 from leverjunction.gateway.listener import LISTEN_BACKLOG, DrainedConnections
-from leverjunction.gateway.slow_clients import SlowSenderGuard
+from leverjunction.gateway.slow_clients import SlowClientGuard
 
 HANDOVER_KEY = "leverjunction.handover"
 REQUEST_KEY = "leverjunction.http_request"
@@ -219,7 +219,7 @@
             timeout=SOCKET_TIMEOUT_S,
         )
         self.gateway = _Gateway
-        self.guard = SlowSenderGuard()
+        self.guard = SlowClientGuard()
         self.is_leaving = False
 
     def prepare(self) -> None:
--- a/src/leverjunction/gateway/inflight.py
+++ b/src/leverjunction/gateway/inflight.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 
 
-class Inflight:
+class InflightRequests:
     """Thread-safe count with a stopping mark.
 
     Args:
--- a/src/leverjunction/gateway/online.py
+++ b/src/leverjunction/gateway/online.py
@@ -10,14 +10,14 @@
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway.admission_gate import AdmissionGate
-from leverjunction.gateway.claims import ClaimDesk, HeldClaim, RecordedAnswer
+from leverjunction.gateway.claims import ClaimClient, HeldClaim, RecordedAnswer
 from leverjunction.gateway.http_server import Handover
 from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import OnlineRequest, OpenAnswer, WholeAnswer
 from leverjunction.gateway.prompt import ParsedRequest, block_hashes, parse_request
 from leverjunction.gateway.relay import RelayLoop
 from leverjunction.gateway.sender import Sender
-from leverjunction.gateway.stream_session import StreamServices, StreamSession
+from leverjunction.gateway.stream_session import StreamDependencies, StreamSession
 from leverjunction.observability.counters import GatewayCounters
 from leverjunction.observability.decisions import DecisionOutcome
 from leverjunction.settings.resolved import ResolvedSettings
@@ -37,7 +37,7 @@
     never_repeat: bool
 
 
-class RelayedAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class RelayedResponse(msgspec.Struct, frozen=True, kw_only=True):
     """A streaming answer: the HTTP layer writes the head, then passes its connection on.
 
     Attributes:
@@ -49,7 +49,7 @@
     abandon: Callable[[], None]
 
 
-class ReadyAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class BufferedResponse(msgspec.Struct, frozen=True, kw_only=True):
     """A whole answer."""
 
     status: int
@@ -57,10 +57,10 @@
     body: bytes
 
 
-Answer = RelayedAnswer | ReadyAnswer | Failure
+Answer = RelayedResponse | BufferedResponse | Failure
 
 
-class Place(msgspec.Struct, frozen=True, kw_only=True):
+class GatewayLocation(msgspec.Struct, frozen=True, kw_only=True):
     """Where this gateway runs."""
 
     region: str
@@ -72,13 +72,13 @@
 
     def __init__(
         self,
-        place: Place,
+        place: GatewayLocation,
         settings: Callable[[], ResolvedSettings],
         gate: AdmissionGate,
         sender: Sender,
-        claims: ClaimDesk,
+        claims: ClaimClient,
         relay: RelayLoop,
-        streams: StreamServices,
+        streams: StreamDependencies,
         journal: Journal,
         counters: GatewayCounters,
         clock: Clock,
@@ -170,11 +170,13 @@
         if claim is not None:
             self._claims.finish(claim, answer.status, answer.body)
         self._completed(request, answer)
-        return ReadyAnswer(status=answer.status, content_type=answer.content_type, body=answer.body)
+        return BufferedResponse(
+            status=answer.status, content_type=answer.content_type, body=answer.body
+        )
 
     def _relayed(
         self, request: OnlineRequest, claim: HeldClaim | None, answer: OpenAnswer
-    ) -> RelayedAnswer:
+    ) -> RelayedResponse:
         def ended(transcript: bytes, failure: Failure | None) -> None:
             self._stream_ended(request, claim, transcript, failure)
 
@@ -188,7 +190,7 @@
             session.abandon()
             self._relay.abandon()
 
-        return RelayedAnswer(
+        return RelayedResponse(
             handover=lambda client: self._relay.submit(session.relay_stream(answer, client)),
             abandon=abandon,
         )
@@ -254,9 +256,9 @@
     return f"req-{uuid.uuid4().hex}"
 
 
-def _replayed(request: OnlineRequest, recorded: RecordedAnswer) -> ReadyAnswer:
+def _replayed(request: OnlineRequest, recorded: RecordedAnswer) -> BufferedResponse:
     content_type = SSE_TYPE if request.stream and recorded.status == 200 else JSON_TYPE
-    return ReadyAnswer(status=recorded.status, content_type=content_type, body=recorded.body)
+    return BufferedResponse(status=recorded.status, content_type=content_type, body=recorded.body)
 
 
 def _unknown_model(parsed: ParsedRequest) -> Failure:
--- a/src/leverjunction/gateway/owner.py
+++ b/src/leverjunction/gateway/owner.py
@@ -27,7 +27,7 @@
 FAILURES_TO_UNHEALTHY = 3
 
 
-class OwnerLoop:
+class RunnerPoller:
     """Polls owned runners in its own thread.
 
     Args:
--- a/src/leverjunction/gateway/ownership.py
+++ b/src/leverjunction/gateway/ownership.py
@@ -48,7 +48,7 @@
         self._members: ClusterSnapshot | None = None
         self._owned: list[RunnerState] = []
 
-    def follow(self, snapshot: ClusterSnapshot) -> list[RunnerState]:
+    def update(self, snapshot: ClusterSnapshot) -> list[RunnerState]:
         """Return the runners that the gateway owns in this view."""
         last = self._members
         is_known = last is not None and (
--- a/src/leverjunction/gateway/retry.py
+++ b/src/leverjunction/gateway/retry.py
@@ -58,7 +58,7 @@
         return budget
 
 
-def may_repeat(failure: Failure, repeatable: bool) -> bool:
+def may_retry(failure: Failure, repeatable: bool) -> bool:
     """Return whether a failed attempt may be sent again.
 
     Either no back end can have received it, or the caller allows the request to run twice.
--- a/src/leverjunction/gateway/routing.py
+++ b/src/leverjunction/gateway/routing.py
@@ -75,7 +75,7 @@
     reason: str
 
 
-class PrefixHome(msgspec.Struct, frozen=True, kw_only=True):
+class AffinityPrefix(msgspec.Struct, frozen=True, kw_only=True):
     """A leading part of a prompt that all gateways send to the same runner, its home.
 
     They need not tell each other: the home follows from rendezvous hashing.
@@ -89,9 +89,9 @@
     blocks: int
 
 
-def prefix_home(
+def affinity_prefix(
     blocks: Sequence[str], *, continues: bool, prefix_weight: float
-) -> PrefixHome | None:
+) -> AffinityPrefix | None:
     """Return the part of a prompt by which its home is chosen, None when there is none.
 
     Its length is a power of ``HOME_GROWTH``, so that a conversation that grows keeps its home but
@@ -109,7 +109,7 @@
         return None
     while depth * HOME_GROWTH <= len(blocks):
         depth *= HOME_GROWTH
-    return PrefixHome(block=blocks[depth - 1], blocks=depth)
+    return AffinityPrefix(block=blocks[depth - 1], blocks=depth)
 
 
 class RouteQuery(msgspec.Struct, frozen=True, kw_only=True):
@@ -127,7 +127,7 @@
     prompt_blocks: int
     prefix_weight: float
     region_zones: frozenset[str] = frozenset()
-    home: PrefixHome | None = None
+    affinity: AffinityPrefix | None = None
 
 
 def choose(candidates: Iterable[Candidate], query: RouteQuery, generator: random.Random) -> Choice:
@@ -183,16 +183,16 @@
 
 def _with_home(known: list[Candidate], query: RouteQuery) -> list[Candidate]:
     """Return the candidates with the prompt's home thought to hold its part."""
-    if query.home is None or query.prefix_weight <= 0:
+    if query.affinity is None or query.prefix_weight <= 0:
         return known
     zones = query.region_zones | {query.zone}
     near = [item for item in known if item.excluded is None and item.zone in zones]
-    block = query.home.block
-    home = max(near, key=lambda item: _home_weight(block, item.runner_id), default=None)
-    if home is None or home.overlap_blocks >= query.home.blocks:
+    block = query.affinity.block
+    affinity = max(near, key=lambda item: _home_weight(block, item.runner_id), default=None)
+    if affinity is None or affinity.overlap_blocks >= query.affinity.blocks:
         return known
-    thought = msgspec.structs.replace(home, overlap_blocks=query.home.blocks)
-    return [thought if item is home else item for item in known]
+    thought = msgspec.structs.replace(affinity, overlap_blocks=query.affinity.blocks)
+    return [thought if item is affinity else item for item in known]
 
 
 def _home_weight(block: str, runner_id: str) -> int:
--- a/src/leverjunction/gateway/runner_pool.py
+++ b/src/leverjunction/gateway/runner_pool.py
@@ -17,8 +17,8 @@
     Choice,
     Exclusion,
     RouteQuery,
+    affinity_prefix,
     choose,
-    prefix_home,
 )
 from leverjunction.gateway.send_ledger import SendLedger
 from leverjunction.gateway.view import ClusterSnapshot, ClusterView
@@ -100,7 +100,7 @@
             prompt_blocks=len(needs.blocks),
             prefix_weight=needs.serving.prefix_weight,
             region_zones=needs.region_zones,
-            home=prefix_home(
+            affinity=affinity_prefix(
                 needs.blocks,
                 continues=needs.continues,
                 prefix_weight=needs.serving.prefix_weight,
@@ -151,7 +151,7 @@
         with self._lock:
             return self._prefixes.apply(runner_id, event)
 
-    def follow(self, snapshot: ClusterSnapshot) -> None:
+    def apply_snapshot(self, snapshot: ClusterSnapshot) -> None:
         """Drop what is known of runners that are gone, and the caches of restarted ones."""
         incarnations = {item.runner_id: item.incarnation for item in snapshot.runners.values()}
         with self._lock:
--- a/src/leverjunction/gateway/runtime.py
+++ b/src/leverjunction/gateway/runtime.py
@@ -19,23 +19,23 @@
 from leverjunction.config.gateway import GatewayConfig
 from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.cache_feed import CacheFeed
-from leverjunction.gateway.claims import ClaimDesk
+from leverjunction.gateway.claims import ClaimClient
 from leverjunction.gateway.exchange import DigestOutbox, ExchangeLoop
 from leverjunction.gateway.harvest import BatchHarvest
 from leverjunction.gateway.http_server import StreamingServer
-from leverjunction.gateway.inflight import Inflight
+from leverjunction.gateway.inflight import InflightRequests
 from leverjunction.gateway.internal_rpc import build_endpoint
 from leverjunction.gateway.journal import Journal
-from leverjunction.gateway.online import OnlineService, Place
+from leverjunction.gateway.online import GatewayLocation, OnlineService
 from leverjunction.gateway.orphan_sweeper import OrphanSweeper
-from leverjunction.gateway.owner import OwnerLoop
+from leverjunction.gateway.owner import RunnerPoller
 from leverjunction.gateway.ownership import OwnedRunners
 from leverjunction.gateway.relay import RelayLoop
 from leverjunction.gateway.retry import RetryBudget
 from leverjunction.gateway.runner_pool import RunnerPool
 from leverjunction.gateway.sender import Sender
 from leverjunction.gateway.settings_store import SettingsStore
-from leverjunction.gateway.stream_session import StreamServices
+from leverjunction.gateway.stream_session import StreamDependencies
 from leverjunction.gateway.view import ClusterSnapshot, ClusterView
 from leverjunction.gateway.yielding import YieldNotifier
 from leverjunction.observability.counters import GatewayCounters
@@ -62,7 +62,9 @@
         cluster_key = _read_secret(config.cluster_key_file)
         self.counters = GatewayCounters()
         self.ring = DecisionRing(random.Random())
-        self.inflight = Inflight(config.request_threads - _free_threads(config.request_threads))
+        self.inflight = InflightRequests(
+            config.request_threads - _free_threads(config.request_threads)
+        )
         self.view = ClusterView(self.clock)
         config.data_folder.mkdir(parents=True, exist_ok=True)
         self.settings = SettingsStore(SettingsCache(config.data_folder))
@@ -87,7 +89,7 @@
             config.name, self.view, self.control, self.harvest, self.clock, self.counters
         )
         self.feed = CacheFeed(self.engines, self.pool, self.counters)
-        self.owner = OwnerLoop(
+        self.owner = RunnerPoller(
             self.engines,
             self.view,
             self.pool,
@@ -202,9 +204,9 @@
 
     def _on_view(self, snapshot: ClusterSnapshot) -> None:
         """Follow a new view: owned runners, batch settings, forgotten runners."""
-        owned = [] if self.inflight.stopping else self._owned.follow(snapshot)
+        owned = [] if self.inflight.stopping else self._owned.update(snapshot)
         self.counters.owned_runners.set(len(owned))
-        self.pool.follow(snapshot)
+        self.pool.apply_snapshot(snapshot)
         self._count_usable(snapshot)
         self.owner.update(owned)
         self.harvest.update(owned, self.settings.current, self.job_groups())
@@ -230,7 +232,7 @@
             self.counters,
             self.clock,
         )
-        streams = StreamServices(
+        streams = StreamDependencies(
             engines=self.engines,
             sender=sender,
             pool=self.pool,
@@ -239,11 +241,11 @@
             clock=self.clock,
         )
         return OnlineService(
-            Place(region=self.config.region, zone=self.config.zone),
+            GatewayLocation(region=self.config.region, zone=self.config.zone),
             lambda: self.settings.current,
             self.gate,
             sender,
-            ClaimDesk(self.control, self.job_groups, self.config.name),
+            ClaimClient(self.control, self.job_groups, self.config.name),
             self.relay,
             streams,
             journal,
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -17,7 +17,7 @@
 from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenAnswer, WholeAnswer
-from leverjunction.gateway.retry import RetryBudget, may_repeat
+from leverjunction.gateway.retry import RetryBudget, may_retry
 from leverjunction.gateway.routing import Candidate, Choice, free_slots
 from leverjunction.gateway.runner_pool import RunnerPool
 from leverjunction.gateway.yielding import YieldNotifier
@@ -226,7 +226,7 @@
             self.cancel(attempt.address, request.request_id)
 
     def _may_go_on(self, request: OnlineRequest, failure: Failure, attempts: int) -> bool:
-        if not may_repeat(failure, request.repeatable):
+        if not may_retry(failure, request.repeatable):
             return False
         if attempts >= request.serving.max_attempts:
             return False
--- a/src/leverjunction/gateway/slow_clients.py
+++ b/src/leverjunction/gateway/slow_clients.py
@@ -22,7 +22,7 @@
     socket: socket.socket
 
 
-class SlowSenderGuard:
+class SlowClientGuard:
     """Watches connections while a worker reads their requests."""
 
     def __init__(self, timeout_s: float = REQUEST_READ_TIMEOUT_S) -> None:
--- a/src/leverjunction/gateway/stream_session.py
+++ b/src/leverjunction/gateway/stream_session.py
@@ -37,7 +37,7 @@
 StreamEnded = Callable[[bytes, Failure | None], None]
 
 
-class StreamServices(msgspec.Struct, frozen=True, kw_only=True):
+class StreamDependencies(msgspec.Struct, frozen=True, kw_only=True):
     """What every stream session uses."""
 
     engines: EngineClient
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        services: StreamServices,
+        services: StreamDependencies,
         request: OnlineRequest,
         answer: OpenAnswer,
         ended: StreamEnded,
--- a/src/testbed/load/prefix_run.py
+++ b/src/testbed/load/prefix_run.py
@@ -13,7 +13,13 @@
 from leverjunction.gateway.ownership import owner_of
 from leverjunction.gateway.prefix_index import PrefixIndex
 from leverjunction.gateway.prompt import block_hashes
-from leverjunction.gateway.routing import Candidate, PrefixHome, RouteQuery, choose, prefix_home
+from leverjunction.gateway.routing import (
+    AffinityPrefix,
+    Candidate,
+    RouteQuery,
+    affinity_prefix,
+    choose,
+)
 from leverjunction.gateway.send_ledger import SendLedger
 from leverjunction.wire.messages import GatewayState, RunnerDigest, RunnerState
 from testbed.engine.types import CacheEvent as EngineCacheEvent
@@ -144,7 +150,7 @@
             prompt_blocks=len(blocks),
             prefix_weight=self._weight,
             region_zones=frozenset(self._scenario.zones),
-            home=self._home(blocks, caller.has_history),
+            affinity=self._affinity(blocks, caller.has_history),
         )
         chosen = choose(candidates, query, self._random).chosen
         self._measures.requests += 1
@@ -170,10 +176,10 @@
             delay_s, lambda: self._arrive(runner, request, answer, blocks, chosen.overlap_blocks)
         )
 
-    def _home(self, blocks: list[str], continues: bool) -> PrefixHome | None:
+    def _affinity(self, blocks: list[str], continues: bool) -> AffinityPrefix | None:
         if self._source is PrefixSource.TRUTH:
             return None
-        return prefix_home(blocks, continues=continues, prefix_weight=self._weight)
+        return affinity_prefix(blocks, continues=continues, prefix_weight=self._weight)
 
     def first_token(self, sent_s: float) -> None:
         """Record the first token of an answer."""
--- a/src/testbed/simulation/broken_online.py
+++ b/src/testbed/simulation/broken_online.py
@@ -12,7 +12,7 @@
 from leverjunction.batch.harvest_state import HarvestState
 from leverjunction.errors import Execution, Failure
 from leverjunction.gateway import claims, sender, stream_session
-from leverjunction.gateway.claims import ClaimDesk, HeldClaim
+from leverjunction.gateway.claims import ClaimClient, HeldClaim
 from leverjunction.gateway.runner_pool import RunnerPool
 from testbed.simulation.engine_client import SimulatedEngines
 from testbed.simulation.gateway_node import GatewayNode
@@ -25,17 +25,17 @@
 
 def retry_unrepeatable() -> list[Any]:
     """Return the patches."""
-    return [mock.patch.object(sender, "may_repeat", lambda _failure, _repeatable: True)]
+    return [mock.patch.object(sender, "may_retry", lambda _failure, _repeatable: True)]
 
 
 def send_without_claim() -> list[Any]:
     """Return the patches."""
 
-    def granted(desk: ClaimDesk, tenant: str, key: str, body: bytes) -> HeldClaim:
+    def granted(desk: ClaimClient, tenant: str, key: str, body: bytes) -> HeldClaim:
         group = claims.group_for_key(desk._groups(), tenant, key)
         return HeldClaim(group=group, tenant=tenant, key=key, attempt_id=key)
 
-    return [mock.patch.object(ClaimDesk, "claim", granted)]
+    return [mock.patch.object(ClaimClient, "claim", granted)]
 
 
 def always_say_not_run() -> list[Any]:
--- a/src/testbed/simulation/gateway_front.py
+++ b/src/testbed/simulation/gateway_front.py
@@ -14,7 +14,7 @@
 from leverjunction.batch.directory import JobDirectory
 from leverjunction.errors import Failure
 from leverjunction.gateway.http_server import ClientConnection
-from leverjunction.gateway.online import CallerRequest, ReadyAnswer, RelayedAnswer
+from leverjunction.gateway.online import BufferedResponse, CallerRequest, RelayedResponse
 from testbed.simulation.caller_messages import HttpBytes, HttpEnd, HttpHead, HttpRequest
 from testbed.simulation.channel import Channel
 from testbed.simulation.virtual_sockets import VirtualSocket
@@ -97,13 +97,13 @@
             if isinstance(answer, Failure):
                 self._refuse(channel, request_id, answer)
                 return
-            if isinstance(answer, ReadyAnswer):
+            if isinstance(answer, BufferedResponse):
                 head = HttpHead(request_id, answer.status, body=answer.body)
                 channel.send(gateway.machine, head)
                 return
         self._hand_over(channel, request_id, answer)
 
-    def _hand_over(self, channel: Channel, request_id: str, answer: RelayedAnswer) -> None:
+    def _hand_over(self, channel: Channel, request_id: str, answer: RelayedResponse) -> None:
         machine = self._gateway.machine
         channel.send(machine, HttpHead(request_id, STATUS_OK))
         socket = VirtualSocket(on_send=lambda data: channel.send(machine, HttpBytes(data)))
--- a/src/testbed/simulation/gateway_node.py
+++ b/src/testbed/simulation/gateway_node.py
@@ -8,21 +8,21 @@
 
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.gateway.admission_gate import AdmissionGate
-from leverjunction.gateway.claims import ClaimDesk
+from leverjunction.gateway.claims import ClaimClient
 from leverjunction.gateway.exchange import DigestOutbox, ExchangeLoop
 from leverjunction.gateway.harvest import BatchHarvest
-from leverjunction.gateway.inflight import Inflight
+from leverjunction.gateway.inflight import InflightRequests
 from leverjunction.gateway.journal import Journal
-from leverjunction.gateway.online import OnlineService, Place
+from leverjunction.gateway.online import GatewayLocation, OnlineService
 from leverjunction.gateway.orphan_sweeper import OrphanSweeper
-from leverjunction.gateway.owner import OwnerLoop
+from leverjunction.gateway.owner import RunnerPoller
 from leverjunction.gateway.ownership import owned_runners
 from leverjunction.gateway.relay import RelayLoop
 from leverjunction.gateway.retry import RetryBudget
 from leverjunction.gateway.runner_pool import RunnerPool
 from leverjunction.gateway.sender import Sender
 from leverjunction.gateway.settings_store import SettingsStore
-from leverjunction.gateway.stream_session import StreamServices
+from leverjunction.gateway.stream_session import StreamDependencies
 from leverjunction.gateway.view import ClusterSnapshot, ClusterView
 from leverjunction.gateway.yielding import YieldNotifier
 from leverjunction.observability.counters import GatewayCounters
@@ -246,7 +246,7 @@
         )
         self.engines = self.engines_type(machine, self.board, self._connections, self._runners)
         self.counters = GatewayCounters()
-        self.inflight = Inflight()
+        self.inflight = InflightRequests()
         self.view = ClusterView(machine)
         self.settings = self.store_type(self._disk, self._record_version)
         self.pool = RunnerPool(self.view, machine.zone, machine, self.random)
@@ -266,7 +266,7 @@
         self.notifier = YieldNotifier(
             self.name, self.view, self.control, self.harvest, machine, self.counters
         )
-        self.owner = OwnerLoop(
+        self.owner = RunnerPoller(
             self.engines,  # type: ignore[arg-type]
             self.view,
             self.pool,
@@ -306,7 +306,7 @@
             self.counters,
             self.machine,
         )
-        streams = StreamServices(
+        streams = StreamDependencies(
             engines=self.engines,  # type: ignore[arg-type]
             sender=sender,
             pool=self.pool,
@@ -315,11 +315,11 @@
             clock=self.machine,
         )
         return OnlineService(
-            Place(region=self._region, zone=self.machine.zone),
+            GatewayLocation(region=self._region, zone=self.machine.zone),
             lambda: self.settings.current,
             self.gate,
             sender,
-            ClaimDesk(self.control, self.job_groups, self.name),
+            ClaimClient(self.control, self.job_groups, self.name),
             self.relay,
             streams,
             journal,
--- a/tests/unit/conftest.py
+++ b/tests/unit/conftest.py
@@ -1,5 +1,5 @@
 """Fixtures that several modules of unit tests share."""
 
-from tests.unit.gateway_support import patient_polls
+from tests.unit.gateway_support import extended_poll_timeout
 
-__all__ = ["patient_polls"]
+__all__ = ["extended_poll_timeout"]
--- a/tests/unit/gateway_support.py
+++ b/tests/unit/gateway_support.py
@@ -46,7 +46,7 @@
 
 
 @pytest.fixture
-def patient_polls(monkeypatch: pytest.MonkeyPatch) -> None:
+def extended_poll_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Have gateways wait long for a poll: a busy machine must not make a stub engine look dead.
 
     For one test at a time: set for the whole process, it also changed what the simulator's tests
--- a/tests/unit/test_gateway_claims.py
+++ b/tests/unit/test_gateway_claims.py
@@ -21,9 +21,9 @@
 from leverjunction.batch.commands import Claim, ClaimRequest, FinishClaim
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway import claims
-from leverjunction.gateway.claims import ClaimDesk
+from leverjunction.gateway.claims import ClaimClient
 
-pytestmark = pytest.mark.usefixtures("patient_polls")
+pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 
 KEY = {"Idempotency-Key": "order-7"}
 ONCE = KEY | {"X-Repeat": "never"}
@@ -180,7 +180,7 @@
 
 def test_a_claim_whose_answer_was_lost_is_given_up_later() -> None:
     control = LostReplies()
-    desk = ClaimDesk(control, lambda: ["jobs-0"], "g1")  # type: ignore[arg-type]
+    desk = ClaimClient(control, lambda: ["jobs-0"], "g1")  # type: ignore[arg-type]
     outcome = desk.claim("acme", "order-7", b"{}")
     assert isinstance(outcome, Failure)
     assert outcome.execution is Execution.NOT_RUN
--- a/tests/unit/test_gateway_cores.py
+++ b/tests/unit/test_gateway_cores.py
@@ -13,14 +13,14 @@
 from leverjunction.gateway.ejection import FAILURES_TO_EJECT, MAX_EJECTION_S, Ejection
 from leverjunction.gateway.prefix_index import PrefixIndex
 from leverjunction.gateway.prompt import parse_request
-from leverjunction.gateway.retry import MAX_SAVED_RETRIES, RetryBudget, may_repeat
+from leverjunction.gateway.retry import MAX_SAVED_RETRIES, RetryBudget, may_retry
 from leverjunction.gateway.routing import (
+    AffinityPrefix,
     Candidate,
     Exclusion,
-    PrefixHome,
     RouteQuery,
+    affinity_prefix,
     choose,
-    prefix_home,
 )
 from leverjunction.settings.resolved import ResolvedLimits
 
@@ -138,7 +138,7 @@
         prompt_blocks=len(blocks),
         prefix_weight=4.0,
         region_zones=frozenset({"z1", "z2"}),
-        home=prefix_home(blocks, continues=True, prefix_weight=4.0),
+        affinity=affinity_prefix(blocks, continues=True, prefix_weight=4.0),
     )
     choice = choose(runners, query, random.Random(seed))
     assert choice.chosen is not None
@@ -181,8 +181,8 @@
 
 def home_of(
     blocks: list[str], *, continues: bool = True, prefix_weight: float = 1.0
-) -> PrefixHome | None:
-    return prefix_home(blocks, continues=continues, prefix_weight=prefix_weight)
+) -> AffinityPrefix | None:
+    return affinity_prefix(blocks, continues=continues, prefix_weight=prefix_weight)
 
 
 def test_a_first_turn_has_a_home_only_where_the_weight_says_that_prompts_come_again() -> None:
@@ -290,7 +290,7 @@
     kind: FailureKind, execution: Execution, repeatable: bool, expected: bool
 ) -> None:
     failure = Failure(kind=kind, reason="", step=Step.SENDING, execution=execution)
-    assert may_repeat(failure, repeatable) is expected
+    assert may_retry(failure, repeatable) is expected
 
 
 def event(sequence: int, kind: CacheEventKind, *blocks: str) -> CacheEvent:
--- a/tests/unit/test_gateway_http.py
+++ b/tests/unit/test_gateway_http.py
@@ -28,7 +28,7 @@
 from leverjunction.api import decisions
 from leverjunction.backends.types import CHAT_PATH
 
-pytestmark = pytest.mark.usefixtures("patient_polls")
+pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 
 MAX_BODY_BYTES = 100_000
 GOOD_HEAD = f"POST {CHAT_PATH} HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer {API_KEY}\r\n"
--- a/tests/unit/test_gateway_limits.py
+++ b/tests/unit/test_gateway_limits.py
@@ -28,7 +28,7 @@
 from leverjunction.gateway.owner import unhealthy_digest
 from leverjunction.gateway.retry import MAX_SAVED_RETRIES
 
-pytestmark = pytest.mark.usefixtures("patient_polls")
+pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 
 SERVING = f"services/{SERVICE}/serving"
 LIMITS = "tenants/acme/limits"
--- a/tests/unit/test_gateway_owner.py
+++ b/tests/unit/test_gateway_owner.py
@@ -10,7 +10,7 @@
 from leverjunction.clock import SystemClock
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.gateway.exchange import DigestOutbox
-from leverjunction.gateway.owner import OwnerLoop
+from leverjunction.gateway.owner import RunnerPoller
 from leverjunction.gateway.runner_pool import RunnerPool
 from leverjunction.gateway.view import ClusterView
 from leverjunction.wire.messages import RunnerState
@@ -62,7 +62,7 @@
 ) -> None:
     engines, view = StubEngines(), ClusterView()
     pool = RunnerPool(view, "z1", SystemClock(), random.Random(1))
-    loop = OwnerLoop(
+    loop = RunnerPoller(
         engines,  # type: ignore[arg-type]
         view,
         pool,
--- a/tests/unit/test_gateway_ownership.py
+++ b/tests/unit/test_gateway_ownership.py
@@ -71,17 +71,17 @@
 def test_owned_runners_follow_every_change_of_members(
     state: ClusterSnapshot, changes: dict[str, list[object]]
 ) -> None:
-    followed = OwnedRunners("g0")
-    followed.follow(state)
+    owned = OwnedRunners("g0")
+    owned.update(state)
     after = apply_reply(state, reply(**changes))
-    assert followed.follow(after) == owned_runners(
+    assert owned.update(after) == owned_runners(
         "g0", after.runners.values(), after.gateways.values()
     )
     assert {digest in after.runners for digest in after.digests} <= {True}
 
 
 def test_owned_runners_are_not_worked_out_again_without_a_change(state: ClusterSnapshot) -> None:
-    followed = OwnedRunners("g0")
-    first = followed.follow(state)
+    owned = OwnedRunners("g0")
+    first = owned.update(state)
     assert first
-    assert followed.follow(apply_reply(state, reply(digests=[DIGEST]))) is first
+    assert owned.update(apply_reply(state, reply(digests=[DIGEST]))) is first
--- a/tests/unit/test_gateway_serving.py
+++ b/tests/unit/test_gateway_serving.py
@@ -22,7 +22,7 @@
 
 from leverjunction.backends.types import HeldRequest
 
-pytestmark = pytest.mark.usefixtures("patient_polls")
+pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 
 
 @pytest.fixture
--- a/tests/unit/test_gateway_standstill.py
+++ b/tests/unit/test_gateway_standstill.py
@@ -14,7 +14,7 @@
 
 from leverjunction.batch.harvester import Harvester
 
-pytestmark = pytest.mark.usefixtures("patient_polls")
+pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 STOOD_S = 5.0
 HELD_S = 0.3
 
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -30,7 +30,7 @@
 from leverjunction.errors import Failure
 from leverjunction.gateway.relay_stream import RelayStream
 
-pytestmark = pytest.mark.usefixtures("patient_polls")
+pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 
 STREAM = CHAT | {"stream": True}
 DONE = b"[DONE]"
