--- a/src/leverjunction/api/completions.py
+++ b/src/leverjunction/api/completions.py
@@ -14,10 +14,10 @@
 from leverjunction.gateway.inflight import InflightRequests
 from leverjunction.gateway.online import (
     SSE_TYPE,
-    Answer,
     CallerRequest,
     OnlineService,
     RelayedResponse,
+    ServeResult,
     new_request_id,
 )
 from leverjunction.settings.resolved import ResolvedSettings
@@ -147,7 +147,7 @@
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.PARSING)
 
 
-def _write(answer: Answer, request_id: str) -> bytes:
+def _write(answer: ServeResult, request_id: str) -> bytes:
     if isinstance(answer, Failure):
         return error_response(answer, request_id)
     response = cherrypy.response
--- a/src/leverjunction/gateway/claims.py
+++ b/src/leverjunction/gateway/claims.py
@@ -38,7 +38,7 @@
         ...
 
 
-class RecordedAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class RecordedResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Answer of an earlier send with the same key and body."""
 
     status: int
@@ -66,7 +66,7 @@
         self._lock = threading.Lock()
         self._releasing = 0
 
-    def claim(self, tenant: str, key: str, body: bytes) -> HeldClaim | RecordedAnswer | Failure:
+    def claim(self, tenant: str, key: str, body: bytes) -> HeldClaim | RecordedResponse | Failure:
         """Claim a key before the first send.
 
         A claim that another send holds is waited for, for ``OPEN_CLAIM_WAITS_S``.
@@ -92,7 +92,7 @@
             outcome = self._ask(group, request)
         return outcome
 
-    def _ask(self, group: str, request: ClaimRequest) -> HeldClaim | RecordedAnswer | Failure:
+    def _ask(self, group: str, request: ClaimRequest) -> HeldClaim | RecordedResponse | Failure:
         claim = self._control.propose(group, request, Claim, CLAIM_TIMEOUT_S)
         held = HeldClaim(
             group=group, tenant=request.tenant, key=request.key, attempt_id=request.attempt_id
@@ -106,7 +106,7 @@
         if claim.content_hash != request.content_hash:
             return _key_reused(request.key)
         if claim.finished:
-            return RecordedAnswer(status=claim.status_code, body=claim.body.encode())
+            return RecordedResponse(status=claim.status_code, body=claim.body.encode())
         return held if claim.granted else _outcome_unknown(request.key)
 
     def _release_later(self, held: HeldClaim) -> None:
--- a/src/leverjunction/gateway/online.py
+++ b/src/leverjunction/gateway/online.py
@@ -10,7 +10,7 @@
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway.admission_gate import AdmissionGate
-from leverjunction.gateway.claims import ClaimClient, HeldClaim, RecordedAnswer
+from leverjunction.gateway.claims import ClaimClient, HeldClaim, RecordedResponse
 from leverjunction.gateway.http_server import Handover
 from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import OnlineRequest, OpenAnswer, WholeAnswer
@@ -57,7 +57,7 @@
     body: bytes
 
 
-Answer = RelayedResponse | BufferedResponse | Failure
+ServeResult = RelayedResponse | BufferedResponse | Failure
 
 
 class GatewayLocation(msgspec.Struct, frozen=True, kw_only=True):
@@ -94,7 +94,7 @@
         self._counters = counters
         self._clock = clock
 
-    def serve(self, caller: CallerRequest) -> Answer:
+    def serve(self, caller: CallerRequest) -> ServeResult:
         """Answer a request; every refusal is recorded and final."""
         request = self._form(caller)
         if isinstance(request, Failure):
@@ -143,7 +143,7 @@
 
     def _claim(
         self, caller: CallerRequest, request: OnlineRequest
-    ) -> HeldClaim | RecordedAnswer | Failure | None:
+    ) -> HeldClaim | RecordedResponse | Failure | None:
         """Claim the caller's key; None when the request needs no claim.
 
         Without a key no resend can be told from a new request: it is then enough that this
@@ -158,7 +158,7 @@
         # A request that may run twice is served even when its first gateway died with the claim.
         return None if still_open and request.repeatable else claim
 
-    def _send(self, request: OnlineRequest, claim: HeldClaim | None) -> Answer:
+    def _send(self, request: OnlineRequest, claim: HeldClaim | None) -> ServeResult:
         self._sender.note_request(request)
         answer = self._sender.send(request)
         if isinstance(answer, OpenAnswer):
@@ -256,7 +256,7 @@
     return f"req-{uuid.uuid4().hex}"
 
 
-def _replayed(request: OnlineRequest, recorded: RecordedAnswer) -> BufferedResponse:
+def _replayed(request: OnlineRequest, recorded: RecordedResponse) -> BufferedResponse:
     content_type = SSE_TYPE if request.stream and recorded.status == 200 else JSON_TYPE
     return BufferedResponse(status=recorded.status, content_type=content_type, body=recorded.body)
 
