--- a/src/leverjunction/gateway/admission_gate.py
+++ b/src/leverjunction/gateway/admission_gate.py
@@ -34,17 +34,17 @@
         self._granted: dict[str, threading.Event] = {}
         self._stopping = threading.Event()
 
-    def enter(self, tenant: str, limits: ResolvedLimits) -> Failure | None:
+    def acquire(self, tenant: str, limits: ResolvedLimits) -> Failure | None:
         """Take a place of a tenant or return the refusal; pair with ``leave``."""
         with self._lock:
-            return self._admission.enter(tenant, limits, self._clock.monotonic_s())
+            return self._admission.acquire(tenant, limits, self._clock.monotonic_s())
 
-    def leave(self, tenant: str) -> None:
+    def release(self, tenant: str) -> None:
         """Give a tenant's place back."""
         with self._lock:
-            self._admission.leave(tenant, self._clock.monotonic_s())
+            self._admission.release(tenant, self._clock.monotonic_s())
 
-    def pass_or_wait(
+    def wait_for_admission(
         self,
         service: str,
         ticket_id: str,
@@ -64,7 +64,7 @@
         started_s = self._clock.monotonic_s()
         slots = free_slots()
         with self._lock:
-            decision = self._admission.arrive(service, ticket_id, limits, slots, started_s)
+            decision = self._admission.admit_or_queue(service, ticket_id, limits, slots, started_s)
             if isinstance(decision, Failure):
                 return decision
             if not isinstance(decision, Queued):
@@ -89,25 +89,25 @@
     ) -> Failure | None:
         while not granted.wait(POLL_INTERVAL_S):
             if self._stopping.is_set():
-                return _stopping()
-            self.pump(service, free_slots())
+                return _stopping_failure()
+            self.grant_slots(service, free_slots())
             with self._lock:
                 now_s = self._clock.monotonic_s()
-                refusal = self._admission.expired(service, ticket_id, now_s)
+                refusal = self._admission.pop_expired(service, ticket_id, now_s)
             if refusal is not None:
                 return refusal
         return None
 
-    def pump(self, service: str, free_slots: int) -> None:
+    def grant_slots(self, service: str, free_slots: int) -> None:
         """Let waiting requests of a service go on, as many as there are slots."""
         with self._lock:
-            for ticket_id in self._admission.next_tickets(service, free_slots):
+            for ticket_id in self._admission.pop_admitted(service, free_slots):
                 self._granted[ticket_id].set()
 
-    def drained(self, service: str) -> None:
+    def request_ended(self, service: str) -> None:
         """Note that a request of a service ended."""
         with self._lock:
-            self._admission.drained(service, self._clock.monotonic_s())
+            self._admission.request_ended(service, self._clock.monotonic_s())
 
     def stop(self) -> None:
         """Refuse all that wait: they have not been sent anywhere."""
@@ -116,11 +116,11 @@
     def _forget(self, service: str, ticket_id: str) -> None:
         with self._lock:
             self._granted.pop(ticket_id, None)
-            self._admission.drop(service, ticket_id)
+            self._admission.remove(service, ticket_id)
             self._counters.queued.set(self._admission.waiting())
 
 
-def _stopping() -> Failure:
+def _stopping_failure() -> Failure:
     return Failure(
         kind=FailureKind.STOPPING,
         reason="this gateway stops; send the request to another one",
--- a/src/leverjunction/gateway/online.py
+++ b/src/leverjunction/gateway/online.py
@@ -1,4 +1,4 @@
-"""Serves online requests: checks, admission, claim, send, and the hand-over to the relay."""
+"""Serves online requests: validation, admission, claim, send, and hand-over to the relay."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from leverjunction.gateway.claims import ClaimClient, HeldClaim, RecordedResponse
 from leverjunction.gateway.http_server import Handover
 from leverjunction.gateway.journal import Journal
-from leverjunction.gateway.online_request import OnlineRequest, OpenAnswer, WholeAnswer
+from leverjunction.gateway.online_request import CompleteResponse, OnlineRequest, OpenResponse
 from leverjunction.gateway.prompt import ParsedRequest, block_hashes, parse_request
 from leverjunction.gateway.relay import RelayLoop
 from leverjunction.gateway.sender import Sender
@@ -27,7 +27,16 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request as it came over HTTP, from an authenticated tenant."""
+    """An HTTP request from an authenticated tenant, before its body is parsed.
+
+    Attributes:
+        request_id: Id given to the request by this gateway.
+        tenant: Tenant that sent the request.
+        path: API path.
+        body: Request body.
+        idempotency_key: Value of the header ``Idempotency-Key``, empty without one.
+        never_repeat: True if the request may run at most once (``X-Repeat: never``).
+    """
 
     request_id: str
     tenant: str
@@ -38,11 +47,11 @@
 
 
 class RelayedResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """A streaming answer: the HTTP layer writes the head, then passes its connection on.
+    """A streaming response: the HTTP layer writes the head, then hands its connection over.
 
     Attributes:
-        handover: Takes the connection over.
-        abandon: To be called in its place when the head could not be written.
+        handover: Takes over the connection and relays the stream.
+        abandon: Called instead of ``handover`` if the head could not be written.
     """
 
     handover: Handover
@@ -50,7 +59,7 @@
 
 
 class BufferedResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer."""
+    """A response that was read completely from the engine or from the record of a claim."""
 
     status: int
     content_type: str
@@ -61,18 +70,21 @@
 
 
 class GatewayLocation(msgspec.Struct, frozen=True, kw_only=True):
-    """Where this gateway runs."""
+    """Region and zone in which this gateway runs."""
 
     region: str
     zone: str
 
 
 class OnlineService:
-    """Thread-safe; ``serve`` holds the calling thread until the answer's head is known."""
+    """Serves callers' online requests.
+
+    Thread-safe. ``serve`` blocks the calling thread until the head of the response is known.
+    """
 
     def __init__(
         self,
-        place: GatewayLocation,
+        location: GatewayLocation,
         settings: Callable[[], ResolvedSettings],
         gate: AdmissionGate,
         sender: Sender,
@@ -83,7 +95,7 @@
         counters: GatewayCounters,
         clock: Clock,
     ) -> None:
-        self._place = place
+        self._location = location
         self._settings = settings
         self._gate = gate
         self._sender = sender
@@ -95,23 +107,23 @@
         self._clock = clock
 
     def serve(self, caller: CallerRequest) -> ServeResult:
-        """Answer a request; every refusal is recorded and final."""
-        request = self._form(caller)
+        """Serve a request; every rejection is final and is written to the decision record."""
+        request = self._build_request(caller)
         if isinstance(request, Failure):
             return self._refuse(caller.request_id, "", request)
-        refusal = self._gate.enter(caller.tenant, self._settings().limits(caller.tenant))
+        refusal = self._gate.acquire(caller.tenant, self._settings().limits(caller.tenant))
         if refusal is not None:
             return self._refuse(caller.request_id, request.service, refusal)
         claim = self._claim(caller, request)
         if not isinstance(claim, HeldClaim | None):
-            self._gate.leave(caller.tenant)
+            self._gate.release(caller.tenant)
             if isinstance(claim, Failure):
                 return self._refuse(caller.request_id, request.service, claim)
-            return _replayed(request, claim)
+            return _replay_recorded(request, claim)
         return self._send(request, claim)
 
-    def _form(self, caller: CallerRequest) -> OnlineRequest | Failure:
-        """Check the body and the model, and gather the settings in force."""
+    def _build_request(self, caller: CallerRequest) -> OnlineRequest | Failure:
+        """Validate the body and the model, and add the settings in force."""
         parsed = parse_request(caller.path, caller.body)
         if isinstance(parsed, Failure):
             return parsed
@@ -121,7 +133,7 @@
             return _unknown_model(parsed)
         model, _, adapter = parsed.model.partition(":")
         serving = settings.serving(
-            service, self._place.region, self._place.zone, model=model, adapter=adapter
+            service, self._location.region, self._location.zone, model=model, adapter=adapter
         )
         now_s = self._clock.monotonic_s()
         return OnlineRequest(
@@ -136,7 +148,7 @@
             continues=parsed.continues,
             repeatable=not caller.never_repeat,
             serving=serving,
-            region_zones=_zones_of(settings, self._place.region),
+            region_zones=_zones_in(settings, self._location.region),
             arrived_s=now_s,
             deadline_s=now_s + serving.deadline_s,
         )
@@ -144,10 +156,12 @@
     def _claim(
         self, caller: CallerRequest, request: OnlineRequest
     ) -> HeldClaim | RecordedResponse | Failure | None:
-        """Claim the caller's key; None when the request needs no claim.
+        """Claim the caller's idempotency key.
 
-        Without a key no resend can be told from a new request: it is then enough that this
-        gateway sends it once.
+        Returns:
+            The claim; the recorded response of an earlier send; the failure to return; None if the
+            request is sent without a claim. Without a key, a resend cannot be distinguished from a
+            new request, so it is enough that this gateway sends the request once.
         """
         if not caller.idempotency_key:
             return None
@@ -155,43 +169,43 @@
         if not isinstance(claim, Failure):
             return claim
         still_open = claim.kind is FailureKind.OUTCOME_UNKNOWN
-        # A request that may run twice is served even when its first gateway died with the claim.
+        # A repeatable request is served even if the gateway that held the claim has crashed.
         return None if still_open and request.repeatable else claim
 
     def _send(self, request: OnlineRequest, claim: HeldClaim | None) -> ServeResult:
         self._sender.note_request(request)
-        answer = self._sender.send(request)
-        if isinstance(answer, OpenAnswer):
-            return self._relayed(request, claim, answer)
-        self._gate.leave(request.tenant)
-        if isinstance(answer, Failure):
-            self._finish_failed(request, claim, answer)
-            return self._refuse(request.request_id, request.service, answer)
+        response = self._sender.send(request)
+        if isinstance(response, OpenResponse):
+            return self._relay_stream(request, claim, response)
+        self._gate.release(request.tenant)
+        if isinstance(response, Failure):
+            self._finish_failed(request, claim, response)
+            return self._refuse(request.request_id, request.service, response)
         if claim is not None:
-            self._claims.finish(claim, answer.status, answer.body)
-        self._completed(request, answer)
+            self._claims.finish(claim, response.status, response.body)
+        self._record_completion(request, response)
         return BufferedResponse(
-            status=answer.status, content_type=answer.content_type, body=answer.body
+            status=response.status, content_type=response.content_type, body=response.body
         )
 
-    def _relayed(
-        self, request: OnlineRequest, claim: HeldClaim | None, answer: OpenAnswer
+    def _relay_stream(
+        self, request: OnlineRequest, claim: HeldClaim | None, response: OpenResponse
     ) -> RelayedResponse:
         def ended(transcript: bytes, failure: Failure | None) -> None:
             self._stream_ended(request, claim, transcript, failure)
 
-        session = StreamSession(self._streams, request, answer, ended)
+        session = StreamSession(self._streams, request, response, ended)
         self._observe_first_byte(request)
-        # Counted before the head is written: a stop must not overlook a stream on its way.
+        # Counted before the head is written, so that a shutdown waits for this stream too.
         self._relay.expect()
 
         def abandon() -> None:
-            answer.stream.close()
+            response.stream.close()
             session.abandon()
             self._relay.abandon()
 
         return RelayedResponse(
-            handover=lambda client: self._relay.submit(session.relay_stream(answer, client)),
+            handover=lambda client: self._relay.submit(session.relay_stream(response, client)),
             abandon=abandon,
         )
 
@@ -202,40 +216,43 @@
         transcript: bytes,
         failure: Failure | None,
     ) -> None:
-        self._gate.leave(request.tenant)
+        self._gate.release(request.tenant)
         outcome = DecisionOutcome.COMPLETED
         if failure is not None:
             cancelled = failure.kind is FailureKind.CANCELLED
             outcome = DecisionOutcome.CANCELLED if cancelled else DecisionOutcome.FAILED
         status = "200" if failure is None else failure.kind.value
         self._counters.requests.labels(request.service, status).inc()
-        reason = "the whole stream was passed on" if failure is None else failure.reason
+        reason = "the stream was relayed to its end" if failure is None else failure.reason
         self._journal.note(request, outcome, Step.RELAYING, reason)
         if failure is not None:
             self._finish_failed(request, claim, failure)
         elif claim is not None:
             self._claims.finish(claim, 200, transcript)
 
-    def _completed(self, request: OnlineRequest, answer: WholeAnswer) -> None:
+    def _record_completion(self, request: OnlineRequest, response: CompleteResponse) -> None:
         self._observe_first_byte(request)
-        self._counters.requests.labels(request.service, str(answer.status)).inc()
+        self._counters.requests.labels(request.service, str(response.status)).inc()
         self._journal.note(
             request,
             DecisionOutcome.COMPLETED,
             Step.RESPONDING,
-            f"HTTP {answer.status}",
-            answer.attempt.runner_id,
-            answer.attempt.number,
+            f"HTTP {response.status}",
+            response.attempt.runner_id,
+            response.attempt.number,
         )
 
     def _finish_failed(
         self, request: OnlineRequest, claim: HeldClaim | None, failure: Failure
     ) -> None:
-        """Give a claim up unless a back end may have run what must not run again."""
+        """Release the claim of a failed request unless it may have run and must not run twice.
+
+        A claim that stays open makes resends fail with OUTCOME_UNKNOWN.
+        """
         if claim is None:
             return
         if request.repeatable or failure.execution is Execution.NOT_RUN:
-            self._claims.give_up(claim)
+            self._claims.release(claim)
 
     def _refuse(self, request_id: str, service: str, failure: Failure) -> Failure:
         self._counters.refusals.labels(failure.kind.value).inc()
@@ -243,20 +260,23 @@
         return failure
 
     def _observe_first_byte(self, request: OnlineRequest) -> None:
-        spent_s = self._clock.monotonic_s() - request.arrived_s
-        self._counters.first_byte_s.labels(request.service).observe(spent_s)
+        elapsed_s = self._clock.monotonic_s() - request.arrived_s
+        self._counters.first_byte_s.labels(request.service).observe(elapsed_s)
 
 
-def _zones_of(settings: ResolvedSettings, region: str) -> frozenset[str]:
+def _zones_in(settings: ResolvedSettings, region: str) -> frozenset[str]:
     return frozenset(zone for zone in settings.zones() if settings.region_of_zone(zone) == region)
 
 
 def new_request_id() -> str:
-    """Return an id for a request; always this gateway's own, so that no two can be crossed."""
+    """Return a unique id for a request.
+
+    The gateway never takes the id from the caller, so that two requests cannot be confused.
+    """
     return f"req-{uuid.uuid4().hex}"
 
 
-def _replayed(request: OnlineRequest, recorded: RecordedResponse) -> BufferedResponse:
+def _replay_recorded(request: OnlineRequest, recorded: RecordedResponse) -> BufferedResponse:
     content_type = SSE_TYPE if request.stream and recorded.status == 200 else JSON_TYPE
     return BufferedResponse(status=recorded.status, content_type=content_type, body=recorded.body)
 
@@ -264,6 +284,6 @@
 def _unknown_model(parsed: ParsedRequest) -> Failure:
     return Failure(
         kind=FailureKind.NOT_FOUND,
-        reason=f"model {parsed.model!r} does not exist; GET /v1/models lists those that do",
+        reason=f"model {parsed.model!r} does not exist; GET /v1/models lists the available models",
         step=Step.PARSING,
     )
--- a/src/leverjunction/gateway/online_request.py
+++ b/src/leverjunction/gateway/online_request.py
@@ -1,4 +1,4 @@
-"""An admitted online request, and the answer that a back end gave to it."""
+"""A validated online request, the attempts to send it, and the response of a back end."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class OnlineRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request on its way to a back end.
+    """A validated request with everything that is needed to send it to a back end.
 
     Attributes:
-        request_id: Id chosen by this gateway; engines echo it.
-        tenant: Who asked.
+        request_id: Id given to the request by this gateway; engines echo it.
+        tenant: Tenant that sent the request.
         service: Service that serves the model.
         model: ``model`` or ``model:adapter``.
         path: API path.
-        body: Body as it came, or with ``continue_text`` for a continuation.
-        stream: True when the answer is SSE.
+        body: Body as received, with ``continue_text`` added for the continuation of a stream.
+        stream: True if the response is a stream of server-sent events.
         blocks: Hashes of the prompt's cache blocks.
-        continues: Whether the prompt goes on with an earlier one.
-        repeatable: False when it may run at most once.
-        serving: Settings in force for it when it arrived.
+        continues: True if the prompt continues an earlier conversation.
+        repeatable: False if the request may run at most once.
+        serving: Settings in force for the request when it arrived.
         region_zones: Zones of the gateway's region.
-        arrived_s: Monotonic time of arrival.
-        deadline_s: Monotonic time by which the whole answer must be there.
+        arrived_s: Monotonic time of arrival, in seconds.
+        deadline_s: Monotonic time by which the response must be complete, in seconds.
     """
 
     request_id: str
@@ -45,7 +45,11 @@
     deadline_s: float
 
     def needs(self, tried: frozenset[str]) -> RouteNeeds:
-        """Return what routing must know."""
+        """Return the properties of the request that routing depends on.
+
+        Args:
+            tried: Ids of runners that must not be chosen.
+        """
         return RouteNeeds(
             service=self.service,
             model=self.model,
@@ -58,19 +62,25 @@
 
 
 class Attempt(msgspec.Struct, frozen=True, kw_only=True):
-    """One send to one runner."""
+    """One attempt to send a request, to one runner.
+
+    Attributes:
+        runner_id: Id of the runner.
+        address: ``host:port`` of the runner's engine.
+        number: Number of the attempt, from 1.
+    """
 
     runner_id: str
     address: str
     number: int
 
     def key(self, request_id: str) -> str:
-        """Return the key of this send in the ledger."""
+        """Return the key of this attempt in the send ledger."""
         return f"{request_id}.{self.number}"
 
 
-class WholeAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer that was read to its end; the attempt is closed."""
+class CompleteResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """A response that was read completely; its attempt is closed."""
 
     status: int
     content_type: str
@@ -78,8 +88,8 @@
     attempt: Attempt
 
 
-class OpenAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A streaming answer whose head has come; the attempt stays open until the stream ends."""
+class OpenResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """A streaming response whose head was received; its attempt is open until the stream ends."""
 
     stream: EngineStream
     attempt: Attempt
--- a/src/leverjunction/gateway/routing.py
+++ b/src/leverjunction/gateway/routing.py
@@ -1,8 +1,10 @@
-"""Pure choice of a runner for one online request.
+"""Selects the runner for one online request. Pure: no I/O, no clock.
 
-Own zone first. Among runners that are ready, not leaving, not ejected and not full, the score
-weighs expected load against cached-prefix overlap; two random candidates and the one with the
-longest overlap are compared, so that gateways with the same stale reports do not herd.
+Runners in the gateway's own zone are preferred. Only runners that are ready, not leaving, not
+ejected and not full are eligible. The score weighs the expected load against the part of the
+prompt that is already in the runner's prefix cache. Two random candidates and the one with the
+longest cached prefix are compared: choosing the minimum over all runners would send the requests of
+all gateways that hold the same stale reports to the same runner.
 """
 
 from __future__ import annotations
@@ -16,18 +18,23 @@
 
 from leverjunction.observability.decisions import CandidateScore
 
-RANDOM_CHOICES = 2
-MIN_FAR_BLOCKS = 16
-"""Blocks (of 16 tokens) that take far longer to read than the way to another zone takes."""
+RANDOM_CANDIDATES = 2
+MIN_REMOTE_ADVANTAGE_BLOCKS = 16
+"""Additional cached blocks of 16 tokens that justify a runner in another zone.
 
-MIN_HOME_BLOCKS = 16
-HOME_GROWTH = 2
-FIRST_TURN_WEIGHT = 2.0
-"""From this ``prefix_weight`` on, prompts that continue no earlier one go to a home as well."""
+Prefilling that many blocks takes far longer than the round trip between zones.
+"""
+
+MIN_AFFINITY_BLOCKS = 16
+"""Shortest prompt prefix, in blocks, that is assigned a preferred runner."""
+
+AFFINITY_LENGTH_FACTOR = 2
+MIN_FIRST_TURN_WEIGHT = 2.0
+"""Lowest ``prefix_weight`` at which the first prompt of a conversation has a preferred runner."""
 
 
 class Exclusion(StrEnum):
-    """Why a runner was not weighed."""
+    """Reason for which a runner is not eligible; the value appears in the decision record."""
 
     LEAVING = "leaving"
     NOT_READY = "model not loaded"
@@ -38,16 +45,17 @@
 
 
 class Candidate(msgspec.Struct, frozen=True, kw_only=True):
-    """A runner as the choice sees it.
+    """A runner with the state that the selection depends on.
 
     Attributes:
-        runner_id: Its id.
-        address: ``host:port`` of its engine protocol.
-        zone: Its zone.
-        load: Online requests expected on it: last report plus own sends since.
-        capacity: Online requests that it may hold.
-        overlap_blocks: Blocks of the prompt that its cache is thought to hold.
-        excluded: Why it must not be chosen, None when it may.
+        runner_id: Id of the runner.
+        address: ``host:port`` at which the runner serves the engine protocol.
+        zone: Zone of the runner.
+        load: Expected number of online requests on the runner: the last load report, plus the
+            requests that this gateway has sent since.
+        capacity: Maximum number of online requests on the runner.
+        overlap_blocks: Leading blocks of the prompt that are expected to be in the runner's cache.
+        excluded: Reason for which the runner is not eligible, None for an eligible runner.
     """
 
     runner_id: str
@@ -60,13 +68,14 @@
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of a choice.
+    """Result of ``choose``.
 
     Attributes:
-        chosen: The runner, None when there is none.
-        full: True when runners could serve the request but all are full: it may wait.
-        candidates: What was weighed and what was left out, for the record.
-        reason: One sentence.
+        chosen: The selected runner, None if no runner was selected.
+        full: True if there are eligible runners but all of them are full, so that the request
+            may wait in the queue.
+        candidates: Scores of all runners, including the excluded ones, for the decision record.
+        reason: Explanation of the result in one sentence.
     """
 
     chosen: Candidate | None
@@ -76,13 +85,14 @@
 
 
 class AffinityPrefix(msgspec.Struct, frozen=True, kw_only=True):
-    """A leading part of a prompt that all gateways send to the same runner, its home.
+    """Leading part of a prompt that selects the prompt's preferred runner.
 
-    They need not tell each other: the home follows from rendezvous hashing.
+    All gateways prefer the same runner for the same prefix, so that the prefix is cached there.
+    The preferred runner follows from rendezvous hashing, without any exchange between gateways.
 
     Attributes:
-        block: Hash of the part's last block; it covers all blocks before it.
-        blocks: Length of the part.
+        block: Chained hash of the last block of the prefix; it covers all blocks before it.
+        blocks: Length of the prefix in blocks.
     """
 
     block: str
@@ -92,35 +102,39 @@
 def affinity_prefix(
     blocks: Sequence[str], *, continues: bool, prefix_weight: float
 ) -> AffinityPrefix | None:
-    """Return the part of a prompt by which its home is chosen, None when there is none.
+    """Return the prefix that selects a prompt's preferred runner.
 
-    Its length is a power of ``HOME_GROWTH``, so that a conversation that grows keeps its home but
-    for the few turns in which it passes such a length. A prompt that may never come again is better
-    sent by load alone: it has a home only where the service's weight says that prompts do come
-    again.
+    The length of the prefix doubles in steps (``AFFINITY_LENGTH_FACTOR``), so that a growing
+    conversation changes its preferred runner only in the few turns that reach the next step. A
+    first prompt may never be repeated and is then better routed by load alone; it has a preferred
+    runner only if the service's ``prefix_weight`` indicates that its prompts are repeated.
 
     Args:
         blocks: Hashes of the prompt's cache blocks.
-        continues: Whether the prompt goes on with an earlier one.
-        prefix_weight: Weight of the service.
+        continues: True if the prompt continues an earlier conversation.
+        prefix_weight: The service's setting ``prefix_weight``.
+
+    Returns:
+        The prefix; None if the prompt is routed without a preferred runner.
     """
-    depth = MIN_HOME_BLOCKS
-    if len(blocks) < depth or not (continues or prefix_weight >= FIRST_TURN_WEIGHT):
+    depth = MIN_AFFINITY_BLOCKS
+    if len(blocks) < depth or not (continues or prefix_weight >= MIN_FIRST_TURN_WEIGHT):
         return None
-    while depth * HOME_GROWTH <= len(blocks):
-        depth *= HOME_GROWTH
+    while depth * AFFINITY_LENGTH_FACTOR <= len(blocks):
+        depth *= AFFINITY_LENGTH_FACTOR
     return AffinityPrefix(block=blocks[depth - 1], blocks=depth)
 
 
 class RouteQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """What the request and its service's settings bring to the choice.
+    """Properties of a request and of its service's settings that the selection depends on.
 
     Attributes:
         zone: Zone of the gateway.
-        region_zones: Zones so near that a long cached prefix there outweighs the way.
-        prompt_blocks: Whole cache blocks of the prompt.
-        prefix_weight: Requests of load that a wholly cached prompt outweighs.
-        home: Prefix whose home is likely to hold it, None for a short prompt.
+        prompt_blocks: Number of complete cache blocks in the prompt.
+        prefix_weight: Additional load, in requests, that is accepted for a fully cached prompt.
+        region_zones: Zones of the gateway's region; a long cached prefix in one of them justifies
+            the longer network path.
+        affinity: Prefix that selects the preferred runner, None for a prompt without one.
     """
 
     zone: str
@@ -131,27 +145,27 @@
 
 
 def choose(candidates: Iterable[Candidate], query: RouteQuery, generator: random.Random) -> Choice:
-    """Return the runner for a request; deterministic for a given state of ``generator``."""
-    known = sorted(candidates, key=lambda candidate: candidate.runner_id)
-    known = _with_home(known, query)
-    usable = [candidate for candidate in known if candidate.excluded is None]
-    roomy = [candidate for candidate in usable if candidate.load < candidate.capacity]
-    near = [candidate for candidate in roomy if candidate.zone == query.zone]
-    pool = near or roomy
-    record = [_scored(candidate, query) for candidate in known]
+    """Select the runner for a request; deterministic for a given state of ``generator``."""
+    ordered = sorted(candidates, key=lambda candidate: candidate.runner_id)
+    ordered = _with_affinity(ordered, query)
+    usable = [candidate for candidate in ordered if candidate.excluded is None]
+    available = [candidate for candidate in usable if candidate.load < candidate.capacity]
+    local = [candidate for candidate in available if candidate.zone == query.zone]
+    pool = local or available
+    scores = [_candidate_score(candidate, query) for candidate in ordered]
     if not pool:
         reason = "all usable runners are full" if usable else "no usable runner"
-        return Choice(chosen=None, full=bool(usable), candidates=record, reason=reason)
-    compared = _compared(pool, generator)
-    compared += _with_prefix(roomy, pool, query, compared)
-    chosen = min(compared, key=lambda candidate: (_score(candidate, query), candidate.runner_id))
+        return Choice(chosen=None, full=bool(usable), candidates=scores, reason=reason)
+    sample = _random_sample(pool, generator)
+    sample += _longest_overlap(available, pool, query, sample)
+    chosen = min(sample, key=lambda candidate: (_score(candidate, query), candidate.runner_id))
     return Choice(
-        chosen=chosen, full=False, candidates=record, reason=_reason(chosen, query, len(compared))
+        chosen=chosen, full=False, candidates=scores, reason=_reason(chosen, query, len(sample))
     )
 
 
 def free_slots(candidates: Iterable[Candidate]) -> int:
-    """Return how many more requests the usable candidates may hold."""
+    """Return the number of additional requests that the eligible candidates can take."""
     return sum(
         max(0, int(candidate.capacity - candidate.load))
         for candidate in candidates
@@ -159,43 +173,50 @@
     )
 
 
-def _compared(pool: list[Candidate], generator: random.Random) -> list[Candidate]:
-    """Return candidates drawn at random, each at most once."""
-    return generator.sample(pool, min(RANDOM_CHOICES, len(pool)))
+def _random_sample(pool: list[Candidate], generator: random.Random) -> list[Candidate]:
+    """Return up to ``RANDOM_CANDIDATES`` distinct candidates drawn at random."""
+    return generator.sample(pool, min(RANDOM_CANDIDATES, len(pool)))
 
 
-def _with_prefix(
-    roomy: list[Candidate], pool: list[Candidate], query: RouteQuery, compared: list[Candidate]
+def _longest_overlap(
+    available: list[Candidate], pool: list[Candidate], query: RouteQuery, sample: list[Candidate]
 ) -> list[Candidate]:
-    """Return the runner that holds the longest prefix, which chance alone would seldom meet.
+    """Return the runner with the longest cached prefix, which the random sample would often miss.
 
-    One of another zone of the region is taken only when it holds ``MIN_FAR_BLOCKS`` more.
+    A runner in another zone of the region is selected only if it holds at least
+    ``MIN_REMOTE_ADVANTAGE_BLOCKS`` more blocks than the best runner of the pool. The list is empty
+    if no runner holds any part of the prompt or if the runner is in the sample already.
     """
     if query.prefix_weight <= 0:
         return []
     best = max(pool, key=_overlap)
-    far = [candidate for candidate in roomy if candidate.zone in query.region_zones]
-    farthest = max(far, key=_overlap, default=best)
-    if _overlap(farthest) >= _overlap(best) + MIN_FAR_BLOCKS:
-        best = farthest
-    return [best] if _overlap(best) > 0 and best not in compared else []
+    remote = [candidate for candidate in available if candidate.zone in query.region_zones]
+    best_remote = max(remote, key=_overlap, default=best)
+    if _overlap(best_remote) >= _overlap(best) + MIN_REMOTE_ADVANTAGE_BLOCKS:
+        best = best_remote
+    return [best] if _overlap(best) > 0 and best not in sample else []
 
 
-def _with_home(known: list[Candidate], query: RouteQuery) -> list[Candidate]:
-    """Return the candidates with the prompt's home thought to hold its part."""
+def _with_affinity(ordered: list[Candidate], query: RouteQuery) -> list[Candidate]:
+    """Return the candidates with the affinity prefix assumed to be cached on the preferred runner.
+
+    The preferred runner is the eligible runner of the region with the highest rendezvous weight.
+    """
     if query.affinity is None or query.prefix_weight <= 0:
-        return known
+        return ordered
     zones = query.region_zones | {query.zone}
-    near = [item for item in known if item.excluded is None and item.zone in zones]
+    nearby = [item for item in ordered if item.excluded is None and item.zone in zones]
     block = query.affinity.block
-    affinity = max(near, key=lambda item: _home_weight(block, item.runner_id), default=None)
-    if affinity is None or affinity.overlap_blocks >= query.affinity.blocks:
-        return known
-    thought = msgspec.structs.replace(affinity, overlap_blocks=query.affinity.blocks)
-    return [thought if item is affinity else item for item in known]
+    preferred = max(
+        nearby, key=lambda item: _rendezvous_weight(block, item.runner_id), default=None
+    )
+    if preferred is None or preferred.overlap_blocks >= query.affinity.blocks:
+        return ordered
+    assumed = msgspec.structs.replace(preferred, overlap_blocks=query.affinity.blocks)
+    return [assumed if item is preferred else item for item in ordered]
 
 
-def _home_weight(block: str, runner_id: str) -> int:
+def _rendezvous_weight(block: str, runner_id: str) -> int:
     return xxhash.xxh64_intdigest(f"{block}\0{runner_id}".encode())
 
 
@@ -209,7 +230,7 @@
     return candidate.load - query.prefix_weight * share
 
 
-def _scored(candidate: Candidate, query: RouteQuery) -> CandidateScore:
+def _candidate_score(candidate: Candidate, query: RouteQuery) -> CandidateScore:
     note = candidate.excluded.value if candidate.excluded is not None else ""
     if not note and candidate.load >= candidate.capacity:
         note = Exclusion.FULL.value
@@ -222,11 +243,13 @@
     )
 
 
-def _reason(chosen: Candidate, query: RouteQuery, compared: int) -> str:
-    place = "own zone"
+def _reason(chosen: Candidate, query: RouteQuery, sample_size: int) -> str:
+    location = "own zone"
     if chosen.zone != query.zone:
-        why = (
-            "it is thought to hold the prefix" if chosen.overlap_blocks else "own zone has no room"
+        cause = (
+            "which is expected to have the prefix cached"
+            if chosen.overlap_blocks
+            else "own zone is full"
         )
-        place = f"zone {chosen.zone}, {why}"
-    return f"lowest score of {compared} compared, {place}, load {chosen.load:g}"
+        location = f"zone {chosen.zone}, {cause}"
+    return f"lowest score of {sample_size} candidates, {location}, load {chosen.load:g}"
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to runners until one answers: route, send, and repeat where that is allowed."""
+"""Routes a request to a runner, sends it, and retries on other runners where that is allowed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 from leverjunction.gateway.admission import QueueLimits
 from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.journal import Journal
-from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenAnswer, WholeAnswer
+from leverjunction.gateway.online_request import (
+    Attempt,
+    CompleteResponse,
+    OnlineRequest,
+    OpenResponse,
+)
 from leverjunction.gateway.retry import RetryBudget, may_retry
 from leverjunction.gateway.routing import Candidate, Choice, free_slots
 from leverjunction.gateway.runner_pool import RunnerPool
@@ -29,7 +34,10 @@
 
 
 class Sender:
-    """Thread-safe; holds the calling request thread while it waits and sends."""
+    """Sends requests to runners.
+
+    Thread-safe. ``send`` blocks the calling request thread while the request is queued and sent.
+    """
 
     def __init__(
         self,
@@ -51,17 +59,22 @@
         self._counters = counters
         self._clock = clock
         self._budget_lock = threading.Lock()
-        self._cancels = ThreadPoolExecutor(CANCEL_THREADS, thread_name_prefix="cancel")
+        self._cancel_threads = ThreadPoolExecutor(CANCEL_THREADS, thread_name_prefix="cancel")
 
     def note_request(self, request: OnlineRequest) -> None:
-        """Note a new request: it earns its share of a retry."""
+        """Record a new request, which adds its share to the retry budget of its service."""
         ratio = request.serving.retry_budget_ratio
         with self._budget_lock:
             self._budget.request(request.service, ratio, self._clock.monotonic_s())
 
     def cancel(self, address: str, request_id: str) -> None:
-        """Cancel a request at its engine, without waiting for the engine."""
-        self._cancels.submit(self._engines.cancel, address, request_id)
+        """Cancel a request at an engine in a background thread.
+
+        Args:
+            address: ``host:port`` of the engine.
+            request_id: Id of the request.
+        """
+        self._cancel_threads.submit(self._engines.cancel, address, request_id)
 
     def send(
         self,
@@ -70,57 +83,64 @@
         first_attempt: int = 1,
         tried: frozenset[str] = frozenset(),
         may_queue: bool = True,
-    ) -> OpenAnswer | WholeAnswer | Failure:
-        """Return the answer of the first runner that gives one.
+    ) -> OpenResponse | CompleteResponse | Failure:
+        """Send a request to runners until one responds or no retry is allowed.
 
         Args:
-            request: What to send.
-            first_attempt: Number of the first attempt; higher for a continuation.
-            tried: Runners not to be chosen.
-            may_queue: False for a continuation, which has waited its turn before.
+            request: The request to send.
+            first_attempt: Number of the first attempt; higher than 1 for the continuation of a
+                stream.
+            tried: Ids of runners that must not be chosen.
+            may_queue: False for a continuation, which has already waited in the queue.
+
+        Returns:
+            The response of the first runner that gave one; the failure of the last attempt, or
+            the reason for which none was made.
         """
-        number = first_attempt
-        last: Failure | None = None
-        executed = Execution.NOT_RUN
+        attempt_number = first_attempt
+        last_failure: Failure | None = None
+        execution = Execution.NOT_RUN
         while True:
-            candidate = self._route(request, number, tried, may_queue and number == first_attempt)
+            candidate = self._route(
+                request, attempt_number, tried, may_queue and attempt_number == first_attempt
+            )
             if isinstance(candidate, Failure):
-                # The failure of a real attempt tells more than the lack of another runner.
-                return _with_execution(last or candidate, executed)
+                # The failure of an attempt is more useful to the caller than "no other runner".
+                return _with_execution(last_failure or candidate, execution)
             attempt = Attempt(
-                runner_id=candidate.runner_id, address=candidate.address, number=number
+                runner_id=candidate.runner_id, address=candidate.address, number=attempt_number
             )
-            answer = self._attempt(request, attempt)
-            if not isinstance(answer, Failure):
-                return answer
-            last = answer
-            if answer.execution is not Execution.NOT_RUN:
-                executed = Execution.UNKNOWN
-            if not self._may_go_on(request, answer, number - first_attempt + 1):
-                return _with_execution(answer, executed)
+            response = self._attempt(request, attempt)
+            if not isinstance(response, Failure):
+                return response
+            last_failure = response
+            if response.execution is not Execution.NOT_RUN:
+                execution = Execution.UNKNOWN
+            if not self._may_retry_attempt(request, response, attempt_number - first_attempt + 1):
+                return _with_execution(response, execution)
             tried |= {attempt.runner_id}
-            number += 1
+            attempt_number += 1
 
     def close_attempt(self, request: OnlineRequest, attempt: Attempt) -> None:
-        """Note the end of a streaming attempt; called once for each ``OpenAnswer``."""
+        """Record the end of an attempt; for each ``OpenResponse``, the caller does so once."""
         self._pool.finished(attempt.runner_id, attempt.key(request.request_id))
         self._notifier.finished(attempt.runner_id)
-        self._gate.drained(request.service)
+        self._gate.request_ended(request.service)
 
     def take_retry(self, service: str) -> bool:
-        """Spend one retry of a service's budget."""
+        """Take one retry from a service's budget; returns False if the budget is exhausted."""
         with self._budget_lock:
             return self._budget.take(service, self._clock.monotonic_s())
 
     def _route(
-        self, request: OnlineRequest, number: int, tried: frozenset[str], may_queue: bool
+        self, request: OnlineRequest, attempt_number: int, tried: frozenset[str], may_queue: bool
     ) -> Candidate | Failure:
         needs = request.needs(tried)
         self._pool.wait_told(request.deadline_s)
         candidates = self._pool.candidates(needs)
         waited_s: float | Failure = 0.0
         if may_queue and any(candidate.excluded is None for candidate in candidates):
-            waited_s = self._gate.pass_or_wait(
+            waited_s = self._gate.wait_for_admission(
                 request.service,
                 request.request_id,
                 self._queue_limits(request),
@@ -132,44 +152,46 @@
             if waited_s > 0:
                 candidates = self._pool.candidates(needs)
         choice = self._pool.choose(candidates, needs)
-        self._journal.routed(request, number, choice)
+        self._journal.routed(request, attempt_number, choice)
         if choice.chosen is None:
-            return _no_runner(request, choice)
+            return _no_runner_failure(request, choice)
         return choice.chosen
 
     def _queue_limits(self, request: OnlineRequest) -> QueueLimits:
-        left_s = request.deadline_s - self._clock.monotonic_s()
+        remaining_s = request.deadline_s - self._clock.monotonic_s()
         return QueueLimits(
             max_queue=request.serving.max_queue,
-            queue_timeout_s=max(0.0, min(request.serving.queue_timeout_s, left_s)),
+            queue_timeout_s=max(0.0, min(request.serving.queue_timeout_s, remaining_s)),
         )
 
     def _attempt(
         self, request: OnlineRequest, attempt: Attempt
-    ) -> OpenAnswer | WholeAnswer | Failure:
+    ) -> OpenResponse | CompleteResponse | Failure:
         key = attempt.key(request.request_id)
-        start = self._pool.sent(attempt.runner_id, key, request.blocks)
-        if start.is_probe:
+        send_start = self._pool.sent(attempt.runner_id, key, request.blocks)
+        if send_start.is_probe:
             self._journal.probed(request, attempt)
-        self._notifier.arrived(attempt.runner_id, start.open_before)
-        answer = self._call(request, attempt)
-        if isinstance(answer, OpenAnswer):
+        self._notifier.arrived(attempt.runner_id, send_start.open_before)
+        response = self._call(request, attempt)
+        if isinstance(response, OpenResponse):
             self._pool.succeeded(attempt.runner_id)
             self._counters.attempts.labels("ok").inc()
-            return answer
+            return response
         self.close_attempt(request, attempt)
-        if isinstance(answer, Failure):
-            self._counters.attempts.labels(answer.kind.value).inc()
-            self._note_failure(request, attempt, answer)
-            return answer
+        if isinstance(response, Failure):
+            self._counters.attempts.labels(response.kind.value).inc()
+            self._note_failure(request, attempt, response)
+            return response
         self._pool.succeeded(attempt.runner_id)
         self._counters.attempts.labels("ok").inc()
-        return answer
+        return response
 
-    def _call(self, request: OnlineRequest, attempt: Attempt) -> OpenAnswer | WholeAnswer | Failure:
-        left_s = request.deadline_s - self._clock.monotonic_s()
-        if left_s <= 0:
-            return _deadline(attempt)
+    def _call(
+        self, request: OnlineRequest, attempt: Attempt
+    ) -> OpenResponse | CompleteResponse | Failure:
+        remaining_s = request.deadline_s - self._clock.monotonic_s()
+        if remaining_s <= 0:
+            return _deadline_failure(attempt)
         stream = self._engines.open(
             EngineCall(
                 address=attempt.address,
@@ -178,35 +200,36 @@
                 path=request.path,
                 body=request.body,
                 priority=request.serving.online_priority,
-                timeout_s=max(left_s, MIN_CALL_TIMEOUT_S),
+                timeout_s=max(remaining_s, MIN_CALL_TIMEOUT_S),
                 raw_stream=request.stream,
             ),
-            self._hopelessness(request, attempt),
+            self._hopeless_check(request, attempt),
         )
         if isinstance(stream, Failure):
             return stream
         if stream.status == 200 and request.stream:
-            return OpenAnswer(stream=stream, attempt=attempt)
+            return OpenResponse(stream=stream, attempt=attempt)
         return self._read_whole(stream, attempt)
 
-    def _hopelessness(self, request: OnlineRequest, attempt: Attempt) -> IsHopeless | None:
-        """Return when to stop waiting for a head: once the runner's owner cannot reach it.
+    def _hopeless_check(self, request: OnlineRequest, attempt: Attempt) -> IsHopeless | None:
+        """Return the check that ends the wait for a response head, None if nothing ends it early.
 
-        A request that may not be repeated waits on: its answer may still come, and nothing else
-        could be done with it.
+        The wait ends once the gateway that owns the runner reports the runner as unhealthy. A
+        request that must not be repeated keeps waiting: its response may still arrive, and it
+        cannot be sent to another runner.
         """
         if not request.repeatable:
             return None
         return lambda: not self._pool.is_healthy(attempt.runner_id)
 
-    def _read_whole(self, stream: EngineStream, attempt: Attempt) -> WholeAnswer | Failure:
+    def _read_whole(self, stream: EngineStream, attempt: Attempt) -> CompleteResponse | Failure:
         body = stream.read_all()
         if isinstance(body, Failure):
             return body
-        refusal = _refusal(stream, body, attempt)
-        if refusal is not None:
-            return refusal
-        return WholeAnswer(
+        failure = _status_failure(stream, body, attempt)
+        if failure is not None:
+            return failure
+        return CompleteResponse(
             status=stream.status,
             content_type=stream.headers.get("Content-Type", "application/json"),
             body=body,
@@ -215,24 +238,24 @@
 
     def _note_failure(self, request: OnlineRequest, attempt: Attempt, failure: Failure) -> None:
         if failure.kind in (FailureKind.OVERLOADED, FailureKind.NOT_FOUND):
-            # The runner works; it only refused.
+            # The runner is healthy but rejected the request.
             self._pool.abandoned(attempt.runner_id)
         else:
             ejected_s = self._pool.failed(attempt.runner_id)
             if ejected_s is not None:
                 self._journal.ejected(request, attempt, ejected_s)
         if failure.execution is Execution.UNKNOWN:
-            # What may be running there has no reader any more.
+            # The request may still be running there, but nobody will read its response.
             self.cancel(attempt.address, request.request_id)
 
-    def _may_go_on(self, request: OnlineRequest, failure: Failure, attempts: int) -> bool:
+    def _may_retry_attempt(self, request: OnlineRequest, failure: Failure, attempts: int) -> bool:
         if not may_retry(failure, request.repeatable):
             return False
         if attempts >= request.serving.max_attempts:
             return False
         if not self.take_retry(request.service):
             self._journal.note(
-                request, DecisionOutcome.FAILED, Step.ROUTING, "retry budget is spent"
+                request, DecisionOutcome.FAILED, Step.ROUTING, "retry budget is exhausted"
             )
             return False
         self._counters.retries.labels(failure.kind.value).inc()
@@ -242,19 +265,19 @@
         return True
 
 
-def _refusal(stream: EngineStream, body: bytes, attempt: Attempt) -> Failure | None:
-    """Return a failure when an engine's status says that another runner should be asked.
+def _status_failure(stream: EngineStream, body: bytes, attempt: Attempt) -> Failure | None:
+    """Return the failure for a status that calls for another runner, None for other statuses.
 
-    Other answers, also of status 400, are the caller's.
+    Other responses, including status 400, are passed on to the caller.
     """
     detail = body[:200].decode("utf8", "replace")
     if stream.status in (429, 503):
         return Failure(
             kind=FailureKind.OVERLOADED,
-            reason=f"the back end refused: {detail}",
+            reason=f"the back end rejected the request: {detail}",
             step=Step.RESPONDING,
             peer=attempt.address,
-            retry_after_s=_seconds(stream.headers.get("Retry-After")),
+            retry_after_s=_parse_retry_after(stream.headers.get("Retry-After")),
         )
     if stream.status == 404:
         return Failure(
@@ -266,7 +289,7 @@
     if stream.status >= 500:
         return Failure(
             kind=FailureKind.BACKEND_FAILED,
-            reason=f"the back end answered HTTP {stream.status}: {detail}",
+            reason=f"the back end returned HTTP {stream.status}: {detail}",
             step=Step.RESPONDING,
             peer=attempt.address,
             execution=Execution.UNKNOWN,
@@ -274,14 +297,14 @@
     return None
 
 
-def _seconds(value: str | None) -> float | None:
+def _parse_retry_after(value: str | None) -> float | None:
     try:
         return float(value) if value is not None else None
     except ValueError:
         return None
 
 
-def _no_runner(request: OnlineRequest, choice: Choice) -> Failure:
+def _no_runner_failure(request: OnlineRequest, choice: Choice) -> Failure:
     return Failure(
         kind=FailureKind.NO_BACKEND,
         reason=f"{choice.reason} of service {request.service} for model {request.model}",
@@ -290,17 +313,20 @@
     )
 
 
-def _deadline(attempt: Attempt) -> Failure:
+def _deadline_failure(attempt: Attempt) -> Failure:
     return Failure(
         kind=FailureKind.DEADLINE_EXCEEDED,
-        reason="the service's deadline_s passed before a back end was asked",
+        reason="the service's deadline_s passed before the request was sent to a back end",
         step=Step.SENDING,
         peer=attempt.address,
     )
 
 
-def _with_execution(failure: Failure, executed: Execution) -> Failure:
-    """Return a failure that never claims NOT_RUN when an earlier attempt may have run."""
-    if executed is Execution.NOT_RUN:
+def _with_execution(failure: Failure, execution: Execution) -> Failure:
+    """Return the failure with the execution state of all attempts.
+
+    The state must not be NOT_RUN if an earlier attempt may have run.
+    """
+    if execution is Execution.NOT_RUN:
         return failure
-    return msgspec.structs.replace(failure, execution=executed)
+    return msgspec.structs.replace(failure, execution=execution)
--- a/src/leverjunction/gateway/stream_session.py
+++ b/src/leverjunction/gateway/stream_session.py
@@ -1,4 +1,7 @@
-"""The life of one relayed stream besides its bytes: repair after a break, and its end."""
+"""Lifecycle of a relayed stream: repair after a broken connection, and the end of the stream.
+
+The relay loop (``relay.py``) copies the bytes; this module decides how a broken stream continues.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway.http_server import ClientConnection
 from leverjunction.gateway.journal import Journal
-from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenAnswer
+from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenResponse
 from leverjunction.gateway.relay_stream import (
     AnswerIsWhole,
     EngineSide,
@@ -28,17 +31,17 @@
 from leverjunction.observability.counters import GatewayCounters
 from leverjunction.observability.decisions import DecisionOutcome
 
-MAX_BARREN_REPAIRS = 3
-"""Repairs in a row without one new event after which a stream ends with an error."""
+MAX_REPAIRS_WITHOUT_PROGRESS = 3
+"""Consecutive repairs without any new event after which a stream ends with an error."""
 
-SILENCE_S = 20.0
+SILENCE_TIMEOUT_S = 20.0
 RESUME_TIMEOUT_S = 3.0
 
-StreamEnded = Callable[[bytes, Failure | None], None]
+StreamEndCallback = Callable[[bytes, Failure | None], None]
 
 
 class StreamDependencies(msgspec.Struct, frozen=True, kw_only=True):
-    """What every stream session uses."""
+    """Components that all stream sessions share."""
 
     engines: EngineClient
     sender: Sender
@@ -49,39 +52,45 @@
 
 
 class StreamSession:
-    """One stream; its methods are called by the relay loop's helper threads.
+    """One relayed stream; the relay loop's helper threads call its methods.
 
-    ``repair`` runs at most once at a time, but ``end`` may come in the middle of it, when the
-    caller goes away or the deadline passes. Each attempt is closed exactly once.
+    At most one ``repair`` runs at a time, but ``end`` may be called during a repair if the caller
+    disconnects or the deadline passes. Each attempt is closed exactly once.
     """
 
     def __init__(
         self,
-        services: StreamDependencies,
+        dependencies: StreamDependencies,
         request: OnlineRequest,
-        answer: OpenAnswer,
-        ended: StreamEnded,
+        response: OpenResponse,
+        on_end: StreamEndCallback,
     ) -> None:
-        self._services = services
+        self._dependencies = dependencies
         self._request = request
-        self._attempt = answer.attempt
-        self._attempt_number = answer.attempt.number
+        self._attempt = response.attempt
+        self._attempt_number = response.attempt.number
         self._segment_start = 0
-        self._repaired_at = -1
-        self._barren_repairs = 0
-        self._ended = ended
+        self._last_repair_length = -1
+        self._repairs_without_progress = 0
+        self._on_end = on_end
         self._lock = threading.Lock()
-        self._is_over = False
+        self._is_ended = False
+
+    def relay_stream(self, response: OpenResponse, client: ClientConnection) -> RelayStream:
+        """Return the stream for the relay loop.
 
-    def relay_stream(self, answer: OpenAnswer, client: ClientConnection) -> RelayStream:
-        """Return the stream for the relay loop; without an engine's side when taking it failed."""
+        If the engine's connection cannot be detached, the stream holds the failure in place of
+        the engine's side, and the relay loop starts with a repair.
+        """
         engine: EngineSide | Failure
         try:
-            engine = _engine_side(answer)
+            engine = _engine_side(response)
         except Exception as error:
-            # The caller has its head already: the stream must go on, or end with an error event.
-            logger.exception("an engine's connection could not be taken over")
-            engine = _failure(FailureKind.INTERNAL, f"no connection to relay from: {error}")
+            # The response head is already sent: the stream continues or ends with an error event.
+            logger.exception("could not detach the engine's connection")
+            engine = _relay_failure(
+                FailureKind.INTERNAL, f"could not detach the connection: {error}"
+            )
         return RelayStream(
             client=client,
             engine=engine,
@@ -89,76 +98,96 @@
                 broken=self.repair,
                 ended=self.end,
                 error_event=self.error_event,
-                runner_is_healthy=lambda: self._services.pool.is_healthy(self._attempt.runner_id),
+                runner_is_healthy=lambda: self._dependencies.pool.is_healthy(
+                    self._attempt.runner_id
+                ),
             ),
             deadline_s=self._request.deadline_s,
-            silence_s=SILENCE_S,
+            silence_s=SILENCE_TIMEOUT_S,
         )
 
     def error_event(self, failure: Failure) -> bytes:
-        """Return the SSE event that tells the caller of a failure."""
+        """Return the server-sent event that reports a failure to the caller."""
         return b"event: error\ndata: %b\n\n" % error_body(failure, self._request.request_id)
 
     def repair(self, transcript: bytes, failure: Failure) -> EngineSide | AnswerIsWhole | Failure:
-        """Find how a broken stream goes on: same runner, another runner, or not at all."""
-        self._services.pool.failed(self._attempt.runner_id)
+        """Reconnect a broken stream: on the same runner, on another runner, or not at all.
+
+        Args:
+            transcript: All events that were relayed to the caller so far.
+            failure: The failure that broke the stream.
+
+        Returns:
+            The engine's side to relay from; ``AnswerIsWhole`` if the response was already
+            complete; the failure to report to the caller if the stream cannot be repaired.
+        """
+        self._dependencies.pool.failed(self._attempt.runner_id)
         progress = read_progress(transcript, self._segment_start)
         if progress.finished:
             return AnswerIsWhole()
         if not self._may_repair(len(transcript)):
-            return self._give_up(failure, "it broke again without progress")
+            return self._give_up(failure, "it broke repeatedly without progress")
         resumed = self._resume(progress)
         if resumed is not None:
-            self._note(DecisionOutcome.RESUMED, "resume", failure.reason)
+            self._record_repair(DecisionOutcome.RESUMED, "resume", failure.reason)
             return resumed
         if not self._request.repeatable:
             return self._give_up(failure, "the request may not be repeated")
         if not progress.continuable:
-            return self._give_up(failure, "its answer is not plain text")
+            return self._give_up(failure, "the response is not plain text")
         continued = self._continue(progress, len(transcript))
         if isinstance(continued, Failure):
             return self._give_up(failure, continued.reason)
-        self._note(DecisionOutcome.CONTINUED, "continue", failure.reason)
+        self._record_repair(DecisionOutcome.CONTINUED, "continue", failure.reason)
         return continued
 
     def end(self, transcript: bytes, failure: Failure | None) -> None:
-        """Close the books of a stream that is over."""
+        """Close the stream's attempt and report the end of the stream.
+
+        Args:
+            transcript: All events that were relayed to the caller.
+            failure: Reason for an early end, None if the stream was relayed completely.
+        """
         with self._lock:
-            self._is_over = True
+            self._is_ended = True
             attempt = self._attempt
         self._close(attempt, cancel=failure is not None)
-        self._ended(transcript, failure)
+        self._on_end(transcript, failure)
 
     def abandon(self) -> None:
-        """Close the books of a stream whose head could not be written to the caller."""
+        """End a stream whose response head could not be written to the caller."""
         failure = Failure(
             kind=FailureKind.CANCELLED,
-            reason="the caller went away before the head of its answer",
+            reason="the caller disconnected before the response head was written",
             step=Step.RELAYING,
             execution=Execution.RAN,
         )
         self.end(b"", failure)
 
     def _close(self, attempt: Attempt, *, cancel: bool) -> None:
-        sender = self._services.sender
+        sender = self._dependencies.sender
         if cancel:
-            # A request that ended early must not go on computing.
+            # The engine must not continue to compute a request that ended early.
             sender.cancel(attempt.address, self._request.request_id)
         sender.close_attempt(self._request, attempt)
 
     def _may_repair(self, length: int) -> bool:
-        if length > self._repaired_at:
-            self._barren_repairs = 0
-        self._repaired_at = length
-        self._barren_repairs += 1
-        return self._barren_repairs <= MAX_BARREN_REPAIRS
+        if length > self._last_repair_length:
+            self._repairs_without_progress = 0
+        self._last_repair_length = length
+        self._repairs_without_progress += 1
+        return self._repairs_without_progress <= MAX_REPAIRS_WITHOUT_PROGRESS
 
     def _resume(self, progress: Progress) -> EngineSide | None:
-        """Ask the same runner for the events after the last one that was passed on."""
-        if not self._services.pool.is_healthy(self._attempt.runner_id):
+        """Request the events after the last relayed one from the same runner.
+
+        Returns:
+            The engine's side of the resumed stream; None if the runner cannot resume it.
+        """
+        if not self._dependencies.pool.is_healthy(self._attempt.runner_id):
             return None
         self._attempt_number += 1
-        stream = self._services.engines.open(
+        stream = self._dependencies.engines.open(
             EngineCall(
                 address=self._attempt.address,
                 request_id=self._request.request_id,
@@ -176,60 +205,65 @@
         if stream.status != 200:
             stream.close()
             return None
-        return _engine_side(OpenAnswer(stream=stream, attempt=self._attempt))
+        return _engine_side(OpenResponse(stream=stream, attempt=self._attempt))
 
     def _continue(self, progress: Progress, length: int) -> EngineSide | Failure:
-        """Let another runner go on from the prompt and the text that was passed on."""
-        services = self._services
-        if not services.sender.take_retry(self._request.service):
-            return _failure(FailureKind.OVERLOADED, "the retry budget is spent")
-        services.sender.cancel(self._attempt.address, self._request.request_id)
+        """Continue the response on another runner, from the prompt and the relayed text."""
+        dependencies = self._dependencies
+        if not dependencies.sender.take_retry(self._request.service):
+            return _relay_failure(FailureKind.OVERLOADED, "the retry budget is exhausted")
+        dependencies.sender.cancel(self._attempt.address, self._request.request_id)
         body = with_continue_text(self._request.body, progress.text)
-        answer = services.sender.send(
+        response = dependencies.sender.send(
             msgspec.structs.replace(self._request, body=body),
             first_attempt=self._attempt_number + 1,
             tried=frozenset({self._attempt.runner_id}),
             may_queue=False,
         )
-        if isinstance(answer, Failure):
-            return answer
-        if not isinstance(answer, OpenAnswer):
-            return _failure(FailureKind.BACKEND_FAILED, f"HTTP {answer.status} on continuation")
+        if isinstance(response, Failure):
+            return response
+        if not isinstance(response, OpenResponse):
+            return _relay_failure(
+                FailureKind.BACKEND_FAILED, f"HTTP {response.status} on continuation"
+            )
         self._segment_start = length
-        return self._switch_to(answer)
+        return self._adopt_attempt(response)
 
-    def _switch_to(self, answer: OpenAnswer) -> EngineSide | Failure:
-        """Make another runner's attempt the present one, unless the stream is over meanwhile."""
+    def _adopt_attempt(self, response: OpenResponse) -> EngineSide | Failure:
+        """Make a new attempt the current one, unless the stream has ended in the meantime."""
         with self._lock:
-            is_over = self._is_over
-            former, self._attempt = self._attempt, self._attempt if is_over else answer.attempt
-        self._attempt_number = answer.attempt.number
-        if is_over:
-            answer.stream.close()
-            self._close(answer.attempt, cancel=True)
-            return _failure(FailureKind.CANCELLED, "the stream ended while it was repaired")
-        self._close(former, cancel=False)
-        return _engine_side(answer)
-
-    def _give_up(self, failure: Failure, why: str) -> Failure:
-        """Return the failure that the caller's error event carries."""
-        self._services.counters.stream_repairs.labels("error").inc()
-        final = msgspec.structs.replace(
-            failure, reason=f"{failure.reason}; not repaired: {why}", execution=Execution.RAN
+            is_ended = self._is_ended
+            previous, self._attempt = self._attempt, self._attempt if is_ended else response.attempt
+        self._attempt_number = response.attempt.number
+        if is_ended:
+            response.stream.close()
+            self._close(response.attempt, cancel=True)
+            return _relay_failure(FailureKind.CANCELLED, "the stream ended during its repair")
+        self._close(previous, cancel=False)
+        return _engine_side(response)
+
+    def _give_up(self, failure: Failure, cause: str) -> Failure:
+        """Record that a stream is not repaired and return the failure to report to the caller.
+
+        The failure says RAN: the request has run at least in part.
+        """
+        self._dependencies.counters.stream_repairs.labels("error").inc()
+        reported = msgspec.structs.replace(
+            failure, reason=f"{failure.reason}; not repaired: {cause}", execution=Execution.RAN
         )
-        self._services.journal.note(
+        self._dependencies.journal.note(
             self._request,
             DecisionOutcome.FAILED,
             Step.RELAYING,
-            final.reason,
+            reported.reason,
             self._attempt.runner_id,
             self._attempt_number,
         )
-        return final
+        return reported
 
-    def _note(self, outcome: DecisionOutcome, how: str, reason: str) -> None:
-        self._services.counters.stream_repairs.labels(how).inc()
-        self._services.journal.note(
+    def _record_repair(self, outcome: DecisionOutcome, method: str, reason: str) -> None:
+        self._dependencies.counters.stream_repairs.labels(method).inc()
+        self._dependencies.journal.note(
             self._request,
             outcome,
             Step.RELAYING,
@@ -239,14 +273,14 @@
         )
 
 
-def _engine_side(answer: OpenAnswer) -> EngineSide:
-    detached = answer.stream.detach()
+def _engine_side(response: OpenResponse) -> EngineSide:
+    detached = response.stream.detach()
     return EngineSide(
         connection=detached.connection,
         first_bytes=detached.first_bytes,
-        address=answer.attempt.address,
+        address=response.attempt.address,
     )
 
 
-def _failure(kind: FailureKind, reason: str) -> Failure:
+def _relay_failure(kind: FailureKind, reason: str) -> Failure:
     return Failure(kind=kind, reason=reason, step=Step.RELAYING)
--- a/tests/unit/test_gateway_cores.py
+++ b/tests/unit/test_gateway_cores.py
@@ -37,44 +37,44 @@
 def test_token_bucket_refuses_above_the_burst_and_refills() -> None:
     admission = Admission()
     for _ in range(LIMITS.burst):
-        assert admission.enter("acme", LIMITS, 0.0) is None
-    refusal = refused(admission.enter("acme", LIMITS, 0.0))
+        assert admission.acquire("acme", LIMITS, 0.0) is None
+    refusal = refused(admission.acquire("acme", LIMITS, 0.0))
     assert refusal.kind is FailureKind.RATE_LIMITED
     assert refusal.retry_after_s == pytest.approx(0.5)
-    assert admission.enter("other", LIMITS, 0.0) is None
-    assert admission.enter("acme", LIMITS, 0.5) is None
-    refused(admission.enter("acme", LIMITS, 0.5))
+    assert admission.acquire("other", LIMITS, 0.0) is None
+    assert admission.acquire("acme", LIMITS, 0.5) is None
+    refused(admission.acquire("acme", LIMITS, 0.5))
 
 
 def test_concurrency_limit_tells_when_a_place_will_be_free() -> None:
     limits = ResolvedLimits(requests_per_s=100.0, burst=100, concurrency=2, max_job_items=1)
     admission = Admission()
-    assert [admission.enter("acme", limits, 0.0) for _ in range(2)] == [None, None]
-    refused(admission.enter("acme", limits, 0.0))
-    admission.leave("acme", 1.0)
-    assert admission.enter("acme", limits, 1.0) is None
-    refusal = refused(admission.enter("acme", limits, 1.0))
+    assert [admission.acquire("acme", limits, 0.0) for _ in range(2)] == [None, None]
+    refused(admission.acquire("acme", limits, 0.0))
+    admission.release("acme", 1.0)
+    assert admission.acquire("acme", limits, 1.0) is None
+    refusal = refused(admission.acquire("acme", limits, 1.0))
     assert refusal.retry_after_s == pytest.approx(10.0)
 
 
 def test_queue_goes_in_order_and_is_bounded() -> None:
     admission = Admission()
-    assert admission.arrive("llm", "a", QUEUE, 1, 0.0) == Admitted()
-    assert admission.arrive("llm", "b", QUEUE, 0, 0.0) == Queued(ahead=0)
+    assert admission.admit_or_queue("llm", "a", QUEUE, 1, 0.0) == Admitted()
+    assert admission.admit_or_queue("llm", "b", QUEUE, 0, 0.0) == Queued(ahead=0)
     # A slot is free, but it belongs to the one that waits.
-    assert admission.arrive("llm", "c", QUEUE, 1, 0.0) == Queued(ahead=1)
-    full = refused(admission.arrive("llm", "d", QUEUE, 0, 0.0))
+    assert admission.admit_or_queue("llm", "c", QUEUE, 1, 0.0) == Queued(ahead=1)
+    full = refused(admission.admit_or_queue("llm", "d", QUEUE, 0, 0.0))
     assert (full.kind, full.step) == (FailureKind.OVERLOADED, Step.QUEUEING)
-    assert admission.next_tickets("llm", 1) == ["b"]
-    assert admission.next_tickets("llm", 5) == ["c"]
+    assert admission.pop_admitted("llm", 1) == ["b"]
+    assert admission.pop_admitted("llm", 5) == ["c"]
 
 
 def test_a_wait_beyond_the_deadline_is_refused_at_once_with_the_time_to_come_back() -> None:
     admission = Admission()
     for second in range(5):
-        admission.drained("llm", second * 2.0)
-    admission.arrive("llm", "a", QUEUE, 0, 8.0)
-    refusal = refused(admission.arrive("llm", "b", QUEUE, 0, 8.0))
+        admission.request_ended("llm", second * 2.0)
+    admission.admit_or_queue("llm", "a", QUEUE, 0, 8.0)
+    refusal = refused(admission.admit_or_queue("llm", "b", QUEUE, 0, 8.0))
     rate = DrainRate()
     for second in range(5):
         rate.ended(second * 2.0)
@@ -85,19 +85,19 @@
 
 def test_a_ticket_expires_at_its_deadline() -> None:
     admission = Admission()
-    admission.arrive("llm", "a", QUEUE, 0, 0.0)
-    assert admission.expired("llm", "a", 4.9) is None
-    assert refused(admission.expired("llm", "a", 5.0)).step is Step.QUEUEING
+    admission.admit_or_queue("llm", "a", QUEUE, 0, 0.0)
+    assert admission.pop_expired("llm", "a", 4.9) is None
+    assert refused(admission.pop_expired("llm", "a", 5.0)).step is Step.QUEUEING
     assert admission.waiting() == 0
 
 
 def test_all_queues_together_are_bounded() -> None:
     admission = Admission(max_waiting=2)
-    admission.arrive("llm", "a", QUEUE, 0, 0.0)
-    admission.arrive("status", "b", QUEUE, 0, 0.0)
-    assert "in this gateway" in refused(admission.arrive("llm", "c", QUEUE, 0, 0.0)).reason
-    admission.drop("status", "b")
-    assert admission.arrive("llm", "c", QUEUE, 0, 0.0) == Queued(ahead=1)
+    admission.admit_or_queue("llm", "a", QUEUE, 0, 0.0)
+    admission.admit_or_queue("status", "b", QUEUE, 0, 0.0)
+    assert "in this gateway" in refused(admission.admit_or_queue("llm", "c", QUEUE, 0, 0.0)).reason
+    admission.remove("status", "b")
+    assert admission.admit_or_queue("llm", "c", QUEUE, 0, 0.0) == Queued(ahead=1)
 
 
 def candidate(name: str, **fields: object) -> Candidate:
