--- a/src/leverjunction/gateway/admission.py
+++ b/src/leverjunction/gateway/admission.py
@@ -100,7 +100,7 @@
         state = self._tenants.get(tenant)
         if state is not None:
             state.running = max(0, state.running - 1)
-            state.drain_rate.ended(now_s)
+            state.drain_rate.record_end(now_s)
 
     def admit_or_queue(
         self,
@@ -173,7 +173,7 @@
 
     def request_ended(self, service: str, now_s: float) -> None:
         """Record the end of a request of a service in its drain rate."""
-        self._queue(service).drain_rate.ended(now_s)
+        self._queue(service).drain_rate.record_end(now_s)
 
     def waiting(self) -> int:
         """Return the number of requests waiting in all queues."""
--- a/src/leverjunction/gateway/admission_gate.py
+++ b/src/leverjunction/gateway/admission_gate.py
@@ -1,4 +1,4 @@
-"""Thread-safe shell of admission: places of tenants, and waiting for a free runner."""
+"""Thread-safe admission: concurrency slots of tenants, and waiting for a free runner."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
 from leverjunction.settings.resolved import ResolvedLimits
 
 POLL_INTERVAL_S = 0.05
-"""Waiting requests look for slots that other gateways or new reports freed at this interval."""
+"""Interval at which waiting requests check for free slots.
+
+Other gateways and new load reports can free slots without any event in this gateway.
+"""
 
 
 class AdmissionGate:
-    """Called by request threads; a waiting request holds its thread.
+    """Thread-safe wrapper of ``Admission``; a waiting request blocks its request thread.
 
     Args:
-        clock: Time.
-        counters: Counters.
-        max_waiting: Most requests that may wait in all queues together, None for no bound.
+        clock: Clock.
+        counters: Metrics of the gateway.
+        max_waiting: Maximum number of requests waiting in all queues together, None for no limit.
     """
 
     def __init__(
@@ -35,12 +38,17 @@
         self._stopping = threading.Event()
 
     def acquire(self, tenant: str, limits: ResolvedLimits) -> Failure | None:
-        """Take a place of a tenant or return the refusal; pair with ``leave``."""
+        """Take a concurrency slot and a rate token of a tenant.
+
+        Returns:
+            None if the request is within the limits, so that ``release`` must follow; the failure
+            to return to the caller otherwise.
+        """
         with self._lock:
             return self._admission.acquire(tenant, limits, self._clock.monotonic_s())
 
     def release(self, tenant: str) -> None:
-        """Give a tenant's place back."""
+        """Return a tenant's concurrency slot."""
         with self._lock:
             self._admission.release(tenant, self._clock.monotonic_s())
 
@@ -52,14 +60,17 @@
         free_slots: Callable[[], int],
         on_queued: Callable[[int], None] = lambda _ahead: None,
     ) -> float | Failure:
-        """Return once the request may be sent: the seconds it waited, or its refusal.
+        """Block until the request may be sent or is rejected.
 
         Args:
-            service: Service asked for.
+            service: Service that the request is for.
             ticket_id: Id of the request.
-            limits: The service's queue settings.
-            free_slots: Returns the requests that usable runners may take now.
-            on_queued: Called with the number of requests ahead when the request has to wait.
+            limits: Queue settings of the service.
+            free_slots: Returns the number of requests that the usable runners can take now.
+            on_queued: Called with the number of requests ahead if the request has to wait.
+
+        Returns:
+            The time that the request waited, in seconds; the failure if it is rejected.
         """
         started_s = self._clock.monotonic_s()
         slots = free_slots()
@@ -99,18 +110,18 @@
         return None
 
     def grant_slots(self, service: str, free_slots: int) -> None:
-        """Let waiting requests of a service go on, as many as there are slots."""
+        """Admit waiting requests of a service, up to the number of free slots."""
         with self._lock:
             for ticket_id in self._admission.pop_admitted(service, free_slots):
                 self._granted[ticket_id].set()
 
     def request_ended(self, service: str) -> None:
-        """Note that a request of a service ended."""
+        """Record the end of a request of a service."""
         with self._lock:
             self._admission.request_ended(service, self._clock.monotonic_s())
 
     def stop(self) -> None:
-        """Refuse all that wait: they have not been sent anywhere."""
+        """Reject all waiting requests; none of them has been sent to a runner."""
         self._stopping.set()
 
     def _forget(self, service: str, ticket_id: str) -> None:
@@ -123,7 +134,7 @@
 def _stopping_failure() -> Failure:
     return Failure(
         kind=FailureKind.STOPPING,
-        reason="this gateway stops; send the request to another one",
+        reason="this gateway is shutting down; send the request to another one",
         step=Step.QUEUEING,
         retry_after_s=1.0,
     )
--- a/src/leverjunction/gateway/ejection.py
+++ b/src/leverjunction/gateway/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: runners that keep failing get no requests until a probe succeeds."""
+"""Outlier ejection: a runner that fails repeatedly receives no requests until a probe succeeds."""
 
 from __future__ import annotations
 
@@ -21,21 +21,31 @@
 
 
 class Ejection:
-    """Failures in a row by runner. Pure: now and random are passed in; the caller serializes.
+    """Consecutive failures and ejections by runner.
 
-    States of a runner: in use; ejected until a time; after it, one request probes it, which ends
-    in use (success) or ejected for twice as long (failure).
+    Pure: the monotonic time and the random generator are arguments. Not thread-safe: the caller
+    serializes access.
+
+    A runner is in use, ejected until a point in time, or probed. After the ejection, one request
+    probes the runner: on success it is in use again, on failure it is ejected for twice as long,
+    at most ``MAX_EJECTION_S`` plus jitter.
     """
 
     def __init__(self) -> None:
         self._health: dict[str, _Health] = {}
 
-    def succeeded(self, runner_id: str) -> None:
-        """Note an answer of a runner: it is in use again."""
+    def record_success(self, runner_id: str) -> None:
+        """Record a valid response of a runner, which is in use from then on."""
         self._health.pop(runner_id, None)
 
-    def failed(self, runner_id: str, now_s: float, generator: random.Random) -> float | None:
-        """Note a failure of a runner; returns for how long it is ejected, None when it is not."""
+    def record_failure(
+        self, runner_id: str, now_s: float, generator: random.Random
+    ) -> float | None:
+        """Record a failure of a runner.
+
+        Returns:
+            Duration of the ejection in seconds, None if the runner is not ejected.
+        """
         health = self._health.setdefault(runner_id, _Health())
         health.failures += 1
         if health.failures < FAILURES_TO_EJECT and not health.probing:
@@ -50,16 +60,24 @@
     def blocked(self, runner_ids: list[str], now_s: float) -> set[str]:
         """Return the runners of a service that must not be chosen now.
 
-        When more than ``MAX_EJECTED_RATIO`` of them would be, the fault is likely on this side or
-        common to all: then none is.
+        The set is empty if it would contain more than ``MAX_EJECTED_RATIO`` of the runners: the
+        cause is then probably this gateway or a fault common to all runners.
+
+        Args:
+            runner_ids: All runners of the service.
+            now_s: Monotonic time in seconds.
         """
         blocked = {runner_id for runner_id in runner_ids if self._is_blocked(runner_id, now_s)}
         if len(blocked) > MAX_EJECTED_RATIO * len(runner_ids):
             return set()
         return blocked
 
-    def chosen(self, runner_id: str, now_s: float) -> bool:
-        """Note that a runner gets a request; returns True when that request is its probe."""
+    def start_probe(self, runner_id: str, now_s: float) -> bool:
+        """Record that a request is sent to a runner.
+
+        Returns:
+            True if the request is the probe after an ejection.
+        """
         health = self._health.get(runner_id)
         if health is None or health.ejections == 0 or health.probing:
             return False
@@ -68,8 +86,8 @@
         health.probing = True
         return True
 
-    def abandoned(self, runner_id: str) -> None:
-        """Note that a request ended without saying anything about the runner's health."""
+    def record_inconclusive(self, runner_id: str) -> None:
+        """Record the end of a request that gives no information about the runner's health."""
         health = self._health.get(runner_id)
         if health is not None:
             health.probing = False
--- a/src/leverjunction/gateway/inflight.py
+++ b/src/leverjunction/gateway/inflight.py
@@ -1,4 +1,4 @@
-"""Counts requests in progress, for a stop that cuts none."""
+"""Counts requests in progress, so that a graceful shutdown can wait for them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class InflightRequests:
-    """Thread-safe count with a stopping mark.
+    """Thread-safe count of requests in progress, with a flag for the shutdown.
 
     Args:
-        limit: Most requests in progress; each holds a thread, and some threads must stay free for
-            probes, operators and refusals. None for no limit.
+        limit: Maximum number of requests in progress, None for no limit. Each request occupies a
+            thread, and some threads must stay free for probes, operators and rejections.
     """
 
     def __init__(self, limit: int | None = None) -> None:
@@ -23,19 +23,19 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether new requests are refused."""
+        """Whether the gateway is shutting down, so that new requests are rejected."""
         return self._stopping
 
     def begin_stop(self) -> None:
-        """Refuse new requests from here on."""
+        """Reject all new requests from now on."""
         with self._changed:
             self._stopping = True
 
     @contextmanager
     def track(self) -> Iterator[bool]:
-        """Count a request while the block runs; yields False when it must be refused at once.
+        """Count a request while the block runs; yields False if the request must be rejected.
 
-        The check and the count are one step, so that a stop misses no request.
+        The check and the increment are atomic, so that a shutdown does not miss a request.
         """
         with self._changed:
             is_full = self._limit is not None and self._count >= self._limit
@@ -51,6 +51,6 @@
                     self._changed.notify_all()
 
     def wait_idle(self, timeout_s: float) -> bool:
-        """Wait until no request is in progress; False when ``timeout_s`` passed before that."""
+        """Wait until no request is in progress; returns False if ``timeout_s`` passes first."""
         with self._changed:
             return self._changed.wait_for(lambda: self._count == 0, timeout_s)
--- a/src/leverjunction/gateway/owner.py
+++ b/src/leverjunction/gateway/owner.py
@@ -1,4 +1,7 @@
-"""Work of a runner's owner gateway: reads its load and cache events and passes them on."""
+"""Duties of the gateway that owns a runner: reads the runner's load and publishes it.
+
+Each runner is owned by one gateway (``ownership.py``), which polls it on behalf of all gateways.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 POLL_INTERVAL_S = 0.2
 IDLE_POLL_INTERVAL_S = 1.0
-"""A runner without any work is read so often: each reading costs its owner processor time."""
+"""Interval of polls of an idle runner; longer, since each poll costs the owner processor time."""
 
 POLL_THREADS = 16
 POLL_TIMEOUT_S = 0.6
@@ -28,16 +31,16 @@
 
 
 class RunnerPoller:
-    """Polls owned runners in its own thread.
+    """Polls the load of owned runners in a background thread.
 
     Args:
-        engines: Client of the runners.
-        view: Takes in the digests.
-        pool: Knows the own sends.
-        outbox: Digests for the hub.
-        observe_load: Takes in whole load reports.
-        feed: Follows cache events.
-        has_batch: Returns whether batch work is at hand, so that readings must be fresh.
+        engines: Client of the runners' engines.
+        view: Receives the digests of the load reports.
+        pool: Counts this gateway's open sends.
+        outbox: Digests to send to the hub.
+        observe_load: Called with a runner's id and its load report.
+        feed: Reads the cache events of the owned runners.
+        has_batch: Returns whether this gateway has batch work, which requires up-to-date load.
     """
 
     def __init__(
@@ -70,17 +73,17 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop polling and end the threads."""
         self._stopped.set()
         self._thread.join()
         self._feed.update([])
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     def update(self, owned: list[RunnerState]) -> None:
-        """Take the runners that this gateway owns now; called after each exchange."""
+        """Replace the set of owned runners; called after each exchange with the hub."""
         ids = {runner.runner_id for runner in owned}
         if ids != set(self._owned):
-            logger.info("owns runners {}", sorted(ids))
+            logger.info("owned runners: {}", sorted(ids))
         self._owned = {runner.runner_id: runner for runner in owned}
         for runner_id in set(self._failures) - ids:
             del self._failures[runner_id]
@@ -94,12 +97,15 @@
             has_batch = self._has_batch()
             for runner in list(self._owned.values()):
                 last = self._polling.get(runner.runner_id)
-                # A poll that hangs must not hold up the others, nor be joined by a second one.
+                # A poll that hangs must not delay the others, and must not be started twice.
                 if (last is None or last.done()) and self._is_due(runner.runner_id, has_batch):
                     self._polling[runner.runner_id] = self._threads.submit(self._poll, runner)
 
     def _is_due(self, runner_id: str, has_batch: bool) -> bool:
-        """Return whether a runner must be read now: a busy one always, an idle one seldom."""
+        """Return whether a runner must be polled now.
+
+        A runner with work is always due, an idle one after ``IDLE_POLL_INTERVAL_S``.
+        """
         read_s = self._idle_read_s.get(runner_id)
         if read_s is None or has_batch or self._pool.open_sends(runner_id) > 0:
             return True
@@ -118,7 +124,7 @@
         else:
             self._idle_read_s[runner.runner_id] = steady_s()
         if self._failures.pop(runner.runner_id, 0) >= FAILURES_TO_UNHEALTHY:
-            logger.info("runner {} answers again", runner.runner_id)
+            logger.info("runner {} responds again", runner.runner_id)
         self._publish(digest_of(runner.runner_id, report))
         self._observe_load(runner.runner_id, report)
 
@@ -126,7 +132,7 @@
         failures = self._failures.get(runner.runner_id, 0) + 1
         self._failures[runner.runner_id] = failures
         if failures == FAILURES_TO_UNHEALTHY:
-            logger.warning("runner {} does not answer: {}", runner.runner_id, failure.reason)
+            logger.warning("runner {} does not respond: {}", runner.runner_id, failure.reason)
         if failures >= FAILURES_TO_UNHEALTHY:
             self._publish(unhealthy_digest(runner.runner_id, self._view))
 
@@ -136,7 +142,7 @@
 
 
 def digest_of(runner_id: str, report: LoadReport) -> RunnerDigest:
-    """Return the digest of a load report."""
+    """Return the digest of a runner's load report, as it is sent to the hub."""
     total = max(report.kv_blocks_total, 1)
     return RunnerDigest(
         runner_id=runner_id,
@@ -150,7 +156,7 @@
 
 
 def unhealthy_digest(runner_id: str, view: ClusterView) -> RunnerDigest:
-    """Return the digest of a runner that does not answer, as of its last reading."""
+    """Return the digest that marks a runner as unhealthy, with the time of its last digest."""
     last = view.snapshot.digests.get(runner_id)
     return RunnerDigest(
         runner_id=runner_id,
--- a/src/leverjunction/gateway/prefix_index.py
+++ b/src/leverjunction/gateway/prefix_index.py
@@ -1,8 +1,8 @@
-"""Bounded index of the prompt blocks that runners' caches are thought to hold.
+"""Bounded index of the prompt blocks that are expected to be in the runners' prefix caches.
 
-Two sources: cache events of runners that this gateway owns, and the prompts that it sent itself.
-Events come late and with gaps; after a gap a snapshot is needed, and until it comes what is known
-stays in use as a hint, since a wrong hint costs only time.
+The index is built from two sources: cache events of the runners that this gateway owns, and the
+prompts that this gateway sent. Events may be late or lost. After a gap in the events a snapshot is
+needed; until it arrives, the index is still used, since a wrong entry only costs time.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 
 
 class RunnerBlocks:
-    """Blocks of one runner, oldest use first, with the sequence of the last event."""
+    """Cached blocks of one runner, least recently used first, and the last event's sequence number.
+
+    Args:
+        max_blocks: Maximum number of blocks; the least recently used ones are dropped.
+    """
 
     def __init__(self, max_blocks: int) -> None:
         self._max_blocks = max_blocks
@@ -27,7 +31,7 @@
         return len(self._blocks)
 
     def apply(self, event: CacheEvent) -> bool:
-        """Take in an event; returns False when events were lost and a snapshot is needed."""
+        """Apply a cache event; returns False if events were lost and a snapshot is needed."""
         if event.kind is CacheEventKind.SNAPSHOT:
             self._blocks.clear()
             self.add(event.blocks)
@@ -37,7 +41,7 @@
             return True
         complete = self._sequence is not None and event.sequence == self._sequence + 1
         self._apply_change(event)
-        # Going on from the newer event asks for one snapshot a gap, not one an event.
+        # Continuing from this event requests one snapshot per gap rather than one per event.
         self._sequence = event.sequence
         return complete
 
@@ -51,7 +55,7 @@
             self.add(event.blocks)
 
     def add(self, blocks: Sequence[str]) -> None:
-        """Add blocks as the newest ones; the oldest fall out above the bound."""
+        """Add blocks as the most recently used ones; the least recently used are dropped."""
         for block in blocks:
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -59,7 +63,7 @@
             self._blocks.popitem(last=False)
 
     def overlap(self, blocks: Sequence[str]) -> int:
-        """Return how many leading blocks of a prompt are held; a chain ends at the first miss."""
+        """Return the number of leading blocks of a prompt that are held, up to the first miss."""
         for count, block in enumerate(blocks):
             if block not in self._blocks:
                 return count
@@ -67,32 +71,36 @@
 
 
 class PrefixIndex:
-    """Blocks by runner. The caller serializes access."""
+    """Expected cached blocks by runner. Not thread-safe: the caller serializes access.
+
+    Args:
+        max_blocks_per_runner: Maximum number of blocks that are kept for each runner.
+    """
 
     def __init__(self, max_blocks_per_runner: int = MAX_BLOCKS_PER_RUNNER) -> None:
         self._max_blocks = max_blocks_per_runner
         self._runners: dict[str, RunnerBlocks] = {}
 
     def apply(self, runner_id: str, event: CacheEvent) -> bool:
-        """Take in a runner's cache event; returns False when a snapshot is needed."""
-        return self._of(runner_id).apply(event)
+        """Apply a cache event of a runner; returns False if a snapshot is needed."""
+        return self._blocks_of(runner_id).apply(event)
 
     def sent(self, runner_id: str, blocks: Sequence[str]) -> None:
-        """Note the blocks of a prompt that was sent to a runner: it will hold them soon."""
+        """Record the blocks of a prompt that was sent to a runner, which will soon cache them."""
         if blocks:
-            self._of(runner_id).add(blocks)
+            self._blocks_of(runner_id).add(blocks)
 
     def overlap(self, runner_id: str, blocks: Sequence[str]) -> int:
-        """Return how many leading blocks of a prompt a runner is thought to hold."""
-        known = self._runners.get(runner_id)
-        return known.overlap(blocks) if known is not None else 0
+        """Return the number of leading blocks of a prompt that a runner is expected to hold."""
+        runner_blocks = self._runners.get(runner_id)
+        return runner_blocks.overlap(blocks) if runner_blocks is not None else 0
 
     def forget(self, runner_id: str) -> None:
-        """Drop a runner that is gone or has restarted."""
+        """Discard the blocks of a runner that was removed or has restarted."""
         self._runners.pop(runner_id, None)
 
-    def _of(self, runner_id: str) -> RunnerBlocks:
-        found = self._runners.get(runner_id)
-        if found is None:
-            found = self._runners[runner_id] = RunnerBlocks(self._max_blocks)
-        return found
+    def _blocks_of(self, runner_id: str) -> RunnerBlocks:
+        runner_blocks = self._runners.get(runner_id)
+        if runner_blocks is None:
+            runner_blocks = self._runners[runner_id] = RunnerBlocks(self._max_blocks)
+        return runner_blocks
--- a/src/leverjunction/gateway/prompt.py
+++ b/src/leverjunction/gateway/prompt.py
@@ -1,4 +1,4 @@
-"""What a gateway reads of a request's body: model, streaming, and the prompt's cache blocks."""
+"""Parses the parts of a request body that routing needs: model, stream flag and prompt blocks."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from leverjunction.backends.types import CHAT_PATH
 from leverjunction.errors import Failure, FailureKind, Step
 
-BLOCK_WORDS = 16
+WORDS_PER_BLOCK = 16
 MAX_BLOCKS = 512
-"""Longer prompts are compared by their first blocks only; this bounds the hashing."""
-ANSWER_ROLE = "assistant"
+"""Maximum number of blocks that are hashed; only the start of a longer prompt is compared."""
+
+ASSISTANT_ROLE = "assistant"
 _ROOT_PARENT = 0
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """A part of a message's content; only text counts for the prefix."""
+    """A part of a message's content; only parts of type text belong to the prompt prefix."""
 
     type: str = "text"
     text: str = ""
 
 
 class Message(msgspec.Struct, frozen=True):
-    """One chat message."""
+    """A chat message."""
 
     role: str
     content: str | list[ContentPart] | None = None
@@ -46,13 +47,14 @@
 
 
 class ParsedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request as far as the gateway understands it.
+    """The parts of a request body that the gateway uses.
 
     Attributes:
         model: ``model`` or ``model:adapter``.
-        stream: True when the caller wants SSE.
-        prompt: The prompt's text, as the engine hashes it.
-        continues: Whether it holds an earlier answer, so that it goes on with a conversation.
+        stream: True if the caller requests server-sent events.
+        prompt: The prompt's text, in the form that the engine hashes.
+        continues: True if the prompt contains an earlier response, so that it continues a
+            conversation.
     """
 
     model: str
@@ -66,7 +68,15 @@
 
 
 def parse_request(path: str, body: bytes) -> ParsedRequest | Failure:
-    """Check a caller's body and return what routing needs of it."""
+    """Validate a request body and return the parts that routing needs.
+
+    Args:
+        path: API path, which determines the format of the body.
+        body: The request body.
+
+    Returns:
+        The parsed request; a failure BAD_REQUEST if the body does not have the expected format.
+    """
     try:
         if path == CHAT_PATH:
             chat = _CHAT_DECODER.decode(body)
@@ -74,7 +84,7 @@
                 model=chat.model,
                 stream=chat.stream,
                 prompt=_chat_text(chat),
-                continues=any(message.role == ANSWER_ROLE for message in chat.messages),
+                continues=any(message.role == ASSISTANT_ROLE for message in chat.messages),
             )
         text = _COMPLETION_DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -100,13 +110,16 @@
 
 
 def block_hashes(prompt: str) -> list[str]:
-    """Return the chained hashes of a prompt's whole blocks (docs/BACKENDS.md, cache events)."""
+    """Return the chained hashes of a prompt's complete blocks.
+
+    Each hash covers its block and all blocks before it (docs/BACKENDS.md, cache events).
+    """
     words = prompt.split()
-    whole_blocks = min(len(words) // BLOCK_WORDS, MAX_BLOCKS)
+    whole_blocks = min(len(words) // WORDS_PER_BLOCK, MAX_BLOCKS)
     parent = _ROOT_PARENT
     hashes = []
     for index in range(whole_blocks):
-        block = words[index * BLOCK_WORDS : (index + 1) * BLOCK_WORDS]
+        block = words[index * WORDS_PER_BLOCK : (index + 1) * WORDS_PER_BLOCK]
         data = parent.to_bytes(8, "big") + " ".join(block).encode()
         parent = xxhash.xxh64_intdigest(data)
         hashes.append(f"{parent:016x}")
--- a/src/leverjunction/gateway/retry.py
+++ b/src/leverjunction/gateway/retry.py
@@ -1,4 +1,4 @@
-"""Retry budget and the rule that says which attempts may be repeated."""
+"""Retry budget per service, and the rule for which failed attempts may be retried."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 from leverjunction.errors import Execution, Failure, FailureKind
 
 MAX_SAVED_RETRIES = 20.0
+"""Upper bound of the retries that a service can accumulate."""
+
 MIN_RETRIES_PER_S = 0.5
-"""A quiet service may still retry: without a floor its first failure could never be repeated."""
+"""Retries that accrue without traffic; otherwise a service with little traffic could not retry."""
 
-_REPEATABLE = frozenset(
+_RETRYABLE_KINDS = frozenset(
     {
         FailureKind.UNREACHABLE,
         FailureKind.NOT_LISTENING,
@@ -30,39 +32,47 @@
 
 
 class RetryBudget:
-    """Retries by service, as a share of its traffic. Pure; the caller serializes access."""
+    """Number of allowed retries by service, as a ratio of its requests.
+
+    Pure: the monotonic time is an argument. Not thread-safe: the caller serializes access.
+    """
 
     def __init__(self) -> None:
         self._budgets: dict[str, _Budget] = {}
 
     def request(self, service: str, ratio: float, now_s: float) -> None:
-        """Note a first attempt: it earns ``ratio`` of a retry."""
-        budget = self._of(service, now_s)
+        """Record a first attempt, which adds ``ratio`` retries to the service's budget."""
+        budget = self._budget(service, now_s)
         budget.saved = min(MAX_SAVED_RETRIES, budget.saved + ratio)
 
     def take(self, service: str, now_s: float) -> bool:
-        """Spend one retry if there is one."""
-        budget = self._of(service, now_s)
+        """Take one retry from the budget; returns False if less than one is left."""
+        budget = self._budget(service, now_s)
         if budget.saved < 1:
             return False
         budget.saved -= 1
         return True
 
-    def _of(self, service: str, now_s: float) -> _Budget:
+    def _budget(self, service: str, now_s: float) -> _Budget:
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = _Budget(saved=MAX_SAVED_RETRIES, updated_s=now_s)
-        earned = (now_s - budget.updated_s) * MIN_RETRIES_PER_S
-        budget.saved = min(MAX_SAVED_RETRIES, budget.saved + max(0.0, earned))
+        accrued = (now_s - budget.updated_s) * MIN_RETRIES_PER_S
+        budget.saved = min(MAX_SAVED_RETRIES, budget.saved + max(0.0, accrued))
         budget.updated_s = now_s
         return budget
 
 
 def may_retry(failure: Failure, repeatable: bool) -> bool:
-    """Return whether a failed attempt may be sent again.
+    """Return whether a request may be sent again after a failed attempt.
+
+    A retry requires a kind of failure that another attempt may avoid. In addition, no back end can
+    have run the request, or the request may run twice.
 
-    Either no back end can have received it, or the caller allows the request to run twice.
+    Args:
+        failure: Failure of the attempt.
+        repeatable: True if the request may run more than once.
     """
-    if failure.kind not in _REPEATABLE:
+    if failure.kind not in _RETRYABLE_KINDS:
         return False
     return repeatable or failure.execution is Execution.NOT_RUN
--- a/src/leverjunction/gateway/runner_pool.py
+++ b/src/leverjunction/gateway/runner_pool.py
@@ -1,4 +1,4 @@
-"""The runners as this gateway routes to them: view, own sends, prefix index and ejection."""
+"""State of the runners that routing depends on: view, own sends, prefix index and ejection."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class RouteNeeds(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request needs of a runner.
+    """Requirements of a request on its runner.
 
     Attributes:
-        service: Service that serves its model.
+        service: Service that serves the request's model.
         model: ``model`` or ``model:adapter``.
-        blocks: Hashes of its prompt's cache blocks.
-        serving: Settings in force for it.
+        blocks: Hashes of the prompt's cache blocks.
+        serving: Settings in force for the request.
         region_zones: Zones of the gateway's region.
-        continues: Whether its prompt goes on with an earlier one.
-        tried: Runners that failed it before.
+        continues: True if the prompt continues an earlier conversation.
+        tried: Ids of runners on which the request has failed already.
     """
 
     service: str
@@ -49,11 +49,11 @@
 
 
 class SendStart(msgspec.Struct, frozen=True, kw_only=True):
-    """What the pool knew when a send started.
+    """State of a runner when a send to it started.
 
     Attributes:
-        open_before: Own sends that were open on the runner.
-        is_probe: True when the send tries a runner that was ejected.
+        open_before: Number of this gateway's sends that were already open on the runner.
+        is_probe: True if the send probes a runner after its ejection.
     """
 
     open_before: int
@@ -61,7 +61,14 @@
 
 
 class RunnerPool:
-    """Thread-safe shell around the pure cores of routing."""
+    """Thread-safe access to the state that routing depends on.
+
+    Args:
+        view: The cluster's state as received from the hub.
+        zone: Zone of this gateway.
+        clock: Clock.
+        generator: Random generator for the selection of runners and the jitter of ejections.
+    """
 
     def __init__(
         self, view: ClusterView, zone: str, clock: Clock, generator: random.Random
@@ -76,12 +83,18 @@
         self._ejection = Ejection()
         self._incarnations: dict[str, int] = {}
 
-    def wait_told(self, deadline_s: float) -> None:
-        """Wait for a hub's word after a standstill of this process, or until a deadline."""
+    def wait_for_current_view(self, deadline_s: float) -> None:
+        """After a pause of this process, wait until a hub has replied or a deadline has passed.
+
+        During a pause, for example while the machine is suspended, the view becomes outdated.
+
+        Args:
+            deadline_s: Monotonic time in seconds.
+        """
         self._view.wait_told(deadline_s)
 
     def candidates(self, needs: RouteNeeds) -> list[Candidate]:
-        """Return all runners of the service, with the reason for each that is left out."""
+        """Return all runners of a service, each with the reason for its exclusion, if any."""
         snapshot = self._view.snapshot
         runners = [item for item in snapshot.runners.values() if item.service == needs.service]
         with self._lock:
@@ -90,10 +103,10 @@
             return [self._candidate(item, needs, snapshot, blocked) for item in runners]
 
     def choose(self, candidates: list[Candidate], needs: RouteNeeds) -> Choice:
-        """Choose a runner for a request whose turn has come.
+        """Select a runner for an admitted request.
 
-        Slots are counted, not held: when a race took the last one, the request goes to a full
-        runner rather than back into the queue.
+        Admission counts free slots but does not reserve them. If another request has taken the last
+        slot in the meantime, the request is sent to a full runner rather than queued again.
         """
         query = RouteQuery(
             zone=self._zone,
@@ -109,62 +122,69 @@
         with self._lock:
             choice = choose(candidates, query, self._random)
             if choice.full:
-                choice = choose(map(_roomy, candidates), query, self._random)
+                choice = choose(map(_with_free_slot, candidates), query, self._random)
             return choice
 
-    def sent(self, runner_id: str, attempt_key: str, blocks: Sequence[str]) -> SendStart:
-        """Note a send that starts now."""
+    def record_send(self, runner_id: str, attempt_key: str, blocks: Sequence[str]) -> SendStart:
+        """Record a send that starts now."""
         with self._lock:
             before = self._ledger.open_count(runner_id)
             self._ledger.sent(runner_id, attempt_key, self._clock.wall_ms())
             self._prefixes.sent(runner_id, blocks)
-            is_probe = self._ejection.chosen(runner_id, self._clock.monotonic_s())
+            is_probe = self._ejection.start_probe(runner_id, self._clock.monotonic_s())
             return SendStart(open_before=before, is_probe=is_probe)
 
-    def finished(self, runner_id: str, attempt_key: str) -> None:
-        """Note that a send ended."""
+    def record_finish(self, runner_id: str, attempt_key: str) -> None:
+        """Record the end of a send."""
         with self._lock:
             self._ledger.finished(runner_id, attempt_key, self._clock.wall_ms())
 
     def open_sends(self, runner_id: str) -> int:
-        """Return the number of own sends that are open on a runner."""
+        """Return the number of this gateway's open sends on a runner."""
         with self._lock:
             return self._ledger.open_count(runner_id)
 
-    def succeeded(self, runner_id: str) -> None:
-        """Note a proper answer of a runner."""
+    def record_success(self, runner_id: str) -> None:
+        """Record a valid response of a runner."""
         with self._lock:
-            self._ejection.succeeded(runner_id)
+            self._ejection.record_success(runner_id)
 
-    def failed(self, runner_id: str) -> float | None:
-        """Note a runner's failure; returns for how long it is ejected, None when it is not."""
+    def record_failure(self, runner_id: str) -> float | None:
+        """Record a failure of a runner.
+
+        Returns:
+            Duration of the runner's ejection in seconds, None if it is not ejected.
+        """
         with self._lock:
-            return self._ejection.failed(runner_id, self._clock.monotonic_s(), self._random)
+            return self._ejection.record_failure(runner_id, self._clock.monotonic_s(), self._random)
 
-    def abandoned(self, runner_id: str) -> None:
-        """Note an end that says nothing about the runner."""
+    def record_inconclusive(self, runner_id: str) -> None:
+        """Record the end of a request that gives no information about the runner's health."""
         with self._lock:
-            self._ejection.abandoned(runner_id)
+            self._ejection.record_inconclusive(runner_id)
 
     def observe_cache(self, runner_id: str, event: CacheEvent) -> bool:
-        """Take in a cache event; returns False when a snapshot is needed."""
+        """Apply a cache event of a runner; returns False if a snapshot is needed."""
         with self._lock:
             return self._prefixes.apply(runner_id, event)
 
     def apply_snapshot(self, snapshot: ClusterSnapshot) -> None:
-        """Drop what is known of runners that are gone, and the caches of restarted ones."""
+        """Discard the state of removed runners and the cached prefixes of restarted runners."""
         incarnations = {item.runner_id: item.incarnation for item in snapshot.runners.values()}
         with self._lock:
-            for runner_id, known in self._incarnations.items():
-                if incarnations.get(runner_id) != known:
+            for runner_id, incarnation in self._incarnations.items():
+                if incarnations.get(runner_id) != incarnation:
                     self._prefixes.forget(runner_id)
                 if runner_id not in incarnations:
-                    self._ejection.succeeded(runner_id)
+                    self._ejection.record_success(runner_id)
                     self._ledger.forget(runner_id)
             self._incarnations = incarnations
 
     def usable_runners(self, snapshot: ClusterSnapshot) -> dict[str, int]:
-        """Return by service the runners that are neither leaving, unreachable nor ejected."""
+        """Return the number of usable runners by service.
+
+        A runner is usable if it is not leaving, is reachable for its owner and is not ejected.
+        """
         by_service: dict[str, list[str]] = {}
         for runner in snapshot.runners.values():
             by_service.setdefault(runner.service, [])
@@ -178,7 +198,7 @@
             }
 
     def is_healthy(self, runner_id: str) -> bool:
-        """Return whether a runner is listed and its owner can reach it."""
+        """Return whether a runner is in the view and its owner gateway can reach it."""
         snapshot = self._view.snapshot
         digest = snapshot.digests.get(runner_id)
         return runner_id in snapshot.runners and (digest is None or digest.healthy)
@@ -213,8 +233,8 @@
         )
 
 
-def _roomy(candidate: Candidate) -> Candidate:
-    # A grant from the queue was given for a slot; a race for it must not send the holder back.
+def _with_free_slot(candidate: Candidate) -> Candidate:
+    # The request was admitted for a slot; losing a race for that slot must not queue it again.
     return msgspec.structs.replace(
         candidate, capacity=max(candidate.capacity, int(candidate.load) + 1)
     )
--- a/src/leverjunction/gateway/send_ledger.py
+++ b/src/leverjunction/gateway/send_ledger.py
@@ -1,4 +1,4 @@
-"""Own sends to each runner, which correct its lagging load reports."""
+"""This gateway's sends to each runner, which correct the runner's outdated load report."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from leverjunction.wire.messages import RunnerDigest
 
 MAX_FINISHED = 4096
-"""Finished sends remembered a runner; reports lag by far less than it takes to finish as many."""
+"""Finished sends kept per runner; far fewer sends finish within the lag of a load report."""
 
 
 class _Finished(msgspec.Struct, frozen=True):
@@ -18,9 +18,9 @@
 
 
 class SendLedger:
-    """Counts one gateway's sends by runner. Pure: times are passed in.
+    """Records one gateway's open and recently finished sends by runner.
 
-    The caller serializes access.
+    Pure: the wall-clock times are arguments. Not thread-safe: the caller serializes access.
     """
 
     def __init__(self) -> None:
@@ -32,22 +32,27 @@
         self._open.setdefault(runner_id, {})[attempt_key] = now_ms
 
     def finished(self, runner_id: str, attempt_key: str, now_ms: int) -> None:
-        """Record that a send has ended; unknown ones are ignored."""
+        """Record the end of a send; an unknown ``attempt_key`` is ignored."""
         sent_ms = self._open.get(runner_id, {}).pop(attempt_key, None)
         if sent_ms is None:
             return
-        done = self._finished.setdefault(runner_id, deque(maxlen=MAX_FINISHED))
-        done.append(_Finished(sent_ms, now_ms))
+        finished_sends = self._finished.setdefault(runner_id, deque(maxlen=MAX_FINISHED))
+        finished_sends.append(_Finished(sent_ms, now_ms))
 
     def open_count(self, runner_id: str) -> int:
-        """Return the number of own sends that are open on a runner."""
+        """Return the number of open sends on a runner."""
         return len(self._open.get(runner_id, {}))
 
     def expected_load(self, runner_id: str, digest: RunnerDigest | None) -> int:
-        """Return the online requests to expect on a runner.
+        """Return the expected number of online requests on a runner.
 
-        That is its last report without batch, running or waiting, plus own sends since, less own
-        sends that the report still counts but that have ended; never less than own open sends.
+        The number is the online requests of the last load report, running or waiting, plus the
+        sends since that report, minus the sends that the report counts but that have ended since.
+        It is at least the number of open sends.
+
+        Args:
+            runner_id: Id of the runner.
+            digest: Digest of the runner's last load report, None if there is none.
         """
         sends = self._open.get(runner_id, {})
         if digest is None:
@@ -59,15 +64,15 @@
         return max(reported + started - ended, len(sends))
 
     def _ended_since(self, runner_id: str, as_of_ms: int) -> int:
-        done = self._finished.get(runner_id)
-        if not done:
+        finished_sends = self._finished.get(runner_id)
+        if not finished_sends:
             return 0
-        while done and done[0].finished_ms <= as_of_ms:
-            done.popleft()
-        return sum(1 for item in done if item.sent_ms <= as_of_ms < item.finished_ms)
+        while finished_sends and finished_sends[0].finished_ms <= as_of_ms:
+            finished_sends.popleft()
+        return sum(1 for item in finished_sends if item.sent_ms <= as_of_ms < item.finished_ms)
 
     def forget(self, runner_id: str) -> None:
-        """Drop what is known of a runner that is gone and has no open sends."""
+        """Discard the records of a removed runner, unless it still has open sends."""
         if not self._open.get(runner_id):
             self._open.pop(runner_id, None)
             self._finished.pop(runner_id, None)
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -123,8 +123,8 @@
 
     def close_attempt(self, request: OnlineRequest, attempt: Attempt) -> None:
         """Record the end of an attempt; for each ``OpenResponse``, the caller does so once."""
-        self._pool.finished(attempt.runner_id, attempt.key(request.request_id))
-        self._notifier.finished(attempt.runner_id)
+        self._pool.record_finish(attempt.runner_id, attempt.key(request.request_id))
+        self._notifier.request_finished(attempt.runner_id)
         self._gate.request_ended(request.service)
 
     def take_retry(self, service: str) -> bool:
@@ -136,7 +136,7 @@
         self, request: OnlineRequest, attempt_number: int, tried: frozenset[str], may_queue: bool
     ) -> Candidate | Failure:
         needs = request.needs(tried)
-        self._pool.wait_told(request.deadline_s)
+        self._pool.wait_for_current_view(request.deadline_s)
         candidates = self._pool.candidates(needs)
         waited_s: float | Failure = 0.0
         if may_queue and any(candidate.excluded is None for candidate in candidates):
@@ -168,13 +168,13 @@
         self, request: OnlineRequest, attempt: Attempt
     ) -> OpenResponse | CompleteResponse | Failure:
         key = attempt.key(request.request_id)
-        send_start = self._pool.sent(attempt.runner_id, key, request.blocks)
+        send_start = self._pool.record_send(attempt.runner_id, key, request.blocks)
         if send_start.is_probe:
             self._journal.probed(request, attempt)
-        self._notifier.arrived(attempt.runner_id, send_start.open_before)
+        self._notifier.request_arrived(attempt.runner_id, send_start.open_before)
         response = self._call(request, attempt)
         if isinstance(response, OpenResponse):
-            self._pool.succeeded(attempt.runner_id)
+            self._pool.record_success(attempt.runner_id)
             self._counters.attempts.labels("ok").inc()
             return response
         self.close_attempt(request, attempt)
@@ -182,7 +182,7 @@
             self._counters.attempts.labels(response.kind.value).inc()
             self._note_failure(request, attempt, response)
             return response
-        self._pool.succeeded(attempt.runner_id)
+        self._pool.record_success(attempt.runner_id)
         self._counters.attempts.labels("ok").inc()
         return response
 
@@ -239,9 +239,9 @@
     def _note_failure(self, request: OnlineRequest, attempt: Attempt, failure: Failure) -> None:
         if failure.kind in (FailureKind.OVERLOADED, FailureKind.NOT_FOUND):
             # The runner is healthy but rejected the request.
-            self._pool.abandoned(attempt.runner_id)
+            self._pool.record_inconclusive(attempt.runner_id)
         else:
-            ejected_s = self._pool.failed(attempt.runner_id)
+            ejected_s = self._pool.record_failure(attempt.runner_id)
             if ejected_s is not None:
                 self._journal.ejected(request, attempt, ejected_s)
         if failure.execution is Execution.UNKNOWN:
--- a/src/leverjunction/gateway/slow_clients.py
+++ b/src/leverjunction/gateway/slow_clients.py
@@ -1,6 +1,7 @@
-"""Ends requests whose head and body take too long to arrive, so that they free their threads.
+"""Aborts requests whose head or body arrives too slowly, so that they release their threads.
 
-cheroot's own timeout is for one read; a sender that drips a byte now and then passes it for ever.
+cheroot's timeout applies to a single read; a client that sends a byte from time to time never
+exceeds it.
 """
 
 from __future__ import annotations
@@ -23,7 +24,12 @@
 
 
 class SlowClientGuard:
-    """Watches connections while a worker reads their requests."""
+    """Enforces a deadline on connections while a worker thread reads their requests.
+
+    Args:
+        timeout_s: Time in seconds for the head of a request. The body has the same time again, plus
+            its size divided by ``MIN_BODY_BYTES_PER_S``.
+    """
 
     def __init__(self, timeout_s: float = REQUEST_READ_TIMEOUT_S) -> None:
         self._timeout_s = timeout_s
@@ -32,38 +38,38 @@
         self._stopped = threading.Event()
 
     def reading(self, connection: ReadingConnection) -> None:
-        """A worker starts to read a request from a connection."""
+        """Start the deadline of a connection from which a worker starts to read a request."""
         with self._lock:
             self._due_s[connection] = steady_s() + self._timeout_s
 
     def extend(self, connection: ReadingConnection, body_bytes: int) -> None:
-        """The head is read; its body of so many bytes gets time in proportion."""
+        """Restart the deadline after the head, with additional time for the size of the body."""
         with self._lock:
             if connection in self._due_s:
                 extra_s = body_bytes / MIN_BODY_BYTES_PER_S
                 self._due_s[connection] = steady_s() + self._timeout_s + extra_s
 
     def done(self, connection: ReadingConnection) -> None:
-        """The request is read, or its connection is let go."""
+        """End the deadline of a connection, whose request was read or which was released."""
         with self._lock:
             self._due_s.pop(connection, None)
 
     def start(self) -> None:
-        """Start the watching thread."""
+        """Start the thread that checks the deadlines."""
         threading.Thread(target=self._run, name="slow-senders", daemon=True).start()
 
     def stop(self) -> None:
-        """End the watching thread."""
+        """Stop the thread that checks the deadlines."""
         self._stopped.set()
 
     def check(self, now_s: float) -> int:
-        """Stop reading from connections that are too slow; returns their number."""
+        """Stop reading from connections past their deadline; returns their number."""
         with self._lock:
             slow = [item for item, due_s in self._due_s.items() if now_s > due_s]
             for connection in slow:
                 del self._due_s[connection]
         for connection in slow:
-            _end_reading(connection.socket)
+            _shut_down_reading(connection.socket)
         return len(slow)
 
     def _run(self) -> None:
@@ -71,10 +77,10 @@
             self.check(steady_s())
 
 
-def _end_reading(connection: socket.socket) -> None:
-    """Make the worker's read end at once; the answer can still be written."""
+def _shut_down_reading(connection: socket.socket) -> None:
+    """End the worker's read immediately; the response can still be written."""
     try:
         connection.shutdown(socket.SHUT_RD)
     except OSError:
-        # Already closed by its peer.
+        # The peer has already closed the connection.
         return
--- a/src/leverjunction/gateway/stream_session.py
+++ b/src/leverjunction/gateway/stream_session.py
@@ -121,7 +121,7 @@
             The engine's side to relay from; ``AnswerIsWhole`` if the response was already
             complete; the failure to report to the caller if the stream cannot be repaired.
         """
-        self._dependencies.pool.failed(self._attempt.runner_id)
+        self._dependencies.pool.record_failure(self._attempt.runner_id)
         progress = read_progress(transcript, self._segment_start)
         if progress.finished:
             return AnswerIsWhole()
--- a/src/leverjunction/gateway/yielding.py
+++ b/src/leverjunction/gateway/yielding.py
@@ -1,4 +1,4 @@
-"""Tells a runner's owner gateway that online work has arrived, so that its batch work yields."""
+"""Notifies a runner's owner gateway of online requests, so that its batch work yields to them."""
 
 from __future__ import annotations
 
@@ -13,24 +13,30 @@
 from leverjunction.wire.messages import RunnerState, YieldNotice
 
 NOTICE_THREADS = 4
-BATCH_MEMORY_MS = 30_000
-"""A service whose digests showed batch this lately may carry it again before the next digest."""
+RECENT_BATCH_MS = 30_000
+"""Time after the last digest that showed batch work during which a service may have batch work.
+
+A runner can start batch work again before its next digest.
+"""
 
 
 class OnlineListener(Protocol):
-    """The harvester's part that hears of online work on owned runners."""
+    """Interface of the batch harvester for notifications of online work on owned runners."""
 
     def online_arrived(self, runner_id: str) -> None:
-        """Online work is about to reach a runner."""
+        """Handle an online request that is about to be sent to a runner."""
         ...
 
     def online_finished(self, runner_id: str) -> None:
-        """An online request on a runner has ended."""
+        """Handle the end of an online request on a runner."""
         ...
 
 
 class YieldNotifier:
-    """Called by request threads before and after each send; never blocks them."""
+    """Notifies owner gateways, including this one, of online requests on their runners.
+
+    Request threads call it before and after each send; its methods do not block.
+    """
 
     def __init__(
         self,
@@ -50,8 +56,16 @@
         self._threads = ThreadPoolExecutor(NOTICE_THREADS, thread_name_prefix="yield-notice")
         self._batch_seen_ms: dict[str, int] = {}
 
-    def arrived(self, runner_id: str, open_before: int) -> None:
-        """Online work goes to a runner that has ``open_before`` other own requests."""
+    def request_arrived(self, runner_id: str, open_before: int) -> None:
+        """Notify the runner's owner of an online request that is about to be sent.
+
+        If another gateway owns the runner, a notice is sent only if no other request of this
+        gateway is open on the runner and the runner may have batch work.
+
+        Args:
+            runner_id: Runner that receives the request.
+            open_before: Number of this gateway's requests already open on the runner.
+        """
         snapshot = self._view.snapshot
         runner = snapshot.runners.get(runner_id)
         if runner is None:
@@ -59,13 +73,16 @@
         owner = owner_of(runner, snapshot.gateways.values())
         if owner is None or owner.gateway_id == self._gateway_id:
             self._listener.online_arrived(runner_id)
-        elif open_before == 0 and self._may_carry_batch(runner, snapshot):
+        elif open_before == 0 and self._may_run_batch(runner, snapshot):
             notice = YieldNotice(runner_id=runner_id, sent_ms=self._clock.wall_ms())
             self._counters.yield_notices.labels("sent").inc()
             self._threads.submit(self._control.notify_yield, owner.rpc_address, notice)
 
-    def finished(self, runner_id: str) -> None:
-        """An online request on a runner has ended; other owners see it in the load report."""
+    def request_finished(self, runner_id: str) -> None:
+        """Notify this gateway's batch work of the end of an online request on an owned runner.
+
+        Other owners learn of the end from the runner's load report.
+        """
         snapshot = self._view.snapshot
         runner = snapshot.runners.get(runner_id)
         if runner is None:
@@ -75,11 +92,11 @@
             self._listener.online_finished(runner_id)
 
     def stop(self) -> None:
-        """Send no more notices."""
+        """Stop sending notices."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _may_carry_batch(self, runner: RunnerState, snapshot: ClusterSnapshot) -> bool:
-        """Return whether batch may be on a runner, given that digests lag by seconds."""
+    def _may_run_batch(self, runner: RunnerState, snapshot: ClusterSnapshot) -> bool:
+        """Return whether a runner may have batch work, given that digests are seconds old."""
         now_ms = self._clock.wall_ms()
         if any(
             digest.batch_running > 0
@@ -87,7 +104,7 @@
             if _service_of(snapshot, digest.runner_id) == runner.service
         ):
             self._batch_seen_ms[runner.service] = now_ms
-        return now_ms - self._batch_seen_ms.get(runner.service, 0) <= BATCH_MEMORY_MS
+        return now_ms - self._batch_seen_ms.get(runner.service, 0) <= RECENT_BATCH_MS
 
 
 def _service_of(snapshot: ClusterSnapshot, runner_id: str) -> str:
--- a/tests/unit/test_gateway_cores.py
+++ b/tests/unit/test_gateway_cores.py
@@ -77,7 +77,7 @@
     refusal = refused(admission.admit_or_queue("llm", "b", QUEUE, 0, 8.0))
     rate = DrainRate()
     for second in range(5):
-        rate.ended(second * 2.0)
+        rate.record_end(second * 2.0)
     wait_s = rate.wait_s(2, 8.0)
     assert wait_s is not None
     assert refusal.retry_after_s == pytest.approx(wait_s - QUEUE.queue_timeout_s)
@@ -233,20 +233,20 @@
     ejection, generator = Ejection(), random.Random(1)
     ids = ["a", "b", "c"]
     for _ in range(FAILURES_TO_EJECT - 1):
-        assert ejection.failed("a", 0.0, generator) is None
-    first_s = ejection.failed("a", 0.0, generator)
+        assert ejection.record_failure("a", 0.0, generator) is None
+    first_s = ejection.record_failure("a", 0.0, generator)
     assert first_s is not None
     assert ejection.blocked(ids, 0.0) == {"a"}
     assert ejection.blocked(ids, first_s) == set()
-    assert ejection.chosen("a", first_s)
+    assert ejection.start_probe("a", first_s)
     assert ejection.blocked(ids, first_s) == {"a"}, "only one request probes"
-    second_s = ejection.failed("a", first_s, generator)
+    second_s = ejection.record_failure("a", first_s, generator)
     assert second_s is not None
     assert second_s > 1.5 * first_s
-    ejection.succeeded("a")
+    ejection.record_success("a")
     assert ejection.blocked(ids, first_s) == set()
     for _ in range(40):
-        last_s = ejection.failed("a", 0.0, generator)
+        last_s = ejection.record_failure("a", 0.0, generator)
     assert last_s is not None
     assert last_s <= MAX_EJECTION_S * 1.2
 
@@ -255,7 +255,7 @@
     ejection, generator = Ejection(), random.Random(1)
     for runner_id in ("a", "b"):
         for _ in range(FAILURES_TO_EJECT):
-            ejection.failed(runner_id, 0.0, generator)
+            ejection.record_failure(runner_id, 0.0, generator)
     assert ejection.blocked(["a", "b", "c"], 0.0) == set()
     assert ejection.blocked(["a", "b", "c", "d"], 0.0) == {"a", "b"}
 
--- a/tests/unit/test_gateway_owner.py
+++ b/tests/unit/test_gateway_owner.py
@@ -75,5 +75,5 @@
     engines.answer = answer
     loop._poll(RUNNER)
     for number in range(open_sends):
-        pool.sent("e1", f"r.{number}", [])
+        pool.record_send("e1", f"r.{number}", [])
     assert loop._is_due("e1", has_batch) is is_due
