--- a/tests/unit/gateway_support.py
+++ b/tests/unit/gateway_support.py
@@ -1,4 +1,4 @@
-"""Support of the gateway tests: a stub engine and a stub hub on free ports."""
+"""Helpers of the gateway tests: a stub engine and a stub hub that listen on free ports."""
 
 from __future__ import annotations
 
@@ -47,20 +47,30 @@
 
 @pytest.fixture
 def extended_poll_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have gateways wait long for a poll: a busy machine must not make a stub engine look dead.
+    """Extend the poll timeout, so that a busy machine does not make a stub engine look unhealthy.
 
-    For one test at a time: set for the whole process, it also changed what the simulator's tests
-    run there later.
+    The timeout is patched per test: a change for the whole process also affected the simulator's
+    tests that ran later in the same process.
     """
     monkeypatch.setattr(owner, "POLL_TIMEOUT_S", WAIT_S)
 
 
 class StubEngine:
-    """An engine that answers ``WORDS``; tests change its public attributes to make it misbehave.
+    """An engine that generates ``WORDS``; tests change its public attributes to make it misbehave.
 
-    ``status`` other than 200 refuses; ``break_after`` cuts a stream after so many tokens, once;
-    ``wrong_echo`` answers with another request's id; ``hold`` blocks before each token while clear;
-    ``freezes`` lets it answer nothing at all from its next request on, until ``thaw`` is set.
+    Attributes:
+        status: HTTP status of generation requests; one other than 200 rejects the request.
+        break_after: Number of tokens after which the next stream is broken off, once.
+        forget_streams: True if streams cannot be resumed.
+        wrong_echo: True if responses carry another request's id.
+        proceed: Event without which no token is sent.
+        block_from: Index of the first token that waits for ``proceed``.
+        freeze_on_request: True if the engine stops responding at its next generation request.
+        unfreeze: Event that ends the freeze.
+        held: Requests that the engine reports as its own.
+        started: Bodies of the generation requests, with their priority.
+        resumed: Last event ids of the requests to resume a stream.
+        cancelled: Ids of the cancelled requests.
     """
 
     def __init__(self, name: str) -> None:
@@ -69,9 +79,9 @@
         self.break_after: int | None = None
         self.forget_streams = False
         self.wrong_echo = False
-        self.hold = threading.Event()
-        self.hold.set()
-        self.hold_from = 0
+        self.proceed = threading.Event()
+        self.proceed.set()
+        self.block_from = 0
         self.started: list[dict[str, Any]] = []
         self.resumed: list[str] = []
         self.cancelled: list[str] = []
@@ -79,8 +89,8 @@
         self.start_seen = threading.Event()
         self.leaving = False
         self.held: list[HeldRequest] = []
-        self.freezes = False
-        self.thaw = threading.Event()
+        self.freeze_on_request = False
+        self.unfreeze = threading.Event()
         self._is_frozen = False
         self._server = wsgi.Server(("127.0.0.1", 0), self._app, numthreads=24)
         self._server.prepare()
@@ -92,8 +102,8 @@
         return f"{host}:{port}"
 
     def stop(self) -> None:
-        self.hold.set()
-        self.thaw.set()
+        self.proceed.set()
+        self.unfreeze.set()
         self._server.shutdown_timeout = 0
         self._server.stop()
 
@@ -104,7 +114,7 @@
         echo = "another" if self.wrong_echo and path.startswith("/v1/c") else request_id
         headers = [("X-Request-Id", echo), ("X-Attempt", attempt)]
         if self._is_frozen:
-            self.thaw.wait(FROZEN_S)
+            self.unfreeze.wait(FROZEN_S)
         if path == "/load":
             return self._answer(start, headers, encode(self._report()))
         if path == "/cache/events":
@@ -120,16 +130,16 @@
         body = json.loads(environ["wsgi.input"].read(int(environ["CONTENT_LENGTH"])))
         self.started.append(body | {"priority": environ.get("HTTP_X_PRIORITY")})
         self.start_seen.set()
-        if self.freezes:
+        if self.freeze_on_request:
             self._is_frozen = True
-            self.thaw.wait(FROZEN_S)
+            self.unfreeze.wait(FROZEN_S)
         if self.status != 200:
             return self._answer(start, headers, b'{"error": "no"}', f"{self.status} Refused")
         done = len(body.get("continue_text", "").split())
         if body.get("stream"):
             start("200 OK", [*headers, ("Content-Type", "text/event-stream")])
             return self._tokens(done, numbered_from=0)
-        self.hold.wait(WAIT_S)
+        self.proceed.wait(WAIT_S)
         content = " ".join(WORDS)
         whole = {
             "id": "x",
@@ -158,10 +168,10 @@
         break_after, self.break_after = self.break_after, None
         yield b": open\n\n"
         for count, index in enumerate(range(done, len(WORDS))):
-            if index >= self.hold_from:
-                self.hold.wait(WAIT_S)
+            if index >= self.block_from:
+                self.proceed.wait(WAIT_S)
             if break_after is not None and count >= break_after:
-                raise ConnectionResetError("cut by the test")
+                raise ConnectionResetError("broken off by the test")
             finish = "stop" if index == len(WORDS) - 1 else None
             word = WORDS[index] if index == 0 else f" {WORDS[index]}"
             yield sse_chunk(numbered_from + count + 1, word, finish)
@@ -208,10 +218,14 @@
 
 
 class StubHub:
-    """A hub that knows the given engines and keeps claims in memory.
+    """A hub whose view lists the given engines and which keeps claims in memory.
 
     Attributes:
-        answers: Exchanges wait while it is clear.
+        may_reply: Event without which exchanges block.
+        requests: Exchange requests that were received.
+        claims: Claims by tenant and key.
+        commands: Proposed commands.
+        leaving: Names of the engines that are listed as leaving.
     """
 
     def __init__(self, engines: list[StubEngine], rows: dict[str, object] | None = None) -> None:
@@ -219,8 +233,8 @@
         self.version = 1
         self.rows = default_rows() | (rows or {})
         self.requests: list[ExchangeRequest] = []
-        self.answers = threading.Event()
-        self.answers.set()
+        self.may_reply = threading.Event()
+        self.may_reply.set()
         self.leaving: set[str] = set()
         self.claims: dict[tuple[str, str], Claim] = {}
         self.commands: list[object] = []
@@ -236,12 +250,12 @@
         return self._server.address
 
     def stop(self) -> None:
-        self.answers.set()
+        self.may_reply.set()
         self._server.stop()
 
     def _exchange(self, envelope: Envelope, _peer: str) -> bytes:
         request = msgspec.json.decode(envelope.body, type=ExchangeRequest)
-        self.answers.wait(WAIT_S)
+        self.may_reply.wait(WAIT_S)
         self.requests.append(request)
         rows = [SettingRow(path, value, self.version) for path, value in self.rows.items()]
         return encode_reply(
@@ -338,14 +352,14 @@
     return runtime
 
 
-def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait on a condition that another thread makes true; fails the test after ``WAIT_S``."""
+def wait_until(condition: Callable[[], bool], expectation: str) -> None:
+    """Wait until another thread makes a condition true; fails the test after ``WAIT_S``."""
     pause = threading.Event()
     for _ in range(int(WAIT_S / 0.01)):
         if condition():
             return
         pause.wait(0.01)
-    raise AssertionError(f"not within {WAIT_S} s: {what}")
+    raise AssertionError(f"timed out after {WAIT_S} s: {expectation}")
 
 
 class Fleet:
@@ -353,7 +367,7 @@
 
     Args:
         folder: Folder for the gateway's files.
-        rows: Settings besides the default ones.
+        rows: Settings in addition to the default ones.
     """
 
     def __init__(self, folder: Path, rows: dict[str, object] | None = None) -> None:
@@ -390,7 +404,7 @@
 
     def stop(self) -> None:
         for engine in self.engines:
-            engine.hold.set()
+            engine.proceed.set()
         self.gateway.stop()
         for engine in self.engines:
             engine.stop()
--- a/tests/unit/test_gateway_claims.py
+++ b/tests/unit/test_gateway_claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: a durable claim before the first send, and the same answer to resends."""
+"""Idempotency keys: a durable claim before the first send, and the same response to resends."""
 
 from __future__ import annotations
 
@@ -44,11 +44,14 @@
 
 
 @pytest.mark.parametrize("body", [CHAT, STREAM])
-def test_a_resend_gets_the_same_answer_without_a_second_run(
+def test_a_resend_receives_the_same_response_without_a_second_run(
     fleet: Fleet, body: dict[str, object]
 ) -> None:
     first = fleet.post(body, **KEY)
-    wait_until(lambda: all(claim.finished for claim in fleet.hub.claims.values()), "recorded")
+    wait_until(
+        lambda: all(claim.finished for claim in fleet.hub.claims.values()),
+        "the response is recorded",
+    )
     second = fleet.post(body, **KEY)
     assert (first.status, second.status) == (200, 200)
     assert first.data == second.data
@@ -71,30 +74,30 @@
     assert fleet.started() == 1
 
 
-def test_a_key_with_another_body_is_refused(fleet: Fleet) -> None:
+def test_a_key_with_a_different_body_is_rejected(fleet: Fleet) -> None:
     fleet.post(CHAT, **KEY)
-    refused = fleet.post(CHAT | {"max_tokens": 5}, **KEY)
-    assert (refused.status, error_of(refused)["code"]) == (422, "key_reused")
-    assert error_of(refused)["execution"] == "not_run"
+    rejected = fleet.post(CHAT | {"max_tokens": 5}, **KEY)
+    assert (rejected.status, error_of(rejected)["code"]) == (422, "key_reused")
+    assert error_of(rejected)["execution"] == "not_run"
     assert fleet.started() == 1
 
 
 def test_the_claim_is_made_before_the_first_send(fleet: Fleet) -> None:
-    seen: list[int] = []
+    claims_at_send: list[int] = []
     engines = fleet.gateway.engines
-    original = engines.open
+    open_stream = engines.open
     engines.open = lambda call, *rest: (  # type: ignore[method-assign]
-        seen.append(len(fleet.hub.claims)),
-        original(call, *rest),
+        claims_at_send.append(len(fleet.hub.claims)),
+        open_stream(call, *rest),
     )[1]
     assert fleet.post(CHAT, **ONCE).status == 200
-    assert seen == [1]
+    assert claims_at_send == [1]
 
 
 def test_nothing_is_sent_without_a_claim(fleet: Fleet) -> None:
     fleet.hub.stop()
-    refused = fleet.post(CHAT, **ONCE)
-    assert (error_of(refused)["execution"], error_of(refused)["step"]) == ("not_run", "claiming")
+    rejected = fleet.post(CHAT, **ONCE)
+    assert (error_of(rejected)["execution"], error_of(rejected)["step"]) == ("not_run", "claiming")
     assert fleet.started() == 0
 
 
@@ -103,14 +106,14 @@
 ) -> None:
     monkeypatch.setattr(claims, "OPEN_CLAIM_WAITS_S", (0.05,) * 1000)
     for engine in fleet.engines:
-        engine.hold.clear()
+        engine.proceed.clear()
     with ThreadPoolExecutor(2) as threads:
         first = threads.submit(fleet.post, CHAT, **ONCE)
-        wait_until(lambda: fleet.started() == 1, "the first runs")
+        wait_until(lambda: fleet.started() == 1, "the first request runs")
         second = threads.submit(fleet.post, CHAT, **ONCE)
-        wait_until(lambda: len(fleet.hub.commands) >= 3, "the second waits")
+        wait_until(lambda: len(fleet.hub.commands) >= 3, "the second request waits")
         for engine in fleet.engines:
-            engine.hold.set()
+            engine.proceed.set()
         assert first.result().data == second.result().data
     assert fleet.started() == 1
 
@@ -121,15 +124,15 @@
     assert error_of(fleet.post(CHAT, **ONCE))["execution"] == "unknown"
     for engine in fleet.engines:
         engine.wrong_echo = False
-    again = fleet.post(CHAT, **ONCE)
-    assert (again.status, error_of(again)["code"]) == (409, "outcome_unknown")
-    assert error_of(again)["execution"] == "unknown"
-    assert again.headers["Retry-After"]
+    resend = fleet.post(CHAT, **ONCE)
+    assert (resend.status, error_of(resend)["code"]) == (409, "outcome_unknown")
+    assert error_of(resend)["execution"] == "unknown"
+    assert resend.headers["Retry-After"]
     assert fleet.started() == 1
 
 
 @pytest.mark.parametrize("repeat", [KEY, ONCE])
-def test_a_claim_whose_request_did_not_run_is_given_up(
+def test_the_claim_of_a_request_that_did_not_run_is_released(
     fleet: Fleet, repeat: dict[str, str]
 ) -> None:
     for engine in fleet.engines:
@@ -151,7 +154,7 @@
 
 
 class LostReplies:
-    """A control client whose first claim is committed but whose answer is lost."""
+    """Control client whose claims are committed while the replies to them are lost."""
 
     def __init__(self) -> None:
         self.commands: list[object] = []
@@ -178,13 +181,13 @@
         )
 
 
-def test_a_claim_whose_answer_was_lost_is_given_up_later() -> None:
+def test_a_claim_whose_reply_was_lost_is_released_in_the_background() -> None:
     control = LostReplies()
-    desk = ClaimClient(control, lambda: ["jobs-0"], "g1")  # type: ignore[arg-type]
-    outcome = desk.claim("acme", "order-7", b"{}")
+    client = ClaimClient(control, lambda: ["jobs-0"], "g1")  # type: ignore[arg-type]
+    outcome = client.claim("acme", "order-7", b"{}")
     assert isinstance(outcome, Failure)
     assert outcome.execution is Execution.NOT_RUN
-    wait_until(lambda: len(control.commands) == 2, "the claim is given up")
+    wait_until(lambda: len(control.commands) == 2, "the claim is released")
     claim, finish = control.commands
     assert isinstance(claim, ClaimRequest) and isinstance(finish, FinishClaim)
     assert finish.not_run and finish.attempt_id == claim.attempt_id
--- a/tests/unit/test_gateway_cores.py
+++ b/tests/unit/test_gateway_cores.py
@@ -1,4 +1,4 @@
-"""The pure cores of admission, routing, ejection, retries and the prefix index."""
+"""Unit tests of the pure logic of admission, routing, ejection, retries and the prefix index."""
 
 from __future__ import annotations
 
@@ -28,74 +28,78 @@
 QUEUE = QueueLimits(max_queue=2, queue_timeout_s=5.0)
 
 
-def refused(outcome: object) -> Failure:
+def expect_rejection(outcome: object) -> Failure:
+    """Check that a request was rejected without being run, and return the failure."""
     assert isinstance(outcome, Failure)
     assert outcome.execution is Execution.NOT_RUN
     return outcome
 
 
-def test_token_bucket_refuses_above_the_burst_and_refills() -> None:
+def test_token_bucket_rejects_above_the_burst_and_refills() -> None:
     admission = Admission()
     for _ in range(LIMITS.burst):
         assert admission.acquire("acme", LIMITS, 0.0) is None
-    refusal = refused(admission.acquire("acme", LIMITS, 0.0))
-    assert refusal.kind is FailureKind.RATE_LIMITED
-    assert refusal.retry_after_s == pytest.approx(0.5)
+    rejection = expect_rejection(admission.acquire("acme", LIMITS, 0.0))
+    assert rejection.kind is FailureKind.RATE_LIMITED
+    assert rejection.retry_after_s == pytest.approx(0.5)
     assert admission.acquire("other", LIMITS, 0.0) is None
     assert admission.acquire("acme", LIMITS, 0.5) is None
-    refused(admission.acquire("acme", LIMITS, 0.5))
+    expect_rejection(admission.acquire("acme", LIMITS, 0.5))
 
 
-def test_concurrency_limit_tells_when_a_place_will_be_free() -> None:
+def test_concurrency_limit_estimates_when_a_slot_becomes_free() -> None:
     limits = ResolvedLimits(requests_per_s=100.0, burst=100, concurrency=2, max_job_items=1)
     admission = Admission()
     assert [admission.acquire("acme", limits, 0.0) for _ in range(2)] == [None, None]
-    refused(admission.acquire("acme", limits, 0.0))
+    expect_rejection(admission.acquire("acme", limits, 0.0))
     admission.release("acme", 1.0)
     assert admission.acquire("acme", limits, 1.0) is None
-    refusal = refused(admission.acquire("acme", limits, 1.0))
-    assert refusal.retry_after_s == pytest.approx(10.0)
+    rejection = expect_rejection(admission.acquire("acme", limits, 1.0))
+    assert rejection.retry_after_s == pytest.approx(10.0)
 
 
-def test_queue_goes_in_order_and_is_bounded() -> None:
+def test_queue_is_first_in_first_out_and_bounded() -> None:
     admission = Admission()
     assert admission.admit_or_queue("llm", "a", QUEUE, 1, 0.0) == Admitted()
     assert admission.admit_or_queue("llm", "b", QUEUE, 0, 0.0) == Queued(ahead=0)
-    # A slot is free, but it belongs to the one that waits.
+    # The free slot belongs to the waiting request.
     assert admission.admit_or_queue("llm", "c", QUEUE, 1, 0.0) == Queued(ahead=1)
-    full = refused(admission.admit_or_queue("llm", "d", QUEUE, 0, 0.0))
+    full = expect_rejection(admission.admit_or_queue("llm", "d", QUEUE, 0, 0.0))
     assert (full.kind, full.step) == (FailureKind.OVERLOADED, Step.QUEUEING)
     assert admission.pop_admitted("llm", 1) == ["b"]
     assert admission.pop_admitted("llm", 5) == ["c"]
 
 
-def test_a_wait_beyond_the_deadline_is_refused_at_once_with_the_time_to_come_back() -> None:
+def test_a_wait_beyond_the_deadline_is_rejected_immediately_with_retry_after() -> None:
     admission = Admission()
     for second in range(5):
         admission.request_ended("llm", second * 2.0)
     admission.admit_or_queue("llm", "a", QUEUE, 0, 8.0)
-    refusal = refused(admission.admit_or_queue("llm", "b", QUEUE, 0, 8.0))
+    rejection = expect_rejection(admission.admit_or_queue("llm", "b", QUEUE, 0, 8.0))
     rate = DrainRate()
     for second in range(5):
         rate.record_end(second * 2.0)
     wait_s = rate.wait_s(2, 8.0)
     assert wait_s is not None
-    assert refusal.retry_after_s == pytest.approx(wait_s - QUEUE.queue_timeout_s)
+    assert rejection.retry_after_s == pytest.approx(wait_s - QUEUE.queue_timeout_s)
 
 
 def test_a_ticket_expires_at_its_deadline() -> None:
     admission = Admission()
     admission.admit_or_queue("llm", "a", QUEUE, 0, 0.0)
     assert admission.pop_expired("llm", "a", 4.9) is None
-    assert refused(admission.pop_expired("llm", "a", 5.0)).step is Step.QUEUEING
+    assert expect_rejection(admission.pop_expired("llm", "a", 5.0)).step is Step.QUEUEING
     assert admission.waiting() == 0
 
 
-def test_all_queues_together_are_bounded() -> None:
+def test_total_number_of_waiting_requests_is_bounded() -> None:
     admission = Admission(max_waiting=2)
     admission.admit_or_queue("llm", "a", QUEUE, 0, 0.0)
     admission.admit_or_queue("status", "b", QUEUE, 0, 0.0)
-    assert "in this gateway" in refused(admission.admit_or_queue("llm", "c", QUEUE, 0, 0.0)).reason
+    assert (
+        "in this gateway"
+        in expect_rejection(admission.admit_or_queue("llm", "c", QUEUE, 0, 0.0)).reason
+    )
     admission.remove("status", "b")
     assert admission.admit_or_queue("llm", "c", QUEUE, 0, 0.0) == Queued(ahead=1)
 
@@ -124,7 +128,7 @@
         ([candidate("a", load=4.0)], None),
     ],
 )
-def test_choice_of_a_runner(candidates: list[Candidate], expected: str | None) -> None:
+def test_selection_of_a_runner(candidates: list[Candidate], expected: str | None) -> None:
     assert chosen(candidates) == expected
 
 
@@ -145,50 +149,52 @@
     return choice.chosen.runner_id
 
 
-def test_all_gateways_send_a_conversation_to_the_same_home() -> None:
+def test_all_gateways_prefer_the_same_runner_for_a_conversation() -> None:
     runners = [candidate(f"e{index}", zone=f"z{index % 2 + 1}") for index in range(6)]
-    homes = set()
+    preferred = set()
     for number in range(20):
         blocks = blocks_of(f"c{number}", 40)
-        chosen_by_all = {
+        chosen_by_gateways = {
             chosen_for(blocks[:length], runners, seed, zone)
             for seed, (length, zone) in enumerate([(33, "z1"), (36, "z2"), (40, "z1")])
         }
-        assert len(chosen_by_all) == 1
-        homes |= chosen_by_all
-    assert len(homes) > 2, "conversations spread over the runners"
+        assert len(chosen_by_gateways) == 1
+        preferred |= chosen_by_gateways
+    assert len(preferred) > 2, "conversations are distributed over the runners"
 
 
-def test_a_home_that_is_gone_moves_only_its_own_conversations() -> None:
+def test_a_removed_runner_moves_only_its_own_conversations() -> None:
     runners = [candidate(f"e{index}") for index in range(6)]
     before = {number: chosen_for(blocks_of(f"c{number}", 32), runners, 1) for number in range(30)}
-    left = [item for item in runners if item.runner_id != "e3"]
-    for number, home in before.items():
-        if home != "e3":
-            assert chosen_for(blocks_of(f"c{number}", 32), left, 1) == home
+    remaining = [runner for runner in runners if runner.runner_id != "e3"]
+    for number, preferred in before.items():
+        if preferred != "e3":
+            assert chosen_for(blocks_of(f"c{number}", 32), remaining, 1) == preferred
 
 
-def test_a_loaded_home_gives_way() -> None:
+def test_a_loaded_preferred_runner_is_not_selected() -> None:
     blocks = blocks_of("c", 32)
     runners = [candidate(f"e{index}", capacity=20) for index in range(4)]
-    home = chosen_for(blocks, runners, 1)
+    preferred = chosen_for(blocks, runners, 1)
     loaded = [
-        candidate(item.runner_id, capacity=20, load=10.0 if item.runner_id == home else 0.0)
-        for item in runners
+        candidate(
+            runner.runner_id, capacity=20, load=10.0 if runner.runner_id == preferred else 0.0
+        )
+        for runner in runners
     ]
-    assert chosen_for(blocks, loaded, 1) != home
+    assert chosen_for(blocks, loaded, 1) != preferred
 
 
-def home_of(
+def affinity_of(
     blocks: list[str], *, continues: bool = True, prefix_weight: float = 1.0
 ) -> AffinityPrefix | None:
     return affinity_prefix(blocks, continues=continues, prefix_weight=prefix_weight)
 
 
-def test_a_first_turn_has_a_home_only_where_the_weight_says_that_prompts_come_again() -> None:
+def test_a_first_turn_has_a_preferred_runner_only_with_a_high_prefix_weight() -> None:
     blocks = blocks_of("c", 20)
-    assert home_of(blocks, continues=False) is None
-    assert home_of(blocks, continues=False, prefix_weight=4.0) is not None
+    assert affinity_of(blocks, continues=False) is None
+    assert affinity_of(blocks, continues=False, prefix_weight=4.0) is not None
     answered = '{"model": "m", "messages": [{"role": "%s", "content": "x"}]}'
     for role, continues in (("user", False), ("assistant", True)):
         parsed = parse_request(CHAT_PATH, (answered % role).encode())
@@ -196,19 +202,19 @@
         assert parsed.continues is continues
 
 
-def test_a_short_prompt_has_no_home_and_the_length_grows_in_steps() -> None:
+def test_a_short_prompt_has_no_affinity_and_the_prefix_length_doubles() -> None:
     blocks = blocks_of("c", 70)
-    assert home_of(blocks[:15]) is None
-    homes = [home_of(blocks[:length]) for length in (16, 31, 32, 63, 64, 70)]
-    assert [home.blocks for home in homes if home is not None] == [16, 16, 32, 32, 64, 64]
+    assert affinity_of(blocks[:15]) is None
+    prefixes = [affinity_of(blocks[:length]) for length in (16, 31, 32, 63, 64, 70)]
+    assert [prefix.blocks for prefix in prefixes if prefix is not None] == [16, 16, 32, 32, 64, 64]
 
 
-def test_a_far_prefix_is_worth_the_way_only_when_it_is_much_longer() -> None:
+def test_a_runner_in_another_zone_is_selected_only_for_a_much_longer_prefix() -> None:
     query = RouteQuery(
         zone="z1", prompt_blocks=40, prefix_weight=4.0, region_zones=frozenset({"z1", "z2"})
     )
-    for far_blocks, expected in ((8, "near"), (30, "far")):
-        runners = [candidate("near"), candidate("far", zone="z2", overlap_blocks=far_blocks)]
+    for remote_blocks, expected in ((8, "near"), (30, "far")):
+        runners = [candidate("near"), candidate("far", zone="z2", overlap_blocks=remote_blocks)]
         choice = choose(runners, query, random.Random(1))
         assert choice.chosen is not None
         assert choice.chosen.runner_id == expected
@@ -218,7 +224,7 @@
     assert choice.chosen.runner_id == "near"
 
 
-def test_gateways_with_the_same_reports_do_not_all_choose_the_same_runner() -> None:
+def test_gateways_with_the_same_reports_select_different_runners() -> None:
     runners = [candidate(f"e{index}", load=float(index % 2)) for index in range(8)]
     query = RouteQuery(zone="z1", prompt_blocks=0, prefix_weight=1.0)
     names = set()
@@ -229,7 +235,7 @@
     assert len(names) >= 4
 
 
-def test_ejection_backs_off_and_one_request_probes() -> None:
+def test_ejection_backs_off_and_a_single_request_probes() -> None:
     ejection, generator = Ejection(), random.Random(1)
     ids = ["a", "b", "c"]
     for _ in range(FAILURES_TO_EJECT - 1):
@@ -251,7 +257,7 @@
     assert last_s <= MAX_EJECTION_S * 1.2
 
 
-def test_a_fault_common_to_most_runners_ejects_none() -> None:
+def test_a_fault_of_most_runners_ejects_none() -> None:
     ejection, generator = Ejection(), random.Random(1)
     for runner_id in ("a", "b"):
         for _ in range(FAILURES_TO_EJECT):
@@ -260,7 +266,7 @@
     assert ejection.blocked(["a", "b", "c", "d"], 0.0) == {"a", "b"}
 
 
-def test_retries_are_a_share_of_the_traffic() -> None:
+def test_retries_are_limited_to_a_ratio_of_the_traffic() -> None:
     budget = RetryBudget()
     while budget.take("llm", 0.0):
         pass
@@ -270,7 +276,7 @@
     while budget.take("llm", 0.0):
         taken += 1
     assert taken in (9, 10)
-    assert budget.take("llm", 2.0), "a quiet service earns a retry with time"
+    assert budget.take("llm", 2.0), "a service without traffic accrues a retry over time"
     assert budget.take("other", 0.0)
     assert taken <= MAX_SAVED_RETRIES
 
@@ -286,7 +292,7 @@
         (FailureKind.DEADLINE_EXCEEDED, Execution.NOT_RUN, True, False),
     ],
 )
-def test_what_may_be_repeated(
+def test_which_failures_may_be_retried(
     kind: FailureKind, execution: Execution, repeatable: bool, expected: bool
 ) -> None:
     failure = Failure(kind=kind, reason="", step=Step.SENDING, execution=execution)
@@ -297,7 +303,7 @@
     return CacheEvent(sequence=sequence, as_of_ms=0, kind=kind, blocks=list(blocks))
 
 
-def test_prefix_index_follows_events_and_tells_of_gaps() -> None:
+def test_prefix_index_applies_events_and_reports_gaps() -> None:
     index = PrefixIndex(max_blocks_per_runner=3)
     assert index.apply("e1", event(4, CacheEventKind.SNAPSHOT, "a", "b"))
     assert index.overlap("e1", ["a", "b", "c"]) == 2
--- a/tests/unit/test_gateway_limits.py
+++ b/tests/unit/test_gateway_limits.py
@@ -1,4 +1,4 @@
-"""Limits, queues, retries and ejection of a whole gateway, with stub engines."""
+"""Integration tests of limits, queues, retries and ejection: a gateway with stub engines."""
 
 from __future__ import annotations
 
@@ -55,23 +55,23 @@
         yield executor
 
 
-def refusal_of(response: urllib3.BaseHTTPResponse) -> tuple[int, str, str]:
+def rejection_of(response: urllib3.BaseHTTPResponse) -> tuple[int, str, str]:
     error: dict[str, Any] = json.loads(response.data)["error"]
     assert int(response.headers["Retry-After"]) >= 1
     return response.status, error["step"], error["execution"]
 
 
-def hold(fleet: Fleet) -> None:
+def block_engines(fleet: Fleet) -> None:
     for engine in fleet.engines:
-        engine.hold.clear()
+        engine.proceed.clear()
 
 
-def release(fleet: Fleet) -> None:
+def unblock_engines(fleet: Fleet) -> None:
     for engine in fleet.engines:
-        engine.hold.set()
+        engine.proceed.set()
 
 
-def queued(fleet: Fleet) -> float | None:
+def queued_requests(fleet: Fleet) -> float | None:
     return fleet.gateway.counters.registry.get_sample_value("leverjunction_queued_requests")
 
 
@@ -79,74 +79,80 @@
     return [decision.outcome.value for decision in fleet.decisions()]
 
 
-def test_a_tenant_above_its_rate_is_refused_at_once(start: StartFleet) -> None:
+def test_a_tenant_above_its_rate_is_rejected_immediately(start: StartFleet) -> None:
     fleet = start({f"{LIMITS}/burst": 2, f"{LIMITS}/requests_per_s": 0.001})
     assert [fleet.post(CHAT).status for _ in range(2)] == [200, 200]
-    assert refusal_of(fleet.post(CHAT)) == (429, "admission", "not_run")
+    assert rejection_of(fleet.post(CHAT)) == (429, "admission", "not_run")
     assert fleet.started() == 2
 
 
-def test_a_tenant_above_its_concurrency_is_refused_until_one_ends(
+def test_a_tenant_above_its_concurrency_is_rejected_until_a_request_ends(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     fleet = start({f"{LIMITS}/concurrency": 1})
-    hold(fleet)
+    block_engines(fleet)
     first = threads.submit(fleet.post, CHAT)
-    wait_until(lambda: fleet.started() == 1, "the first runs")
-    assert refusal_of(fleet.post(CHAT)) == (429, "admission", "not_run")
-    release(fleet)
+    wait_until(lambda: fleet.started() == 1, "the first request runs")
+    assert rejection_of(fleet.post(CHAT)) == (429, "admission", "not_run")
+    unblock_engines(fleet)
     assert first.result().status == 200
     assert fleet.post(CHAT | {"stream": True}).data.endswith(b"[DONE]\n\n")
-    wait_until(lambda: fleet.open_streams() == 0, "the stream's place is free")
+    wait_until(lambda: fleet.open_streams() == 0, "the stream has released its slot")
     assert fleet.post(CHAT).status == 200
 
 
-def test_the_queue_is_bounded_and_goes_on_when_a_runner_is_free(
+def test_the_queue_is_bounded_and_proceeds_when_a_runner_is_free(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     rows = {f"{SERVING}/max_running_per_runner": 1, f"{SERVING}/max_queue": 1}
     fleet = start(rows | {f"{SERVING}/queue_timeout_s": 60.0})
-    hold(fleet)
+    block_engines(fleet)
     running = [threads.submit(fleet.post, CHAT) for _ in range(2)]
     wait_until(lambda: fleet.started() == 2, "both runners are full")
     waiting = threads.submit(fleet.post, CHAT)
-    wait_until(lambda: queued(fleet) == 1, "one waits")
-    assert refusal_of(fleet.post(CHAT)) == (503, "queueing", "not_run")
+    wait_until(lambda: queued_requests(fleet) == 1, "one request is queued")
+    assert rejection_of(fleet.post(CHAT)) == (503, "queueing", "not_run")
     assert fleet.started() == 2
-    release(fleet)
+    unblock_engines(fleet)
     assert [answer.result().status for answer in [*running, waiting]] == [200, 200, 200]
     [record] = [item for item in fleet.decisions() if item.outcome.value == "queued"]
     assert "full" in record.reason
 
 
-def test_a_request_waits_no_longer_than_its_queue_deadline(
+def test_a_request_waits_at_most_until_its_queue_deadline(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     rows = {f"{SERVING}/max_running_per_runner": 1, f"{SERVING}/queue_timeout_s": 0.2}
     fleet = start(rows)
-    hold(fleet)
+    block_engines(fleet)
     running = [threads.submit(fleet.post, CHAT) for _ in range(2)]
     wait_until(lambda: fleet.started() == 2, "both runners are full")
-    assert refusal_of(fleet.post(CHAT)) == (503, "queueing", "not_run")
-    release(fleet)
+    assert rejection_of(fleet.post(CHAT)) == (503, "queueing", "not_run")
+    unblock_engines(fleet)
     assert [answer.result().status for answer in running] == [200, 200]
 
 
-def test_a_planned_stop_serves_what_runs_and_what_waits(
+def test_a_graceful_shutdown_serves_running_and_queued_requests(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     rows = {f"{SERVING}/max_running_per_runner": 1, f"{SERVING}/queue_timeout_s": 60.0}
     fleet = start(rows)
-    hold(fleet)
+    block_engines(fleet)
     answers: list[Answer] = [
         threads.submit(fleet.post, CHAT | {"stream": index == 0}) for index in range(3)
     ]
-    wait_until(lambda: fleet.started() == 2 and queued(fleet) == 1, "two run, one waits")
+    wait_until(
+        lambda: fleet.started() == 2 and queued_requests(fleet) == 1,
+        "two requests run, one is queued",
+    )
     drained = threads.submit(fleet.gateway.drain)
-    wait_until(lambda: fleet.gateway.inflight.stopping, "it stops")
-    assert refusal_of(fleet.post(CHAT)) == (503, "admission", "not_run")
-    wait_until(lambda: fleet.hub.requests[-1].gateway.stopping, "the hub hears of it")
-    release(fleet)
+    wait_until(lambda: fleet.gateway.inflight.stopping, "the gateway is stopping")
+    assert rejection_of(fleet.post(CHAT)) == (503, "admission", "not_run")
+    wait_until(
+        lambda: fleet.hub.requests[-1].gateway.stopping,
+        "the hub knows that the gateway is stopping",
+    )
+    unblock_engines(fleet)
     assert drained.result()
     for answer in answers:
         assert answer.result().status == 200
@@ -154,22 +160,22 @@
     assert answers[0].result().data.endswith(b"[DONE]\n\n")
 
 
-def test_threads_stay_free_for_probes_and_refusals(
+def test_threads_stay_free_for_probes_and_rejections(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     fleet = start({})
-    hold(fleet)
+    block_engines(fleet)
     limit = fleet.gateway.config.request_threads - 2
     running = [threads.submit(fleet.post, CHAT) for _ in range(limit)]
     wait_until(lambda: fleet.started() == limit, "all threads but two are in use")
-    assert refusal_of(fleet.post(CHAT)) == (503, "admission", "not_run")
+    assert rejection_of(fleet.post(CHAT)) == (503, "admission", "not_run")
     assert fleet.http.request("GET", f"{fleet.url}/health").status == 200
-    release(fleet)
+    unblock_engines(fleet)
     assert {answer.result().status for answer in running} == {200}
 
 
 @pytest.mark.parametrize("status", [429, 503, 404])
-def test_a_runner_that_refuses_is_passed_over(start: StartFleet, status: int) -> None:
+def test_a_request_rejected_by_a_runner_is_sent_to_another(start: StartFleet, status: int) -> None:
     fleet = start({})
     fleet.engines[0].status = status
     answers = [fleet.post(CHAT, **{"X-Repeat": "never"}) for _ in range(6)]
@@ -177,11 +183,11 @@
     assert len(fleet.engines[1].started) == 6
 
 
-def test_when_all_runners_refuse_the_refusal_says_not_run(start: StartFleet) -> None:
+def test_a_request_rejected_by_all_runners_is_reported_as_not_run(start: StartFleet) -> None:
     fleet = start({})
     for engine in fleet.engines:
         engine.status = 503
-    assert refusal_of(fleet.post(CHAT)) == (503, "responding", "not_run")
+    assert rejection_of(fleet.post(CHAT)) == (503, "responding", "not_run")
 
 
 @pytest.mark.parametrize("fault", ["status", "wrong_echo"])
@@ -195,13 +201,15 @@
     error = json.loads(fleet.post(CHAT, **{"X-Repeat": "never"}).data)["error"]
     assert (error["execution"], fleet.started()) == ("unknown", 1)
     assert error["peer"] in {engine.address for engine in fleet.engines}
-    wait_until(lambda: any(engine.cancelled for engine in fleet.engines), "it is cancelled")
+    wait_until(
+        lambda: any(engine.cancelled for engine in fleet.engines), "the request is cancelled"
+    )
     error = json.loads(fleet.post(CHAT).data)["error"]
     assert (error["execution"], fleet.started()) == ("unknown", 3)
     assert "retried" in outcomes(fleet)
 
 
-def test_an_answer_to_another_request_never_reaches_the_caller(start: StartFleet) -> None:
+def test_a_response_to_another_request_never_reaches_the_caller(start: StartFleet) -> None:
     fleet = start({})
     fleet.engines[0].wrong_echo = True
     for stream in (False, True):
@@ -211,8 +219,10 @@
             assert "w11" in response.data.decode()
 
 
-def test_retries_end_with_the_budget(start: StartFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    # A slow run must not earn retries with time.
+def test_retries_stop_when_the_budget_is_exhausted(
+    start: StartFleet, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Without this, a slow test run would accrue retries over time.
     monkeypatch.setattr(retry, "MIN_RETRIES_PER_S", 0.0)
     fleet = start({f"{SERVING}/retry_budget_ratio": 0.0})
     for engine in fleet.engines:
@@ -227,7 +237,7 @@
 def test_a_failing_runner_is_ejected_and_probed_again(
     start: StartFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The ejection ends when the test says so, not when a slow run has taken long enough.
+    # The test ends the ejection explicitly, so that a slow test run does not end it earlier.
     monkeypatch.setattr(ejection, "FIRST_EJECTION_S", 10_000.0)
     monkeypatch.setattr(ejection, "MAX_EJECTION_S", 10_000.0)
     fleet = start({})
@@ -236,13 +246,13 @@
     while "ejected" not in outcomes(fleet):
         assert fleet.post(CHAT).status == 200
     assert len(broken.started) == FAILURES_TO_EJECT
-    wait_until(lambda: usable(fleet) == 1, "the ejection shows in the counters")
+    wait_until(lambda: usable_runners(fleet) == 1, "the metrics show the ejection")
     broken.status = 200
     fleet.gateway.pool._ejection._health["e1"].ejected_until_s = 0.0
-    wait_until(lambda: is_probed(fleet), "a request probes it")
+    wait_until(lambda: is_probed(fleet), "a request probes the runner")
     assert len(broken.started) > FAILURES_TO_EJECT
     assert len(sound.started) > 0
-    wait_until(lambda: usable(fleet) == 2, "it is in use again")
+    wait_until(lambda: usable_runners(fleet) == 2, "the runner is in use again")
 
 
 def is_probed(fleet: Fleet) -> bool:
@@ -250,7 +260,7 @@
     return "probed" in outcomes(fleet)
 
 
-def usable(fleet: Fleet) -> float | None:
+def usable_runners(fleet: Fleet) -> float | None:
     registry = fleet.gateway.counters.registry
     return registry.get_sample_value("leverjunction_usable_runners", {"service": SERVICE})
 
@@ -258,17 +268,17 @@
 def test_a_leaving_runner_gets_no_new_requests(start: StartFleet) -> None:
     fleet = start({})
     fleet.hub.leaving.add("e1")
-    wait_until(lambda: usable(fleet) == 1, "the gateway heard of it")
+    wait_until(lambda: usable_runners(fleet) == 1, "the gateway knows that e1 is leaving")
     before = len(fleet.engines[0].started)
     for _ in range(6):
         assert fleet.post(CHAT).status == 200
     assert len(fleet.engines[0].started) == before
     fleet.hub.leaving.add("e2")
-    wait_until(lambda: usable(fleet) == 0, "the gateway heard of it")
-    assert refusal_of(fleet.post(CHAT)) == (503, "routing", "not_run")
+    wait_until(lambda: usable_runners(fleet) == 0, "the gateway knows that e2 is leaving")
+    assert rejection_of(fleet.post(CHAT)) == (503, "routing", "not_run")
 
 
-def test_what_is_known_of_a_gone_runner_is_dropped(start: StartFleet) -> None:
+def test_the_state_of_a_removed_runner_is_discarded(start: StartFleet) -> None:
     fleet = start({})
     pool = fleet.gateway.pool
     long_prompt = " ".join(f"p{index}" for index in range(40))
@@ -279,11 +289,11 @@
         gone = next((item for item in fleet.engines if item.name in pool._prefixes._runners), None)
     fleet.hub.engines = [item for item in fleet.engines if item is not gone]
     name = gone.name
-    wait_until(lambda: name not in pool._prefixes._runners, "it is forgotten")
+    wait_until(lambda: name not in pool._prefixes._runners, "the runner's state is discarded")
     assert pool._ledger.open_count(name) == 0
 
 
-def test_requests_at_once_are_all_answered_with_their_own_text(
+def test_concurrent_requests_all_receive_their_own_response(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     fleet = start({})
@@ -300,9 +310,9 @@
 def submit_until_frozen(
     fleet: Fleet, threads: ThreadPoolExecutor, body: dict[str, object], **headers: str
 ) -> list[Answer]:
-    """Send requests until the first engine has one, which freezes it, and report it unreachable."""
+    """Send requests until the first engine freezes, then report that engine as unreachable."""
     frozen = fleet.engines[0]
-    frozen.freezes = True
+    frozen.freeze_on_request = True
     answers: list[Answer] = []
     while not frozen.started:
         answers.append(threads.submit(fleet.post, body, **headers))
@@ -313,23 +323,26 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_a_request_leaves_a_runner_that_freezes_before_its_answer(
+def test_a_request_is_retried_when_its_runner_freezes_before_responding(
     start: StartFleet, threads: ThreadPoolExecutor, stream: bool
 ) -> None:
-    """Found by whole_answer.feature: it waited for its whole deadline and ended with 504."""
+    """A request must not wait for a runner that its owner reports as unreachable.
+
+    Found by whole_answer.feature: the request waited until its deadline and failed with 504.
+    """
     fleet = start({f"{SERVING}/deadline_s": FROZEN_S})
     for answer in submit_until_frozen(fleet, threads, CHAT | {"stream": stream}):
         assert answer.result().status == 200
         assert WORDS[-1] in answer.result().data.decode()
-    assert not fleet.engines[0].thaw.is_set()
+    assert not fleet.engines[0].unfreeze.is_set()
     assert "retried" in outcomes(fleet)
 
 
-def test_a_request_that_may_not_repeat_stays_with_a_frozen_runner(
+def test_a_request_that_must_not_be_repeated_stays_on_a_frozen_runner(
     start: StartFleet, threads: ThreadPoolExecutor
 ) -> None:
     fleet = start({f"{SERVING}/deadline_s": FROZEN_S})
     answers = submit_until_frozen(fleet, threads, CHAT, **{"X-Repeat": "never"})
-    fleet.engines[0].thaw.set()
+    fleet.engines[0].unfreeze.set()
     assert [answer.result().status for answer in answers] == [200] * len(answers)
     assert len(fleet.engines[0].started) == 1
--- a/tests/unit/test_gateway_owner.py
+++ b/tests/unit/test_gateway_owner.py
@@ -1,4 +1,4 @@
-"""How often an owner reads its runners: busy ones always, idle ones seldom."""
+"""Poll intervals of owned runners: busy runners are polled always, idle ones less often."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         return self.answer
 
 
-class NoFeed:
+class StubFeed:
     def update(self, _owned: list[RunnerState]) -> None:
         return None
 
@@ -57,23 +57,23 @@
         (UNREACHABLE, False, 0, True),
     ],
 )
-def test_only_an_idle_runner_without_work_in_sight_is_read_seldom(
+def test_only_an_idle_runner_without_expected_work_is_polled_less_often(
     answer: LoadReport | Failure, has_batch: bool, open_sends: int, is_due: bool
 ) -> None:
     engines, view = StubEngines(), ClusterView()
     pool = RunnerPool(view, "z1", SystemClock(), random.Random(1))
-    loop = RunnerPoller(
+    poller = RunnerPoller(
         engines,  # type: ignore[arg-type]
         view,
         pool,
         DigestOutbox(),
         lambda _runner_id, _report: None,
-        NoFeed(),  # type: ignore[arg-type]
+        StubFeed(),  # type: ignore[arg-type]
     )
-    loop.update([RUNNER])
-    assert loop._is_due("e1", False), "it was never read"
+    poller.update([RUNNER])
+    assert poller._is_due("e1", False), "it was never polled"
     engines.answer = answer
-    loop._poll(RUNNER)
+    poller._poll(RUNNER)
     for number in range(open_sends):
         pool.record_send("e1", f"r.{number}", [])
-    assert loop._is_due("e1", has_batch) is is_due
+    assert poller._is_due("e1", has_batch) is is_due
--- a/tests/unit/test_gateway_ownership.py
+++ b/tests/unit/test_gateway_ownership.py
@@ -1,4 +1,4 @@
-"""Which runners a gateway owns, and when that is worked out."""
+"""The runners that a gateway owns, and when they are computed again."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     )
 
 
-def test_a_reply_without_members_leaves_them_as_they_are(state: ClusterSnapshot) -> None:
+def test_a_reply_without_members_keeps_the_same_objects(state: ClusterSnapshot) -> None:
     after = apply_reply(state, reply(digests=[DIGEST]))
     assert after.digests == {"r1": DIGEST}
     assert after.runners is state.runners
@@ -68,7 +68,7 @@
         {},
     ],
 )
-def test_owned_runners_follow_every_change_of_members(
+def test_owned_runners_are_updated_for_every_change_of_members(
     state: ClusterSnapshot, changes: dict[str, list[object]]
 ) -> None:
     owned = OwnedRunners("g0")
@@ -80,7 +80,7 @@
     assert {digest in after.runners for digest in after.digests} <= {True}
 
 
-def test_owned_runners_are_not_worked_out_again_without_a_change(state: ClusterSnapshot) -> None:
+def test_owned_runners_are_not_computed_again_without_a_change(state: ClusterSnapshot) -> None:
     owned = OwnedRunners("g0")
     first = owned.update(state)
     assert first
--- a/tests/unit/test_gateway_serving.py
+++ b/tests/unit/test_gateway_serving.py
@@ -1,4 +1,4 @@
-"""A whole gateway against stub engines and a stub hub, over real sockets."""
+"""Integration tests of a gateway with stub engines and a stub hub, over real sockets."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return "".join(chunk.choices[0].delta.content or "" for chunk in stream)
 
 
-def test_openai_client_unmodified(fleet: Fleet) -> None:
+def test_the_unmodified_openai_client_works(fleet: Fleet) -> None:
     client = fleet.client()
     whole = client.chat.completions.create(model=MODEL, messages=MESSAGES)
     assert whole.choices[0].message.content == TEXT
@@ -54,21 +54,21 @@
     assert fleet.http.connection_from_url(fleet.url).num_connections == 1
 
 
-def test_a_stream_outlives_garbage_collection(fleet: Fleet) -> None:
+def test_a_stream_survives_garbage_collection(fleet: Fleet) -> None:
     for engine in fleet.engines:
-        engine.hold_from = 3
-        engine.hold.clear()
+        engine.block_from = 3
+        engine.proceed.clear()
     stream = fleet.client().chat.completions.create(model=MODEL, messages=MESSAGES, stream=True)
     pieces = [next(stream).choices[0].delta.content for _ in range(3)]
     gc.collect()
     for engine in fleet.engines:
-        engine.hold.set()
+        engine.proceed.set()
     pieces += [chunk.choices[0].delta.content for chunk in stream]
     assert "".join(pieces) == TEXT
     assert [engine.resumed for engine in fleet.engines] == [[], []]
 
 
-def test_a_gateway_cancels_the_batch_that_its_former_incarnation_left(tmp_path: Path) -> None:
+def test_a_gateway_cancels_the_batch_requests_of_its_previous_incarnation(tmp_path: Path) -> None:
     engine = StubEngine("e1")
     engine.held = [HeldRequest("left-behind", "g1/1/repeat"), HeldRequest("not-batch", "other")]
     hub = StubHub([engine])
--- a/tests/unit/test_gateway_standstill.py
+++ b/tests/unit/test_gateway_standstill.py
@@ -1,4 +1,7 @@
-"""A gateway that stood still asks its hub before it sends: runners may be leaving by now."""
+"""A gateway whose process was paused waits for a view from its hub before it sends requests.
+
+During the pause (a standstill), runners may have begun to leave.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 from leverjunction.batch.harvester import Harvester
 
 pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
-STOOD_S = 5.0
-HELD_S = 0.3
+PAUSE_S = 5.0
+HOLD_S = 0.3
 
 
 @pytest.fixture
@@ -26,24 +29,24 @@
     fleet.stop()
 
 
-def stand_still(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> threading.Event:
-    """Have the gateway find that it stood still; its hub answers once the event is set."""
+def simulate_pause(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> threading.Event:
+    """Make the gateway detect a pause of its process; its hub replies once the event is set."""
     clock = fleet.gateway.clock
     now_s = clock.monotonic_s
-    fleet.hub.answers.clear()
-    monkeypatch.setattr(clock, "monotonic_s", lambda: now_s() + STOOD_S)
-    return fleet.hub.answers
+    fleet.hub.may_reply.clear()
+    monkeypatch.setattr(clock, "monotonic_s", lambda: now_s() + PAUSE_S)
+    return fleet.hub.may_reply
 
 
 def test_requests_wait_for_the_hub_after_a_standstill(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Six requests began at a runner 3.6 to 5.8 s after it was to get no more.
+    """Requests must not be routed by a view that is older than a pause of the process.
 
-    All processes of the fleet had stood still for 5 s; the gateways went on with what they had
-    known before, until a hub gave out its view again.
+    All processes of a fleet were paused for 5 s. Until a hub sent its view again, the gateways used
+    the old one: six requests began on a leaving runner 3.6 to 5.8 s after its last allowed start.
     """
-    answers = stand_still(fleet, monkeypatch)
+    may_reply = simulate_pause(fleet, monkeypatch)
     fleet.hub.leaving = {"e1"}
     statuses: list[int] = []
     callers = [
@@ -51,36 +54,38 @@
     ]
     for caller in callers:
         caller.start()
-    time.sleep(HELD_S)
+    time.sleep(HOLD_S)
     assert fleet.started() == 0
-    answers.set()
+    may_reply.set()
     for caller in callers:
         caller.join()
     assert statuses == [200] * 6
     assert [len(engine.started) for engine in fleet.engines] == [0, 6]
-    told = fleet.gateway.counters.registry.get_sample_value("leverjunction_standstills_total")
-    assert told == 1
+    standstills = fleet.gateway.counters.registry.get_sample_value(
+        "leverjunction_standstills_total"
+    )
+    assert standstills == 1
 
 
-def test_without_a_hub_requests_are_sent_after_a_while(
+def test_without_a_hub_requests_are_sent_after_a_timeout(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stand_still(fleet, monkeypatch)
+    simulate_pause(fleet, monkeypatch)
     assert fleet.post(CHAT).status == 200
 
 
-class Doubt:
-    """Whether a gateway's view is in doubt."""
+class ViewDoubt:
+    """Stub for ``is_in_doubt``: whether a gateway's view may be outdated."""
 
     def __init__(self) -> None:
-        self.is_there = True
+        self.is_in_doubt = True
 
     def __call__(self) -> bool:
-        return self.is_there
+        return self.is_in_doubt
 
 
-def test_no_item_is_run_while_the_view_is_in_doubt() -> None:
-    world, doubt = World(), Doubt()
+def test_no_batch_item_runs_while_the_view_may_be_outdated() -> None:
+    world, doubt = World(), ViewDoubt()
     world.harvester.stop()
     world.harvester = Harvester(
         world.control,
@@ -93,9 +98,9 @@
     try:
         world.submit(4)
         world.start()
-        time.sleep(HELD_S)
+        time.sleep(HOLD_S)
         assert world.engines.calls == []
-        doubt.is_there = False
+        doubt.is_in_doubt = False
         assert world.wait_job(lambda view: view.done == 4).discarded == 0
     finally:
         world.engines.release()
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams that break, lose their caller or meet a fault of the gateway's own."""
+"""Streams that break, lose their caller or hit an internal error of the gateway."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def assert_all_closed(fleet: Fleet) -> None:
-    """Check that no stream, place of a tenant or send is left open."""
+    """Check that no stream, tenant slot or send is left open."""
     assert fleet.gateway.relay.wait_idle(WAIT_S)
     assert fleet.open_streams() == 0
     wait_until(lambda: open_sends(fleet) == 0, "all sends are closed")
@@ -71,7 +71,7 @@
     return sum(ledger.open_count(engine.name) for engine in fleet.engines)
 
 
-def test_a_broken_stream_is_resumed_where_it_broke(fleet: Fleet) -> None:
+def test_a_broken_stream_is_resumed_at_the_last_event(fleet: Fleet) -> None:
     for engine in fleet.engines:
         engine.break_after = 4
     events = events_of(fleet.post(STREAM))
@@ -82,15 +82,15 @@
     assert_all_closed(fleet)
 
 
-def test_a_stream_that_cannot_be_resumed_is_continued_elsewhere(fleet: Fleet) -> None:
+def test_a_stream_that_cannot_be_resumed_is_continued_on_another_runner(fleet: Fleet) -> None:
     for engine in fleet.engines:
         engine.forget_streams = True
     broken = fleet.engines[0]
     broken.break_after = 5
     fleet.engines[1].status = 503
     fleet.engines[1].start_seen.clear()
-    broken.hold_from = 3
-    broken.hold.clear()
+    broken.block_from = 3
+    broken.proceed.clear()
     response = fleet.http.request(
         "POST",
         f"{fleet.url}{CHAT_PATH}",
@@ -99,7 +99,7 @@
         preload_content=False,
     )
     fleet.engines[1].status = 200
-    broken.hold.set()
+    broken.proceed.set()
     assert text_of(events_of(response)) == TEXT
     continued = [body for body in fleet.engines[1].started if "continue_text" in body]
     assert [body["continue_text"] for body in continued] == [" ".join(WORDS[:5])]
@@ -107,7 +107,7 @@
     assert_all_closed(fleet)
 
 
-def test_a_request_that_may_not_repeat_ends_with_an_error_event(fleet: Fleet) -> None:
+def test_a_request_that_must_not_be_repeated_ends_with_an_error_event(fleet: Fleet) -> None:
     for engine in fleet.engines:
         engine.break_after = 4
         engine.forget_streams = True
@@ -120,11 +120,11 @@
     assert_all_closed(fleet)
 
 
-def test_a_connection_that_cannot_be_taken_over_is_repaired(
+def test_a_stream_whose_connection_cannot_be_detached_is_repaired(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     original = EngineStream.detach
-    faults = iter([OSError("a fault of the test")])
+    faults = iter([OSError("injected by the test")])
 
     def detach(stream: EngineStream) -> object:
         for fault in faults:
@@ -136,13 +136,13 @@
     assert_all_closed(fleet)
 
 
-def test_a_fault_of_the_relay_ends_one_stream_with_an_error_event(
+def test_an_internal_error_of_the_relay_ends_one_stream_with_an_error_event(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     original = RelayStream.whole_events
 
     def fail(_stream: RelayStream, _data: bytes) -> bytes:
-        raise ValueError("a fault of the test")
+        raise ValueError("injected by the test")
 
     monkeypatch.setattr(RelayStream, "whole_events", fail)
     error = error_of(events_of(fleet.post(STREAM)))
@@ -152,7 +152,7 @@
     assert text_of(events_of(fleet.post(STREAM))) == TEXT
 
 
-def test_a_head_that_cannot_be_written_leaves_nothing_open(
+def test_a_failed_write_of_the_response_head_leaves_nothing_open(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     original = HTTPRequest.send_headers
@@ -161,47 +161,51 @@
         if any(b"event-stream" in value for _name, value in request.outheaders) and (
             request.server is fleet.gateway.http_server
         ):
-            raise ConnectionResetError("a caller that left")
+            raise ConnectionResetError("the caller disconnected")
         original(request)
 
     monkeypatch.setattr(HTTPRequest, "send_headers", fail)
     with pytest.raises(urllib3.exceptions.HTTPError):
         fleet.post(STREAM)
     assert_all_closed(fleet)
-    wait_until(lambda: any(engine.cancelled for engine in fleet.engines), "it is cancelled")
+    wait_until(
+        lambda: any(engine.cancelled for engine in fleet.engines), "the request is cancelled"
+    )
 
 
-def test_a_caller_that_leaves_cancels_its_request(fleet: Fleet) -> None:
+def test_a_disconnected_caller_cancels_its_request(fleet: Fleet) -> None:
     for engine in fleet.engines:
-        engine.hold_from = 3
-        engine.hold.clear()
+        engine.block_from = 3
+        engine.proceed.clear()
     connection = raw_request(fleet, STREAM)
     assert b"w2" in read_until(connection, b"w2")
     connection.close()
-    wait_until(lambda: any(engine.cancelled for engine in fleet.engines), "it is cancelled")
+    wait_until(
+        lambda: any(engine.cancelled for engine in fleet.engines), "the request is cancelled"
+    )
     for engine in fleet.engines:
-        engine.hold.set()
+        engine.proceed.set()
     assert_all_closed(fleet)
     assert "cancelled" in {decision.outcome for decision in fleet.decisions()}
 
 
-def test_a_half_closed_caller_gets_its_whole_answer(fleet: Fleet) -> None:
+def test_a_half_closed_connection_receives_the_complete_response(fleet: Fleet) -> None:
     for engine in fleet.engines:
-        engine.hold_from = 3
-        engine.hold.clear()
+        engine.block_from = 3
+        engine.proceed.clear()
     connection = raw_request(fleet, STREAM)
     read_until(connection, b"w2")
     connection.shutdown(socket.SHUT_WR)
     for engine in fleet.engines:
-        engine.hold.set()
+        engine.proceed.set()
     assert DONE in read_until(connection, b"0\r\n\r\n")
     assert not any(engine.cancelled for engine in fleet.engines)
 
 
-def test_detach_gives_a_socket_that_outlives_the_answer() -> None:
+def test_detach_returns_a_socket_that_survives_the_response_object() -> None:
     engine = StubEngine("e1")
-    engine.hold_from = 2
-    engine.hold.clear()
+    engine.block_from = 2
+    engine.proceed.clear()
     client = EngineClient()
     stream = client.open(
         EngineCall(
@@ -220,11 +224,11 @@
     del stream
     client.close()
     gc.collect()
-    engine.hold.set()
+    engine.proceed.set()
     detached.connection.settimeout(WAIT_S)
     data = detached.first_bytes
-    while piece := detached.connection.recv(65536):
-        data += piece
+    while chunk_bytes := detached.connection.recv(65536):
+        data += chunk_bytes
     detached.connection.close()
     engine.stop()
     assert text_of([event.data for event in SseParser().feed(data)]) == TEXT
@@ -242,11 +246,11 @@
     return connection
 
 
-def read_until(connection: socket.socket, mark: bytes) -> bytes:
+def read_until(connection: socket.socket, marker: bytes) -> bytes:
     data = b""
-    while mark not in data:
-        piece = connection.recv(65536)
-        if not piece:
+    while marker not in data:
+        chunk_bytes = connection.recv(65536)
+        if not chunk_bytes:
             return data
-        data += piece
+        data += chunk_bytes
     return data
