--- a/src/leverjunction/gateway/admission_gate.py
+++ b/src/leverjunction/gateway/admission_gate.py
@@ -84,11 +84,11 @@
             self._counters.queued.set(self._admission.waiting())
         on_queued(decision.ahead)
         try:
-            refusal = self._wait(service, ticket_id, granted, free_slots)
+            rejection = self._wait(service, ticket_id, granted, free_slots)
         finally:
             self._forget(service, ticket_id)
-        if refusal is not None:
-            return refusal
+        if rejection is not None:
+            return rejection
         return self._clock.monotonic_s() - started_s
 
     def _wait(
@@ -104,9 +104,9 @@
             self.grant_slots(service, free_slots())
             with self._lock:
                 now_s = self._clock.monotonic_s()
-                refusal = self._admission.pop_expired(service, ticket_id, now_s)
-            if refusal is not None:
-                return refusal
+                rejection = self._admission.pop_expired(service, ticket_id, now_s)
+            if rejection is not None:
+                return rejection
         return None
 
     def grant_slots(self, service: str, free_slots: int) -> None:
--- a/src/leverjunction/gateway/ejection.py
+++ b/src/leverjunction/gateway/ejection.py
@@ -72,7 +72,7 @@
             return set()
         return blocked
 
-    def start_probe(self, runner_id: str, now_s: float) -> bool:
+    def start_probe_if_due(self, runner_id: str, now_s: float) -> bool:
         """Record that a request is sent to a runner.
 
         Returns:
--- a/src/leverjunction/gateway/online.py
+++ b/src/leverjunction/gateway/online.py
@@ -67,6 +67,7 @@
 
 
 ServeResult = RelayedResponse | BufferedResponse | Failure
+"""Result of ``OnlineService.serve``."""
 
 
 class GatewayLocation(msgspec.Struct, frozen=True, kw_only=True):
@@ -111,9 +112,9 @@
         request = self._build_request(caller)
         if isinstance(request, Failure):
             return self._refuse(caller.request_id, "", request)
-        refusal = self._gate.acquire(caller.tenant, self._settings().limits(caller.tenant))
-        if refusal is not None:
-            return self._refuse(caller.request_id, request.service, refusal)
+        rejection = self._gate.acquire(caller.tenant, self._settings().limits(caller.tenant))
+        if rejection is not None:
+            return self._refuse(caller.request_id, request.service, rejection)
         claim = self._claim(caller, request)
         if not isinstance(claim, HeldClaim | None):
             self._gate.release(caller.tenant)
--- a/src/leverjunction/gateway/runner_pool.py
+++ b/src/leverjunction/gateway/runner_pool.py
@@ -131,7 +131,7 @@
             before = self._ledger.open_count(runner_id)
             self._ledger.sent(runner_id, attempt_key, self._clock.wall_ms())
             self._prefixes.sent(runner_id, blocks)
-            is_probe = self._ejection.start_probe(runner_id, self._clock.monotonic_s())
+            is_probe = self._ejection.start_probe_if_due(runner_id, self._clock.monotonic_s())
             return SendStart(open_before=before, is_probe=is_probe)
 
     def record_finish(self, runner_id: str, attempt_key: str) -> None:
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -122,7 +122,11 @@
             attempt_number += 1
 
     def close_attempt(self, request: OnlineRequest, attempt: Attempt) -> None:
-        """Record the end of an attempt; for each ``OpenResponse``, the caller does so once."""
+        """Record the end of an attempt.
+
+        ``send`` does so itself, except for an ``OpenResponse``: its receiver must close the attempt
+        exactly once, at the end of the stream.
+        """
         self._pool.record_finish(attempt.runner_id, attempt.key(request.request_id))
         self._notifier.request_finished(attempt.runner_id)
         self._gate.request_ended(request.service)
@@ -180,7 +184,7 @@
         self.close_attempt(request, attempt)
         if isinstance(response, Failure):
             self._counters.attempts.labels(response.kind.value).inc()
-            self._note_failure(request, attempt, response)
+            self._handle_failure(request, attempt, response)
             return response
         self._pool.record_success(attempt.runner_id)
         self._counters.attempts.labels("ok").inc()
@@ -236,7 +240,7 @@
             attempt=attempt,
         )
 
-    def _note_failure(self, request: OnlineRequest, attempt: Attempt, failure: Failure) -> None:
+    def _handle_failure(self, request: OnlineRequest, attempt: Attempt, failure: Failure) -> None:
         if failure.kind in (FailureKind.OVERLOADED, FailureKind.NOT_FOUND):
             # The runner is healthy but rejected the request.
             self._pool.record_inconclusive(attempt.runner_id)
--- a/src/leverjunction/gateway/slow_clients.py
+++ b/src/leverjunction/gateway/slow_clients.py
@@ -50,7 +50,7 @@
                 self._due_s[connection] = steady_s() + self._timeout_s + extra_s
 
     def done(self, connection: ReadingConnection) -> None:
-        """End the deadline of a connection, whose request was read or which was released."""
+        """Remove the deadline of a connection whose request was read or which was released."""
         with self._lock:
             self._due_s.pop(connection, None)
 
--- a/src/leverjunction/gateway/stream_session.py
+++ b/src/leverjunction/gateway/stream_session.py
@@ -35,9 +35,12 @@
 """Consecutive repairs without any new event after which a stream ends with an error."""
 
 SILENCE_TIMEOUT_S = 20.0
+"""Time without any bytes from the engine after which its connection counts as broken."""
+
 RESUME_TIMEOUT_S = 3.0
 
 StreamEndCallback = Callable[[bytes, Failure | None], None]
+"""Called with the relayed events, and the reason for an early end or None."""
 
 
 class StreamDependencies(msgspec.Struct, frozen=True, kw_only=True):
@@ -132,7 +135,7 @@
             self._record_repair(DecisionOutcome.RESUMED, "resume", failure.reason)
             return resumed
         if not self._request.repeatable:
-            return self._give_up(failure, "the request may not be repeated")
+            return self._give_up(failure, "the request must not be repeated")
         if not progress.continuable:
             return self._give_up(failure, "the response is not plain text")
         continued = self._continue(progress, len(transcript))
--- a/tests/unit/test_gateway_cores.py
+++ b/tests/unit/test_gateway_cores.py
@@ -244,7 +244,7 @@
     assert first_s is not None
     assert ejection.blocked(ids, 0.0) == {"a"}
     assert ejection.blocked(ids, first_s) == set()
-    assert ejection.start_probe("a", first_s)
+    assert ejection.start_probe_if_due("a", first_s)
     assert ejection.blocked(ids, first_s) == {"a"}, "only one request probes"
     second_s = ejection.record_failure("a", first_s, generator)
     assert second_s is not None
