--- a/deploy/soak/broken.py
+++ b/deploy/soak/broken.py
@@ -6,14 +6,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from leverjunction.lots.batch_capacity import OccupiedSlot
-from leverjunction.lots.commands import LotAccepted
-
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent.parent / "src"))
 
 from leverjunction.clock import LOADED_S
 from leverjunction.lots import client
-from leverjunction.lots.commands import EndLot, SubmitLot
+from leverjunction.lots.batch_capacity import OccupiedSlot
+from leverjunction.lots.commands import EndLot, LotAccepted, SubmitLot
 from leverjunction.lots.runner import LotsRunner
 from leverjunction.platform.roles import main
 from leverjunction.proxy import caller_connection, forwarding
