--- a/src/leverjunction/api/batches.py
+++ b/src/leverjunction/api/batches.py
@@ -44,7 +44,7 @@
     JobView,
     ResultPage,
 )
-from leverjunction.batch.directory import Control, JobDirectory
+from leverjunction.batch.directory import GroupClient, JobDirectory
 from leverjunction.clock import Clock
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.settings.resolved import ResolvedSettings
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        control: Control,
+        control: GroupClient,
         settings: Callable[[], ResolvedSettings],
         clock: Clock,
         random: random_module.Random,
--- a/src/leverjunction/batch/directory.py
+++ b/src/leverjunction/batch/directory.py
@@ -15,7 +15,7 @@
 T = TypeVar("T")
 
 
-class Control(Protocol):
+class GroupClient(Protocol):
     """The part of ``wire.control_client.ControlClient`` that batch uses."""
 
     def propose(
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, control: Control, groups: Callable[[], list[str]], random: random_module.Random
+        self, control: GroupClient, groups: Callable[[], list[str]], random: random_module.Random
     ) -> None:
         self.control = control
         self._groups = groups
--- a/src/leverjunction/batch/harvester.py
+++ b/src/leverjunction/batch/harvester.py
@@ -24,7 +24,7 @@
     ItemState,
     Lease,
 )
-from leverjunction.batch.directory import Control
+from leverjunction.batch.directory import GroupClient
 from leverjunction.batch.harvest import HarvestTargets
 from leverjunction.batch.harvest_state import HarvestState
 from leverjunction.batch.harvest_types import GiveBack, Plan, Run, Verdict
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        control: Control,
+        control: GroupClient,
         engines: Engines,
         clock: Clock,
         random: random_module.Random,
--- a/src/leverjunction/batch/lease_fetcher.py
+++ b/src/leverjunction/batch/lease_fetcher.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from leverjunction.batch.commands import Backlog, GetBacklog, GrantLease, Lease
-from leverjunction.batch.directory import Control
+from leverjunction.batch.directory import GroupClient
 from leverjunction.batch.lease_polls import Place, PollSchedule
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        control: Control,
+        control: GroupClient,
         clock: Clock,
         random: random_module.Random,
         gateway_id: str,
--- a/src/leverjunction/batch/result_sender.py
+++ b/src/leverjunction/batch/result_sender.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from leverjunction.batch.commands import CompletedItems, CompleteItems, ItemResult
-from leverjunction.batch.directory import Control
+from leverjunction.batch.directory import GroupClient
 from leverjunction.clock import steady_s
 from leverjunction.errors import Failure, FailureKind, Step
 
@@ -25,7 +25,7 @@
 class ResultSenders:
     """A sender for each job group, so that one without a leader holds up no other's outcomes."""
 
-    def __init__(self, control: Control, committed: Committed) -> None:
+    def __init__(self, control: GroupClient, committed: Committed) -> None:
         self._control = control
         self._committed = committed
         self._lock = threading.Lock()
@@ -64,7 +64,7 @@
     The first committed outcome of an item wins, so sending one again is harmless.
     """
 
-    def __init__(self, control: Control, committed: Committed) -> None:
+    def __init__(self, control: GroupClient, committed: Committed) -> None:
         self._control = control
         self._committed = committed
         self._queued: dict[tuple[str, str], list[ItemResult]] = {}
