--- a/src/leverjunction/batch/leasing.py
+++ b/src/leverjunction/batch/leasing.py
@@ -215,10 +215,10 @@
     if gives_back and holds:
         _note_losses(connection, key, result.lost_runs)
     if gives_back:
-        return holds and _give_back(connection, job, key)
+        return holds and _return_item(connection, job, key)
     if job.is_final and holds:
         # A cancelled job's items are counted already; only the lease lets go of this one.
-        _give_back(connection, job, key)
+        _return_item(connection, job, key)
     if job.is_final or state in _FINAL_OUTCOMES or result.state not in _FINAL_OUTCOMES:
         return _discard(job)
     if state == ItemState.PENDING:
@@ -284,7 +284,7 @@
     job.pending -= 1
 
 
-def _give_back(connection: sqlite3.Connection, job: JobRow, key: int) -> bool:
+def _return_item(connection: sqlite3.Connection, job: JobRow, key: int) -> bool:
     """Return a leased item to the queue, or to nowhere when its job takes no more starts."""
     (lease,) = connection.execute(
         "SELECT lease FROM sm_item_states WHERE item_key = ?", (key,)
@@ -316,7 +316,7 @@
     for key, _attempt in _open_items(connection, lease):
         job = jobs.by_number(split_key(key)[0])
         if job.may_repeat or job.is_final:
-            _give_back(connection, job, key)
+            _return_item(connection, job, key)
             returned += 1
         else:
             job.leased -= 1
--- a/src/testbed/simulation/broken_state.py
+++ b/src/testbed/simulation/broken_state.py
@@ -245,7 +245,7 @@
     def give_all_back(connection: Any, jobs: Any, lease: int) -> Any:
         items = leasing._open_items(connection, lease)
         for key, _attempt in items:
-            leasing._give_back(connection, jobs.by_number(leasing.split_key(key)[0]), key)
+            leasing._return_item(connection, jobs.by_number(leasing.split_key(key)[0]), key)
         return leasing.ExpiredLeases(returned=len(items), unknown=0)
 
     return [mock.patch.object(leasing, "_end_lease", give_all_back)]
