--- a/src/leverjunction/batch/claims.py
+++ b/src/leverjunction/batch/claims.py
@@ -5,7 +5,7 @@
 import sqlite3
 
 from leverjunction.batch.commands import Claim, ClaimRequest, FinishClaim
-from leverjunction.batch.retention import forget_claims
+from leverjunction.batch.retention import delete_old_claims
 from leverjunction.consensus.api import ApplyContext
 from leverjunction.errors import Failure, FailureKind, Step
 
@@ -25,7 +25,7 @@
 
     A resend of the holder's own command is granted again: it is the same attempt.
     """
-    forget_claims(connection, context.wall_ms, CLAIMS_FORGOTTEN_PER_CLAIM)
+    delete_old_claims(connection, context.wall_ms, CLAIMS_FORGOTTEN_PER_CLAIM)
     connection.execute(
         """
         INSERT OR IGNORE INTO sm_claims (tenant, claim_key, content_hash, gateway, attempt_id,
--- a/src/leverjunction/batch/retention.py
+++ b/src/leverjunction/batch/retention.py
@@ -56,7 +56,7 @@
         save_job(connection, job)
         queue_removal(connection, job.number)
     removed_rows = delete_queued_rows(connection, ROWS_PER_COMMAND)
-    forget_claims(connection, context.wall_ms, ROWS_PER_COMMAND)
+    delete_old_claims(connection, context.wall_ms, ROWS_PER_COMMAND)
     _forget_leases(connection, context.wall_ms)
     _forget_removed_jobs(connection, context.wall_ms)
     return ExpiredLeases(
@@ -76,7 +76,7 @@
     return min((int(time) for time in times if time is not None), default=0)
 
 
-def forget_claims(connection: sqlite3.Connection, wall_ms: int, limit: int) -> None:
+def delete_old_claims(connection: sqlite3.Connection, wall_ms: int, limit: int) -> None:
     """Delete up to ``limit`` of the claims that are older than their retention."""
     connection.execute(
         """
