--- a/src/leverjunction/batch/state_machine.py
+++ b/src/leverjunction/batch/state_machine.py
@@ -1,8 +1,8 @@
-"""The replicated state machine of a job group (``jobs-N``).
+"""The replicated state machine of a job group (``jobs-N``), the group that replicates batch jobs.
 
-It dispatches decoded commands and queries; the rules are in ``submission``, ``leasing``,
-``retention``, ``claims`` and ``job_queries``. Everything is kept in SQLite tables, so memory does
-not grow with the number of jobs or items.
+This module decodes commands and queries and dispatches them. They are implemented in
+``submission``, ``leasing``, ``retention``, ``claims`` and ``job_queries``. All state is in SQLite
+tables, so memory use does not grow with the number of jobs or items.
 """
 
 from __future__ import annotations
@@ -43,33 +43,43 @@
 class JobsStateMachine:
     """Implements ``consensus.api.StateMachine`` for jobs, leases, results and claims.
 
-    Called by the group replica with its connection, inside its transaction.
+    The replica of the group calls it with its own database connection, inside a transaction.
     """
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
-        """Create the tables if they are missing."""
+        """Create the tables and indexes that do not exist yet."""
         tables.create_tables(connection)
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
-        """Apply one committed command and return its encoded reply."""
+        """Apply one committed command.
+
+        Args:
+            connection: Database connection of the replica, inside a transaction.
+            context: Index, term and wall clock of the log entry.
+            command: Encoded command.
+
+        Returns:
+            The encoded reply, or an encoded failure; the failure is CORRUPT when the command cannot
+            be decoded.
+        """
         try:
             decoded = _COMMANDS.decode(command)
         except msgspec.MsgspecError as error:
-            return encode_reply(_undecodable(error))
+            return encode_reply(_decode_failure(error))
         return encode_reply(self.apply_command(connection, context, decoded))
 
     def query(self, connection: sqlite3.Connection, query: bytes) -> bytes:
-        """Answer a read and return its encoded reply."""
+        """Answer an encoded query and return the encoded reply or failure."""
         try:
             decoded = _QUERIES.decode(query)
         except msgspec.MsgspecError as error:
-            return encode_reply(_undecodable(error))
+            return encode_reply(_decode_failure(error))
         return encode_reply(self.answer_query(connection, decoded))
 
     def apply_command(
         self, connection: sqlite3.Connection, context: ApplyContext, command: JobCommand
     ) -> object:
-        """Apply a decoded command and return its reply or failure."""
+        """Apply a decoded command and return its reply or a failure."""
         match command:
             case OpenJob():
                 return submission.open_job(connection, context, command)
@@ -97,7 +107,7 @@
                 return claims.finish_claim(connection, context, command)
 
     def answer_query(self, connection: sqlite3.Connection, query: JobQuery) -> object:
-        """Answer a decoded query and return its reply or failure."""
+        """Answer a decoded query and return its reply or a failure."""
         match query:
             case GetJob():
                 return job_queries.get_job(connection, query)
@@ -109,7 +119,7 @@
                 return job_queries.get_backlog(connection, query)
 
 
-def _undecodable(error: msgspec.MsgspecError) -> Failure:
+def _decode_failure(error: msgspec.MsgspecError) -> Failure:
     return Failure(
         kind=FailureKind.CORRUPT,
         reason=f"not a command or query of a job group: {error}",
