--- a/src/leverjunction/batch/leasing.py
+++ b/src/leverjunction/batch/leasing.py
@@ -1,4 +1,7 @@
-"""Granting and ending leases, and committing outcomes: each item becomes final exactly once."""
+"""Grants and ends leases of items to gateways, and commits the outcomes of items.
+
+The first final outcome committed for an item is kept, so each item becomes final exactly once.
+"""
 
 from __future__ import annotations
 
@@ -25,17 +28,18 @@
 from leverjunction.consensus.api import ApplyContext
 
 LEASE_DURATION_S = 10.0
-"""How long a lease holds without renewal: ten exchanges may fail, yet a dead gateway's items
-run elsewhere before a caller of a batch would notice."""
+"""How long a lease is valid without renewal. Ten exchanges in a row may fail, and the items of a
+dead gateway still run elsewhere before the caller of a batch would notice."""
 
 MIN_TURN_ITEMS = 4
-"""Items that a tenant gets in its turn at least, if it has them. Each tenant in a lease costs pages
-of its own in three tables, so leases of 16 that take one item from each of 16 tenants write twice
-as much. Tenants of one weight so differ by at most this many items at any moment."""
+"""Minimum number of items that one turn of a tenant takes, if the tenant has as many. Each tenant
+in a lease writes separate pages in three tables: leases of 16 items that take one item from each of
+16 tenants write twice as much. The leased items of tenants with equal weight differ by at most this
+number at any moment."""
 
 MAX_LEASE_ITEMS = 512
 MAX_LEASE_BYTES = 4_000_000
-"""Bounds of one grant's reply."""
+"""Limits on the reply to one grant: item count, and total length of the item bodies."""
 
 LEASE_LOST_BODY = '{"error":{"message":"the runner or its gateway was lost while the item ran; it \
 may not repeat","type":"outcome_unknown"}}'
@@ -46,7 +50,11 @@
 def grant_lease(
     connection: sqlite3.Connection, context: ApplyContext, command: GrantLease
 ) -> Lease:
-    """Lease pending items to an owner, or repeat the grant of the same lease id."""
+    """Lease pending items to a gateway.
+
+    If the lease id exists already, the command is a resend, and the reply lists the items that are
+    still leased under it.
+    """
     row = connection.execute(
         "SELECT number FROM sm_leases WHERE lease_id = ?", (command.lease_id,)
     ).fetchone()
@@ -70,7 +78,7 @@
 def complete_items(
     connection: sqlite3.Connection, context: ApplyContext, command: CompleteItems
 ) -> CompletedItems:
-    """Commit outcomes: the first final one of an item wins, all others are counted and dropped."""
+    """Commit outcomes; the first final outcome of an item wins, the others are only counted."""
     jobs = TouchedJobs(connection)
     lease = _lease_number(connection, command.lease_id)
     accepted = 0
@@ -94,7 +102,7 @@
 def expire_leases(
     connection: sqlite3.Connection, context: ApplyContext, command: ExpireLeases
 ) -> ExpiredLeases:
-    """End leases whose holders did not renew: items return, or end as UNKNOWN."""
+    """End leases that were not renewed; their items become pending again or end as UNKNOWN."""
     jobs = TouchedJobs(connection)
     returned = 0
     unknown = 0
@@ -111,8 +119,8 @@
 ) -> Iterator[LeasedItem]:
     remaining = min(command.max_items, MAX_LEASE_ITEMS)
     models = sorted(set(command.models))
-    # One lease serves several tenants in turn, so that a small tenant need not wait for the
-    # whole lease of a big one.
+    # One lease takes items from several tenants in turn, so that a tenant with few items does not
+    # wait until a tenant with many items has received a whole lease.
     tenants = max(1, pending.tenants_in_service(connection, command.service))
     quantum = max(MIN_TURN_ITEMS, remaining // tenants)
     size = 0
@@ -124,7 +132,7 @@
         if choice is None:
             return
         job = jobs.by_number(choice[0])
-        indexes = pending.take_items(connection, job, choice[1], min(quantum, remaining))
+        indexes = pending.dequeue_items(connection, job, choice[1], min(quantum, remaining))
         remaining -= len(indexes)
         for index in indexes:
             item = _lease_item(connection, job, index, lease)
@@ -169,7 +177,7 @@
 
 
 def _leased_items(connection: sqlite3.Connection, lease: int) -> Iterator[LeasedItem]:
-    """Yield the items that a lease still holds, for a resent grant."""
+    """Yield the items that are still leased under a lease, in reply to a resent grant."""
     jobs = TouchedJobs(connection)
     for key, attempt in _open_items(connection, lease):
         number, index = split_key(key)
@@ -196,7 +204,7 @@
 def _commit_result(
     connection: sqlite3.Connection, jobs: TouchedJobs, lease: int, result: ItemResult
 ) -> bool:
-    """Apply one outcome; False when it is discarded."""
+    """Apply one result and return whether it took effect; False means that it was discarded."""
     job = jobs.by_id(result.job_id)
     if job is None:
         return False
@@ -205,33 +213,36 @@
         "SELECT state, attempt, lease FROM sm_item_states WHERE item_key = ?", (key,)
     ).fetchone()
     if row is None:
-        return _discard(job)
+        return _count_discarded(job)
     state, attempt, holder = row
-    holds = state == ItemState.LEASED and holder == lease and attempt == result.attempt
-    gives_back = result.state == ItemState.PENDING or (
-        # An unknown outcome of an item that may repeat is no outcome: it runs again.
+    is_holder = state == ItemState.LEASED and holder == lease and attempt == result.attempt
+    is_return = result.state == ItemState.PENDING or (
+        # An item that may repeat runs again when its outcome is unknown.
         result.state == ItemState.UNKNOWN and bool(job.may_repeat)
     )
-    if gives_back and holds:
-        _note_losses(connection, key, result.lost_runs)
-    if gives_back:
-        return holds and _return_item(connection, job, key)
-    if job.is_final and holds:
-        # A cancelled job's items are counted already; only the lease lets go of this one.
+    if is_return and is_holder:
+        _store_lost_runs(connection, key, result.lost_runs)
+    if is_return:
+        return is_holder and _return_item(connection, job, key)
+    if job.is_final and is_holder:
+        # The cancel command has already counted the item; only its lease entry is cleared.
         _return_item(connection, job, key)
     if job.is_final or state in _FINAL_OUTCOMES or result.state not in _FINAL_OUTCOMES:
-        return _discard(job)
+        return _count_discarded(job)
     if state == ItemState.PENDING:
-        _withdraw_pending(connection, job, result.index)
+        _remove_from_queue(connection, job, result.index)
     else:
         job.leased -= 1
-        _release_hold(connection, holder)
+        _decrement_open_items(connection, holder)
     _store_outcome(connection, job, key, result.state, result.status_code, result.body)
     return True
 
 
-def _note_losses(connection: sqlite3.Connection, key: int, lost_runs: int) -> None:
-    """Keep the count for the item's next holder, so that it ends however often it moves."""
+def _store_lost_runs(connection: sqlite3.Connection, key: int, lost_runs: int) -> None:
+    """Store the number of lost runs for the next holder of the item.
+
+    The limit on lost runs thus applies to the item across all of its holders.
+    """
     if lost_runs > 0:
         connection.execute(
             "INSERT OR REPLACE INTO sm_item_losses (item_key, lost_runs) VALUES (?, ?)",
@@ -239,7 +250,7 @@
         )
 
 
-def _discard(job: JobRow) -> bool:
+def _count_discarded(job: JobRow) -> bool:
     job.discarded += 1
     return False
 
@@ -252,7 +263,10 @@
     status_code: int,
     body: str,
 ) -> None:
-    """Make an item final. The caller has taken it out of ``pending`` or ``leased``."""
+    """Make an item final and store its outcome.
+
+    The caller has already subtracted the item from ``job.pending`` or ``job.leased``.
+    """
     connection.execute(
         "UPDATE sm_item_states SET state = ?, lease = 0 WHERE item_key = ?", (state, key)
     )
@@ -271,25 +285,28 @@
     )
 
 
-def _withdraw_pending(connection: sqlite3.Connection, job: JobRow, index: int) -> None:
-    """Take an item that had returned to the queue out of it: a late result of it counts."""
+def _remove_from_queue(connection: sqlite3.Connection, job: JobRow, index: int) -> None:
+    """Remove a returned item from the queue because a late result of the item is accepted."""
     if job.closed:
-        # The deadline closed the job, so the item was counted as expired when it returned.
+        # The job is past its deadline, so the item was counted as expired and is not queued.
         job.expired -= 1
         return
     (model,) = connection.execute(
         "SELECT model FROM sm_items WHERE item_key = ?", (row_key(job.number, index),)
     ).fetchone()
-    pending.withdraw_item(connection, job, model, index)
+    pending.remove_item(connection, job, model, index)
     job.pending -= 1
 
 
 def _return_item(connection: sqlite3.Connection, job: JobRow, key: int) -> bool:
-    """Return a leased item to the queue, or to nowhere when its job takes no more starts."""
+    """Clear the lease of an item and return the item to the queue.
+
+    The item is not queued if its job is final, and is counted as expired if the job is closed.
+    """
     (lease,) = connection.execute(
         "SELECT lease FROM sm_item_states WHERE item_key = ?", (key,)
     ).fetchone()
-    _release_hold(connection, lease)
+    _decrement_open_items(connection, lease)
     connection.execute(
         "UPDATE sm_item_states SET state = ?, lease = 0 WHERE item_key = ?",
         (ItemState.PENDING, key),
@@ -305,12 +322,15 @@
     (model,) = connection.execute(
         "SELECT model FROM sm_items WHERE item_key = ?", (key,)
     ).fetchone()
-    pending.return_items(connection, job, [(index, model)])
+    pending.requeue_items(connection, job, [(index, model)])
     return True
 
 
 def _end_lease(connection: sqlite3.Connection, jobs: TouchedJobs, lease: int) -> ExpiredLeases:
-    """End a lease: items that may repeat return, others end as UNKNOWN (they may have run)."""
+    """End a lease and return the counts.
+
+    Items that may repeat return to the queue. Other items end as UNKNOWN, as they may have run.
+    """
     returned = 0
     unknown = 0
     for key, _attempt in _open_items(connection, lease):
@@ -320,7 +340,7 @@
             returned += 1
         else:
             job.leased -= 1
-            _release_hold(connection, lease)
+            _decrement_open_items(connection, lease)
             _store_outcome(connection, job, key, ItemState.UNKNOWN, 0, LEASE_LOST_BODY)
             unknown += 1
     return ExpiredLeases(returned=returned, unknown=unknown)
@@ -341,11 +361,12 @@
     row = connection.execute(
         "SELECT number FROM sm_leases WHERE lease_id = ?", (lease_id,)
     ).fetchone()
-    # Number -1 holds nothing: results of a forgotten lease still count if they are first.
+    # No item is leased under -1. A result sent under a lease whose row is already deleted still
+    # counts if it is the first one of its item.
     return -1 if row is None else int(row[0])
 
 
-def _release_hold(connection: sqlite3.Connection, lease: int) -> None:
+def _decrement_open_items(connection: sqlite3.Connection, lease: int) -> None:
     connection.execute(
         "UPDATE sm_leases SET open_items = open_items - 1 WHERE number = ?", (lease,)
     )
--- a/src/leverjunction/batch/retention.py
+++ b/src/leverjunction/batch/retention.py
@@ -104,7 +104,7 @@
         delete_open_job(connection, job)
         return 0
     count = job.pending
-    pending.drop_job(connection, job)
+    pending.remove_job(connection, job)
     job.expired += count
     job.pending = 0
     job.closed = 1
--- a/src/leverjunction/batch/submission.py
+++ b/src/leverjunction/batch/submission.py
@@ -1,4 +1,4 @@
-"""Opening, filling, accepting, cancelling and discarding jobs."""
+"""Commands that open, fill, seal, accept, cancel and discard jobs."""
 
 from __future__ import annotations
 
@@ -44,18 +44,18 @@
 MIN_WEIGHT_MILLI = 1
 MAX_RETENTION_MS = 400 * 24 * 3600 * 1000
 MAX_DEADLINE_MS = 30 * 24 * 3600 * 1000
-"""A job's deadline is clamped to this long after it was opened."""
+"""Latest deadline of a job, counted from the command that sets it; later deadlines are clamped."""
 
 
 def items_hash(previous: str, items: list[ItemInput]) -> str:
-    """Return the running hash over a job's items, in order.
+    """Return the hash over a job's items, continued from the hash over the items before them.
 
-    The gateway computes it over the lines that it read, the state machine over the items that it
-    stored; an upload is accepted only when both agree.
+    The gateway computes the hash over the lines that it reads, and the state machine computes it
+    over the items that it stores. An upload is accepted only when both are equal.
 
     Args:
-        previous: Hash over the items before these, empty at the start.
-        items: The next items.
+        previous: Hash over all items before these, empty at the start.
+        items: The next items, in order.
     """
     for item in items:
         digest = hashlib.sha256(previous.encode())
@@ -67,13 +67,13 @@
 def open_job(
     connection: sqlite3.Connection, context: ApplyContext, command: OpenJob
 ) -> OpenedJob | Failure:
-    """Create a job, or return the one that the same tenant and key (or a resend) created."""
+    """Create a job, or return the job that has the same id, or the same tenant and key."""
     spec = command.spec
     existing = job_by_id(connection, spec.job_id) or job_by_key(
         connection, spec.tenant, spec.idempotency_key
     )
     if existing is not None:
-        return _reopen(existing, spec)
+        return _reply_for_existing(existing, spec)
     refusal = _check_spec(spec, context.wall_ms)
     if refusal is not None:
         return refusal
@@ -99,31 +99,31 @@
 def append_items(
     connection: sqlite3.Connection, context: ApplyContext, command: AppendItems
 ) -> JobView | Failure:
-    """Add a chunk of items; what is stored already is skipped, so a resend changes nothing."""
+    """Append a chunk of items; items stored already are skipped, so a resend changes nothing."""
     job = job_by_id(connection, command.job_id)
     if job is None:
         return job_not_found(command.job_id)
     refusal = _check_chunk(job, command)
     if refusal is not None:
         return refusal
-    fresh = command.items[max(0, job.received - command.first_index) :]
-    if not fresh:
+    new_items = command.items[max(0, job.received - command.first_index) :]
+    if not new_items:
         return job.view()
     first = job.received
     connection.executemany(
         "INSERT INTO sm_items (item_key, custom_id, model, url, body) VALUES (?, ?, ?, ?, ?)",
         [
             (row_key(job.number, first + offset), item.custom_id, item.model, item.url, item.body)
-            for offset, item in enumerate(fresh)
+            for offset, item in enumerate(new_items)
         ],
     )
     connection.executemany(
         "INSERT INTO sm_pending (job, model, item_index) VALUES (?, ?, ?)",
-        [(job.number, item.model, first + offset) for offset, item in enumerate(fresh)],
+        [(job.number, item.model, first + offset) for offset, item in enumerate(new_items)],
     )
-    job.received += len(fresh)
-    job.pending += len(fresh)
-    job.items_hash = items_hash(job.items_hash, fresh)
+    job.received += len(new_items)
+    job.pending += len(new_items)
+    job.items_hash = items_hash(job.items_hash, new_items)
     save_job(connection, job)
     return job.view()
 
@@ -131,12 +131,12 @@
 def accept_job(
     connection: sqlite3.Connection, context: ApplyContext, command: AcceptJob
 ) -> JobView | Failure:
-    """Accept an open job when every item of the upload is committed."""
+    """Accept an open job if every item of the upload is committed."""
     job = job_by_id(connection, command.job_id)
     if job is None:
         return job_not_found(command.job_id)
     if job.state != JobState.OPEN:
-        return _accepted_before(job, command)
+        return _reply_for_accepted(job, command)
     refusal = _check_acceptance(job, command)
     if refusal is not None:
         return refusal
@@ -157,14 +157,14 @@
 def seal_job(
     connection: sqlite3.Connection, context: ApplyContext, command: SealJob
 ) -> JobView | Failure:
-    """Fix the items of an open job; it may be accepted later, without its count and hash."""
+    """Fix the items of an open job, so that AcceptJob need not give their count and hash."""
     job = job_by_id(connection, command.job_id)
     if job is None:
         return job_not_found(command.job_id)
-    as_accepted = AcceptJob(command.job_id, command.item_count, command.content_hash)
+    acceptance = AcceptJob(command.job_id, command.item_count, command.content_hash)
     if job.state != JobState.OPEN:
-        return _accepted_before(job, as_accepted)
-    refusal = _check_acceptance(job, as_accepted)
+        return _reply_for_accepted(job, acceptance)
+    refusal = _check_acceptance(job, acceptance)
     if refusal is not None:
         return refusal
     job.item_count = job.received
@@ -176,10 +176,11 @@
 def cancel_job(
     connection: sqlite3.Connection, context: ApplyContext, command: CancelJob
 ) -> JobView | Failure:
-    """Cancel a job: from this entry on no item is granted and no late result counts.
+    """Cancel a job: from this log entry on no item is leased and late results are discarded.
 
-    The items keep their rows; a cancelled job's unfinished items *are* cancelled, which makes the
-    command cheap whatever the job's size (results list them after the stored outcomes).
+    The command deletes only the queue entries of the job. The rows and states of its items do not
+    change, which keeps the command cheap for a job of any size: reads report the unfinished items
+    of a cancelled job as cancelled and list them after the stored outcomes.
     """
     job = job_by_id(connection, command.job_id)
     if job is None:
@@ -187,7 +188,7 @@
     if job.is_final:
         return job.view()
     if job.state == JobState.ACCEPTED:
-        pending.drop_job(connection, job)
+        pending.remove_job(connection, job)
     else:
         connection.execute("DELETE FROM sm_pending WHERE job = ?", (job.number,))
     job.cancelled += job.pending + job.leased
@@ -201,7 +202,10 @@
 def discard_job(
     connection: sqlite3.Connection, context: ApplyContext, command: DiscardJob
 ) -> Discarded:
-    """Drop an open job, so that its key may be used again; a large one's items go by and by."""
+    """Delete an open job, so that its idempotency key can be used again.
+
+    This command deletes a bounded number of rows; later commands delete the rest.
+    """
     job = job_by_id(connection, command.job_id)
     if job is None or job.state != JobState.OPEN:
         return Discarded(dropped=False)
@@ -211,12 +215,12 @@
 
 
 def delete_open_job(connection: sqlite3.Connection, job: JobRow) -> None:
-    """Forget an open job; its items are deleted by and by."""
+    """Delete the row of an open job and queue the rows of its items for deletion."""
     connection.execute("DELETE FROM sm_jobs WHERE number = ?", (job.number,))
     queue_removal(connection, job.number)
 
 
-def _reopen(job: JobRow, spec: JobSpec) -> OpenedJob | Failure:
+def _reply_for_existing(job: JobRow, spec: JobSpec) -> OpenedJob | Failure:
     same = not spec.content_hash or not job.content_hash or spec.content_hash == job.content_hash
     if same and job.tenant == spec.tenant:
         return OpenedJob(job=job.view(), existed=True)
@@ -284,7 +288,7 @@
     return None
 
 
-def _accepted_before(job: JobRow, command: AcceptJob) -> JobView | Failure:
+def _reply_for_accepted(job: JobRow, command: AcceptJob) -> JobView | Failure:
     if command.content_hash and command.content_hash != job.content_hash:
         return Failure(
             kind=FailureKind.KEY_REUSED,
