--- a/src/leverjunction/batch/job_queries.py
+++ b/src/leverjunction/batch/job_queries.py
@@ -1,4 +1,4 @@
-"""Reads of the job state machine."""
+"""Queries of the job state machine: jobs, listings, results and the backlog."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from leverjunction.batch.job_rows import (
     JobRow,
     job_by_id,
-    job_not_found,
+    job_not_found_failure,
     newest_jobs,
-    results_removed,
+    results_removed_failure,
 )
 from leverjunction.batch.tables import row_key, split_key
 from leverjunction.errors import Failure
@@ -31,16 +31,16 @@
 MAX_PAGE_BYTES = 4_000_000
 MAX_LISTED_JOBS = 1_000
 MAX_CANCELLED_JOBS = 100
-"""Cancels of far more than the time in which every lease holder is told."""
+"""Covers far more cancellations than occur before every lease holder has been notified."""
 
-_STORED = """
+_SELECT_STORED_RESULTS = """
 SELECT result.result_key, result.item_index, item.custom_id, result.state, result.status_code,
     result.body
 FROM sm_results AS result JOIN sm_items AS item ON item.item_key = ? + result.item_index
 WHERE result.result_key > ? AND result.result_key < ? ORDER BY result.result_key LIMIT ?
 """
 
-_UNFINISHED = """
+_SELECT_UNFINISHED_ITEMS = """
 SELECT item.item_key, item.custom_id
 FROM sm_items AS item LEFT JOIN sm_item_states AS state USING (item_key)
 WHERE item.item_key >= ? AND item.item_key < ? AND COALESCE(state.state, 'pending')
@@ -50,29 +50,33 @@
 
 
 def get_job(connection: sqlite3.Connection, query: GetJob) -> JobView | Failure:
-    """Return one job."""
+    """Return one job, or the failure NOT_FOUND."""
     job = job_by_id(connection, query.job_id)
-    return job_not_found(query.job_id) if job is None else job.view()
+    return job_not_found_failure(query.job_id) if job is None else job.view()
 
 
 def list_jobs(connection: sqlite3.Connection, query: ListJobs) -> list[JobView]:
-    """Return one page of a listing of jobs."""
+    """Return the next jobs of a listing, newest first, at most ``MAX_LISTED_JOBS``."""
     limit = max(0, min(query.limit, MAX_LISTED_JOBS))
     return [job.view() for job in newest_jobs(connection, query, limit)]
 
 
 def get_results(connection: sqlite3.Connection, query: GetResults) -> ResultPage | Failure:
-    """Return a page of final items, bounded in lines and bytes.
+    """Return a page of final items, limited by ``MAX_PAGE_LINES`` and ``MAX_PAGE_BYTES``.
 
-    Cursors 1 to ``stored_results`` are stored outcomes in the order of their commits. A job that
-    was cancelled or that expired goes on with its unfinished items: the item of index i has the
-    cursor ``stored_results + 1 + i``. That order is fixed, as a final job stores no more outcomes.
+    Cursors 1 to ``stored_results`` are the stored outcomes in the order in which they were
+    committed. In a cancelled or expired job the unfinished items follow: the item with index i has
+    the cursor ``stored_results + 1 + i``. The order cannot change because a final job stores no
+    further outcomes.
+
+    Returns:
+        The page, or the failure NOT_FOUND (no such job) or EXPIRED (the results were removed).
     """
     job = job_by_id(connection, query.job_id)
     if job is None:
-        return job_not_found(query.job_id)
+        return job_not_found_failure(query.job_id)
     if job.removed_ms:
-        return results_removed(job)
+        return results_removed_failure(job)
     after = max(0, query.after)
     limit = max(1, min(query.limit, MAX_PAGE_LINES))
     lines = _stored_lines(connection, job, after, limit)
@@ -84,16 +88,20 @@
 
 
 def get_backlog(connection: sqlite3.Connection, query: GetBacklog) -> Backlog:
-    """Return pending items by service and, if asked for, open leases and what is due next."""
+    """Return the number of pending items by service.
+
+    If the query asks for leases, the reply also has the open leases, the time of the next expiry
+    and the most recently cancelled jobs.
+    """
     return Backlog(
         pending_by_service=pending.pending_by_service(connection),
         leases_by_owner=_open_leases(connection) if query.with_leases else {},
         next_due_ms=retention.next_due_ms(connection) if query.with_leases else 0,
-        cancelled_jobs=_cancelled_last(connection) if query.with_leases else [],
+        cancelled_jobs=_recently_cancelled_jobs(connection) if query.with_leases else [],
     )
 
 
-def _cancelled_last(connection: sqlite3.Connection) -> list[str]:
+def _recently_cancelled_jobs(connection: sqlite3.Connection) -> list[str]:
     rows = connection.execute(
         """
         SELECT job_id FROM sm_jobs WHERE state = 'cancelled'
@@ -118,7 +126,7 @@
     connection: sqlite3.Connection, job: JobRow, after: int, limit: int
 ) -> list[ResultLine]:
     rows = connection.execute(
-        _STORED,
+        _SELECT_STORED_RESULTS,
         (
             row_key(job.number, 0),
             row_key(job.number, min(after, job.stored_results)),
@@ -147,13 +155,14 @@
 def _unfinished_lines(
     connection: sqlite3.Connection, job: JobRow, after: int, limit: int
 ) -> list[ResultLine]:
-    """Return the items that the end of the job left without an outcome, in index order."""
+    """Return lines for the items that had no outcome when the job ended, in index order."""
     if job.cancelled + job.expired == 0:
         return []
     state = ItemState.CANCELLED if job.state == JobState.CANCELLED else ItemState.EXPIRED
     first_index = max(0, after - job.stored_results)
     rows = connection.execute(
-        _UNFINISHED, (row_key(job.number, first_index), row_key(job.number + 1, 0), limit)
+        _SELECT_UNFINISHED_ITEMS,
+        (row_key(job.number, first_index), row_key(job.number + 1, 0), limit),
     )
     return [
         ResultLine(
@@ -174,6 +183,6 @@
     unfinished = job.cancelled + job.expired
     if unfinished == 0:
         return True
-    # The page ran out of unfinished items, or its last line is the job's last item.
+    # No unfinished item follows the cursor, or the last line of the page is the job's last item.
     exhausted = not lines and cursor > job.stored_results
     return exhausted or cursor >= job.stored_results + job.received
--- a/src/leverjunction/batch/job_rows.py
+++ b/src/leverjunction/batch/job_rows.py
@@ -1,4 +1,4 @@
-"""The job row: loading, saving, its view, and the counters that decide when it is final."""
+"""Rows of ``sm_jobs``: loading and saving a job, its counters, and when it becomes final."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from leverjunction.errors import Failure, FailureKind, Step
 
 RESULTS_RETENTION_MS = 7 * 24 * 3600 * 1000
-"""How long results stay readable after the end of a job that does not say otherwise."""
+"""Default time for which results can be read after the end of a job."""
 
 MS_PER_S = 1000
 WEIGHT_ONE_MILLI = 1000
@@ -19,11 +19,12 @@
 
 @dataclass
 class JobRow:
-    """One row of ``sm_jobs``; changed in memory during a command, then saved once.
+    """One row of ``sm_jobs``. A command changes it in memory and saves it once.
 
-    ``closed`` is set when no pending item may start any more (cancel or deadline, or final).
-    ``items_hash`` is the hash over the items received so far (``submission.items_hash``).
-    ``keep_until_ms`` is set with ``finished_ms``; ``removed_ms`` once the results are removed.
+    ``closed`` is 1 when no pending item may be leased any more, because the job was cancelled, is
+    past its deadline or is final. ``items_hash`` is the hash over the items received so far
+    (``submission.items_hash``). ``finished_ms`` and ``keep_until_ms`` are set when the job becomes
+    final, and ``removed_ms`` when its results are removed. ``JobView`` describes the counters.
     """
 
     number: int
@@ -62,17 +63,17 @@
 
     @property
     def stored_results(self) -> int:
-        """Number of stored outcomes, which is also the cursor of the last one."""
+        """Number of stored outcomes, which is also the cursor of the last stored outcome."""
         return self.done + self.failed + self.unknown
 
     def finish_if_complete(self, wall_ms: int) -> None:
-        """Make an accepted job final when none of its items is pending or leased."""
+        """Make an accepted job final if none of its items is pending or leased."""
         if self.state != JobState.ACCEPTED or self.pending or self.leased:
             return
         self.finish(JobState.EXPIRED if self.expired else JobState.COMPLETED, wall_ms)
 
     def finish(self, state: JobState, wall_ms: int) -> None:
-        """Make the job final."""
+        """Make the job final in the given state at ``wall_ms`` (wall clock, milliseconds)."""
         self.state = state
         self.finished_ms = wall_ms
         self.keep_until_ms = wall_ms + self.retention_ms
@@ -113,39 +114,41 @@
 _COLUMNS = tuple(field.name for field in fields(JobRow))
 _SELECT = f"SELECT {', '.join(_COLUMNS)} FROM sm_jobs"
 _INSERT = f"INSERT INTO sm_jobs ({', '.join(_COLUMNS)}) VALUES ({', '.join('?' for _ in _COLUMNS)})"
-_CHANGING = _COLUMNS[_COLUMNS.index("content_hash") :]
-# Columns that an index reads. SQLite writes the index anew whenever a statement sets one of them,
-# also to the same value, so they are set only when they differ.
-_INDEXED = ("deadline_ms", "state", "finished_ms", "closed", "keep_until_ms", "removed_ms")
-_PLAIN = tuple(column for column in _CHANGING if column not in _INDEXED)
-_UPDATE_PLAIN = f"UPDATE sm_jobs SET {', '.join(f'{c} = ?' for c in _PLAIN)} WHERE number = ?"
+_MUTABLE_COLUMNS = _COLUMNS[_COLUMNS.index("content_hash") :]
+# Columns that are part of an index or of its WHERE clause. SQLite rewrites the index entry whenever
+# a statement sets such a column, even to the same value, so they are set only when one differs.
+_INDEXED_COLUMNS = ("deadline_ms", "state", "finished_ms", "closed", "keep_until_ms", "removed_ms")
+_UNINDEXED_COLUMNS = tuple(column for column in _MUTABLE_COLUMNS if column not in _INDEXED_COLUMNS)
+_UPDATE_UNINDEXED = (
+    f"UPDATE sm_jobs SET {', '.join(f'{c} = ?' for c in _UNINDEXED_COLUMNS)} WHERE number = ?"
+)
 _UPDATE_INDEXED = (
-    f"UPDATE sm_jobs SET {', '.join(f'{c} = ?' for c in _INDEXED)} WHERE number = ?"
-    f" AND ({', '.join(_INDEXED)}) IS NOT ({', '.join('?' for _ in _INDEXED)})"
+    f"UPDATE sm_jobs SET {', '.join(f'{c} = ?' for c in _INDEXED_COLUMNS)} WHERE number = ?"
+    f" AND ({', '.join(_INDEXED_COLUMNS)}) IS NOT ({', '.join('?' for _ in _INDEXED_COLUMNS)})"
 )
 
 
 def insert_job(connection: sqlite3.Connection, job: JobRow) -> None:
-    """Insert a new row."""
+    """Insert the row of a new job."""
     connection.execute(_INSERT, [getattr(job, column) for column in _COLUMNS])
 
 
 def save_job(connection: sqlite3.Connection, job: JobRow) -> None:
-    """Write the changed columns of a loaded row."""
-    plain = [getattr(job, column) for column in _PLAIN]
-    connection.execute(_UPDATE_PLAIN, [*plain, job.number])
-    indexed = [getattr(job, column) for column in _INDEXED]
+    """Save a loaded row: all columns that can change, indexed columns only if one differs."""
+    unindexed = [getattr(job, column) for column in _UNINDEXED_COLUMNS]
+    connection.execute(_UPDATE_UNINDEXED, [*unindexed, job.number])
+    indexed = [getattr(job, column) for column in _INDEXED_COLUMNS]
     connection.execute(_UPDATE_INDEXED, [*indexed, job.number, *indexed])
 
 
 def job_by_id(connection: sqlite3.Connection, job_id: str) -> JobRow | None:
-    """Return the job of this id, or None."""
+    """Return the job with this id, or None."""
     row = connection.execute(f"{_SELECT} WHERE job_id = ?", (job_id,)).fetchone()
     return None if row is None else JobRow(*row)
 
 
 def job_by_number(connection: sqlite3.Connection, number: int) -> JobRow:
-    """Return the job of this number, which must exist."""
+    """Return the job with this row number, which must exist."""
     return JobRow(*connection.execute(f"{_SELECT} WHERE number = ?", (number,)).fetchone())
 
 
@@ -161,7 +164,7 @@
 
 
 def newest_jobs(connection: sqlite3.Connection, query: ListJobs, limit: int) -> list[JobRow]:
-    """Return the jobs of a listing, newest first."""
+    """Return up to ``limit`` jobs that match the query, newest first."""
     conditions: list[str] = []
     parameters: list[str | int] = []
     if query.tenant:
@@ -181,7 +184,7 @@
 
 
 def jobs_past_deadline(connection: sqlite3.Connection, wall_ms: int, limit: int) -> list[JobRow]:
-    """Return jobs that are not closed and whose deadline has passed, earliest first."""
+    """Return up to ``limit`` jobs that are past their deadline and not closed, earliest first."""
     rows = connection.execute(
         f"{_SELECT} WHERE closed = 0 AND deadline_ms <= ? ORDER BY deadline_ms, number LIMIT ?",
         (wall_ms, limit),
@@ -190,7 +193,7 @@
 
 
 def jobs_past_retention(connection: sqlite3.Connection, wall_ms: int, limit: int) -> list[JobRow]:
-    """Return final jobs whose results are kept no longer, oldest first."""
+    """Return up to ``limit`` final jobs whose results are past their retention, oldest first."""
     rows = connection.execute(
         f"{_SELECT} WHERE keep_until_ms > 0 AND removed_ms = 0 AND keep_until_ms <= ? "
         "ORDER BY keep_until_ms, number LIMIT ?",
@@ -199,8 +202,8 @@
     return [JobRow(*row) for row in rows]
 
 
-def results_removed(job: JobRow) -> Failure:
-    """Return the failure for results that are past their retention."""
+def results_removed_failure(job: JobRow) -> Failure:
+    """Return the failure for a read of results that were removed after their retention."""
     return Failure(
         kind=FailureKind.EXPIRED,
         reason=f"the results of job {job.job_id!r} have expired: they were kept for "
@@ -209,8 +212,8 @@
     )
 
 
-def job_not_found(job_id: str) -> Failure:
-    """Return the failure for a job that this group does not hold."""
+def job_not_found_failure(job_id: str) -> Failure:
+    """Return the failure for a job id that does not exist in this group."""
     return Failure(
         kind=FailureKind.NOT_FOUND,
         reason=f"no job {job_id!r}; list the jobs to see the ids",
--- a/src/leverjunction/batch/submission.py
+++ b/src/leverjunction/batch/submission.py
@@ -27,7 +27,7 @@
     insert_job,
     job_by_id,
     job_by_key,
-    job_not_found,
+    job_not_found_failure,
     save_job,
 )
 from leverjunction.batch.removal import (
@@ -102,7 +102,7 @@
     """Append a chunk of items; items stored already are skipped, so a resend changes nothing."""
     job = job_by_id(connection, command.job_id)
     if job is None:
-        return job_not_found(command.job_id)
+        return job_not_found_failure(command.job_id)
     refusal = _check_chunk(job, command)
     if refusal is not None:
         return refusal
@@ -134,7 +134,7 @@
     """Accept an open job if every item of the upload is committed."""
     job = job_by_id(connection, command.job_id)
     if job is None:
-        return job_not_found(command.job_id)
+        return job_not_found_failure(command.job_id)
     if job.state != JobState.OPEN:
         return _reply_for_accepted(job, command)
     refusal = _check_acceptance(job, command)
@@ -160,7 +160,7 @@
     """Fix the items of an open job, so that AcceptJob need not give their count and hash."""
     job = job_by_id(connection, command.job_id)
     if job is None:
-        return job_not_found(command.job_id)
+        return job_not_found_failure(command.job_id)
     acceptance = AcceptJob(command.job_id, command.item_count, command.content_hash)
     if job.state != JobState.OPEN:
         return _reply_for_accepted(job, acceptance)
@@ -184,7 +184,7 @@
     """
     job = job_by_id(connection, command.job_id)
     if job is None:
-        return job_not_found(command.job_id)
+        return job_not_found_failure(command.job_id)
     if job.is_final:
         return job.view()
     if job.state == JobState.ACCEPTED:
--- a/src/leverjunction/batch/tables.py
+++ b/src/leverjunction/batch/tables.py
@@ -1,8 +1,8 @@
 """Tables of the job state machine, and the integer keys of their rows.
 
-Inputs and results are kept apart from the small state rows, so that a change of state never
-rewrites a payload, and payloads are read from disk only when an item is leased or its result is
-read. A job's rows lie side by side because the job's number leads every key.
+Request bodies and results are stored in other tables than the small state rows. A change of state
+thus never rewrites a payload, and payloads are read from disk only when an item is leased or its
+result is read. Keys begin with the job number, so the rows of a job are adjacent on disk.
 """
 
 from __future__ import annotations
@@ -11,10 +11,11 @@
 
 INDEX_BITS = 20
 MAX_ITEMS_PER_JOB = (1 << INDEX_BITS) - 2
-"""Hard bound of the key layout; tenants' limits in the settings are lower."""
+"""Upper limit set by the layout of the keys; the limits of tenants in the settings are lower."""
 
 _SCHEMA = (
-    # One row a job; counters are kept here so that no view or completion check scans items.
+    # One row per job. The counters are stored here so that neither a view of a job nor the check
+    # whether it is complete scans its items.
     """
     CREATE TABLE IF NOT EXISTS sm_jobs (
         number INTEGER PRIMARY KEY,
@@ -51,15 +52,15 @@
     CREATE UNIQUE INDEX IF NOT EXISTS sm_jobs_key ON sm_jobs (tenant, idempotency_key)
     WHERE idempotency_key != ''
     """,
-    # Listings, newest first: of one tenant, and of all.
+    # Listings, newest first: the jobs of one tenant, and the jobs of all tenants.
     "CREATE INDEX IF NOT EXISTS sm_jobs_listed ON sm_jobs (tenant, created_ms, job_id)",
     "CREATE INDEX IF NOT EXISTS sm_jobs_created ON sm_jobs (created_ms, job_id)",
-    # Jobs that a deadline can still change; ExpireDeadlines reads its head.
+    # Jobs that can still reach their deadline. ExpireDeadlines reads the start of this index.
     """
     CREATE INDEX IF NOT EXISTS sm_jobs_deadline ON sm_jobs (deadline_ms)
     WHERE closed = 0
     """,
-    # Final jobs whose results are kept, and jobs whose results were removed.
+    # Final jobs whose results are still stored, and jobs whose results were removed.
     """
     CREATE INDEX IF NOT EXISTS sm_jobs_kept ON sm_jobs (keep_until_ms)
     WHERE keep_until_ms > 0 AND removed_ms = 0
@@ -69,9 +70,9 @@
     CREATE INDEX IF NOT EXISTS sm_jobs_cancelled ON sm_jobs (finished_ms, number)
     WHERE state = 'cancelled'
     """,
-    # Numbers of jobs whose items and results are being deleted, some rows a command.
+    # Numbers of removed jobs whose rows are being deleted, a limited number of rows per command.
     "CREATE TABLE IF NOT EXISTS sm_removals (job INTEGER PRIMARY KEY)",
-    # Immutable inputs.
+    # Requests of the items; they never change.
     """
     CREATE TABLE IF NOT EXISTS sm_items (
         item_key INTEGER PRIMARY KEY,
@@ -81,7 +82,7 @@
         body TEXT NOT NULL
     )
     """,
-    # Items that wait to be leased.
+    # Pending items: the items that wait to be leased.
     """
     CREATE TABLE IF NOT EXISTS sm_pending (
         job INTEGER NOT NULL,
@@ -90,7 +91,7 @@
         PRIMARY KEY (job, model, item_index)
     ) WITHOUT ROWID
     """,
-    # State of items that were leased at least once; an item without a row was never leased.
+    # State of the items that were leased at least once. An item without a row was never leased.
     """
     CREATE TABLE IF NOT EXISTS sm_item_states (
         item_key INTEGER PRIMARY KEY,
@@ -102,14 +103,14 @@
     """
     CREATE INDEX IF NOT EXISTS sm_item_states_lease ON sm_item_states (lease) WHERE lease > 0
     """,
-    # Items whose runner was lost while they ran, with how often; most items have no row.
+    # How many runs of an item lost their runner. Most items have no row.
     """
     CREATE TABLE IF NOT EXISTS sm_item_losses (
         item_key INTEGER PRIMARY KEY,
         lost_runs INTEGER NOT NULL
     )
     """,
-    # Accepted jobs with pending items, by model: what a grant chooses from.
+    # Accepted jobs with pending items, by model. A grant chooses from these rows.
     """
     CREATE TABLE IF NOT EXISTS sm_runnable (
         service TEXT NOT NULL,
@@ -121,7 +122,7 @@
         PRIMARY KEY (service, model, tenant, deadline_ms, job)
     ) WITHOUT ROWID
     """,
-    # Tenants with pending items in a service, and the share that each has been served.
+    # Tenants with pending items in a service, and the share of the service that each was served.
     """
     CREATE TABLE IF NOT EXISTS sm_shares (
         service TEXT NOT NULL,
@@ -132,7 +133,8 @@
     ) WITHOUT ROWID
     """,
     "CREATE INDEX IF NOT EXISTS sm_shares_served ON sm_shares (service, served)",
-    # Whose turn it is: tenants with pending items of a model; ``served`` is their share's.
+    # Order of turns among the tenants with pending items of a model. ``served`` is copied from
+    # ``sm_shares``.
     """
     CREATE TABLE IF NOT EXISTS sm_turns (
         service TEXT NOT NULL,
@@ -145,7 +147,7 @@
     """
     CREATE INDEX IF NOT EXISTS sm_turns_order ON sm_turns (service, model, served, tenant)
     """,
-    # Sums over the shares of a service.
+    # Totals of each service: its tenants with pending items, and its pending items.
     """
     CREATE TABLE IF NOT EXISTS sm_waiting (
         service TEXT PRIMARY KEY,
@@ -153,7 +155,8 @@
         pending INTEGER NOT NULL
     ) WITHOUT ROWID
     """,
-    # Outcomes, keyed by the cursor in the order in which items became final.
+    # Outcomes of items. The key contains the cursor, which follows the order in which items became
+    # final.
     """
     CREATE TABLE IF NOT EXISTS sm_results (
         result_key INTEGER PRIMARY KEY,
@@ -163,7 +166,8 @@
         body TEXT NOT NULL
     )
     """,
-    # Ended leases stay for a while, so that a late resend of a grant finds them ended.
+    # Leases. An ended lease is kept for ``LEASE_RETENTION_MS``, so that a late resend of its grant
+    # does not lease items again.
     """
     CREATE TABLE IF NOT EXISTS sm_leases (
         number INTEGER PRIMARY KEY,
@@ -176,7 +180,7 @@
     """,
     "CREATE INDEX IF NOT EXISTS sm_leases_open ON sm_leases (owner) WHERE open_items > 0",
     "CREATE INDEX IF NOT EXISTS sm_leases_ended ON sm_leases (granted_ms) WHERE open_items = 0",
-    # At-most-once claims of online requests.
+    # Claims of online requests that may be sent at most once.
     """
     CREATE TABLE IF NOT EXISTS sm_claims (
         tenant TEXT NOT NULL,
@@ -196,16 +200,16 @@
 
 
 def create_tables(connection: sqlite3.Connection) -> None:
-    """Create the missing tables and indexes."""
+    """Create the tables and indexes that do not exist yet."""
     for statement in _SCHEMA:
         connection.execute(statement)
 
 
 def row_key(job_number: int, position: int) -> int:
-    """Return the key of an item (``position`` is its index) or of a result (its cursor)."""
+    """Return the key of an item or result; ``position`` is the item's index or result's cursor."""
     return (job_number << INDEX_BITS) | position
 
 
 def split_key(key: int) -> tuple[int, int]:
-    """Return the job number and the position of a key."""
+    """Return the job number and the position that a key consists of; see ``row_key``."""
     return key >> INDEX_BITS, key & ((1 << INDEX_BITS) - 1)
