--- a/src/leverjunction/batch/__init__.py
+++ b/src/leverjunction/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: the replicated job state machine, leases, and the harvest of idle capacity."""
+"""Batch jobs: the replicated state machine, leases, and running items on idle runner capacity."""
--- a/src/leverjunction/batch/directory.py
+++ b/src/leverjunction/batch/directory.py
@@ -1,4 +1,8 @@
-"""Where jobs are: the group of a key or an id, and reads that respect the tenant."""
+"""Finds the group that stores a job, and reads jobs on behalf of a tenant.
+
+Jobs are distributed over numbered groups (``jobs-N``). The hash of the idempotency key selects the
+group of a new job, and the id of a job contains the name of its group.
+"""
 
 from __future__ import annotations
 
@@ -16,37 +20,41 @@
 
 
 class GroupClient(Protocol):
-    """The part of ``wire.control_client.ControlClient`` that batch uses."""
+    """The methods of ``wire.control_client.ControlClient`` that batch code uses."""
 
     def propose(
         self, group: str, command: msgspec.Struct, reply_type: type[T], timeout_s: float = 5.0
     ) -> T | Failure:
-        """Replicate a command; see ``ControlClient``."""
+        """Replicate a command in a group and return its reply; see ``ControlClient``."""
         ...
 
     def query(
         self, group: str, query: msgspec.Struct, reply_type: type[T], timeout_s: float = 5.0
     ) -> T | Failure:
-        """Answer a linearizable read; see ``ControlClient``."""
+        """Return the reply to a linearizable query of a group; see ``ControlClient``."""
         ...
 
 
 def group_for_key(groups: list[str], tenant: str, key: str) -> str:
-    """Return the group that holds a tenant's idempotency key: the same one on every gateway."""
+    """Return the group that stores a tenant's idempotency key.
+
+    All gateways select the same group. ``groups`` holds the names of all job groups, in any order.
+    """
     names = sorted(groups)
     digest = xxhash.xxh64_intdigest(f"{tenant}\0{key}".encode())
-    # Groups are numbered; sorting by number keeps jobs-10 behind jobs-9.
+    # The names are sorted already, and this sort is stable, so the result is in the order of the
+    # group numbers: jobs-10 comes after jobs-9.
     names.sort(key=len)
     return names[digest % len(names)]
 
 
 class JobDirectory:
-    """Finds jobs through the control client. Safe to share between threads.
+    """Finds jobs in their groups. It can be shared between threads.
 
     Args:
-        control: Client of the control processes.
+        control: Client for commands and queries of the groups.
         groups: Returns the names of all job groups.
-        random: Source of job ids.
+        random: Random generator for job ids.
     """
 
     def __init__(
@@ -57,21 +65,24 @@
         self._random = random
 
     def new_job_id(self, tenant: str, key: str) -> str:
-        """Return a fresh job id in the group of the key (a random group when it is empty)."""
+        """Return a new job id in the group of the key, or in a random group if the key is empty."""
         token = f"{self._random.getrandbits(96):024x}"
         return f"{group_for_key(self._groups(), tenant, key or token)}.{token}"
 
     def group_of_key(self, tenant: str, key: str) -> str:
-        """Return the group that holds claims and jobs of a tenant's key."""
+        """Return the group that stores the claims and jobs of a tenant's idempotency key."""
         return group_for_key(self._groups(), tenant, key)
 
     def group_of(self, job_id: str) -> str | None:
-        """Return the group that a job id names, or None when there is no such group."""
+        """Return the group named in a job id, or None if there is no such group."""
         group = job_id.rpartition(".")[0]
         return group if group in self._groups() else None
 
     def find(self, tenant: str, job_id: str) -> JobView | Failure:
-        """Return a tenant's job; another tenant's job does not exist for it."""
+        """Return a tenant's job, or a failure.
+
+        The failure is NOT_FOUND when the job does not exist or belongs to another tenant.
+        """
         group = self.group_of(job_id)
         if group is None:
             return _not_found(job_id)
@@ -83,12 +94,15 @@
     def list_accepted(
         self, tenant: str, limit: int, before: JobView | None = None
     ) -> list[JobView] | Failure:
-        """Return a tenant's newest accepted jobs over all groups.
+        """Return a tenant's accepted jobs from all groups, newest first.
 
         Args:
-            tenant: Owner.
-            limit: How many at most.
-            before: Last job of the page before this one; None for the first page.
+            tenant: Owner of the jobs.
+            limit: Maximum number of jobs.
+            before: Last job of the previous page; None for the first page.
+
+        Returns:
+            The jobs, or the failure of the first group that could not be queried.
         """
         cursor = None if before is None else JobCursor(before.created_ms, before.spec.job_id)
         query = ListJobs(tenant, limit, cursor, accepted_only=True)
--- a/src/leverjunction/batch/removal.py
+++ b/src/leverjunction/batch/removal.py
@@ -1,6 +1,7 @@
-"""Deletes the items and results of removed jobs, a bounded number of rows a command.
+"""Deletes the items and results of removed jobs, a bounded number of rows per command.
 
-A job of 100,000 items has some 300,000 rows; deleting them at once would hold up the group.
+A job of 100,000 items has about 300,000 rows. Deleting all of them in one command would delay the
+other commands of the group.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 ROWS_PER_COMMAND = 4_000
 
-_HOLDS = """
+_COUNT_LEASED_ITEMS = """
 SELECT lease, COUNT(*) FROM (
     SELECT lease FROM sm_item_states WHERE item_key >= ? AND item_key < ?
     ORDER BY item_key LIMIT ?
@@ -32,7 +33,10 @@
 
 
 def next_job_number(connection: sqlite3.Connection) -> int:
-    """Return a number for a new job that no job has, nor one whose rows are being deleted."""
+    """Return an unused number for a new job.
+
+    Numbers of removed jobs count as used until all of their rows are deleted.
+    """
     (number,) = connection.execute(
         """
         SELECT 1 + MAX((SELECT COALESCE(MAX(number), 0) FROM sm_jobs),
@@ -43,45 +47,48 @@
 
 
 def queue_removal(connection: sqlite3.Connection, number: int) -> None:
-    """Have the rows of a job deleted; nothing may read or write them from now on."""
+    """Queue the rows of a job for deletion; after this, no code may read or write them."""
     connection.execute("INSERT OR IGNORE INTO sm_removals (job) VALUES (?)", (number,))
 
 
 def has_queued_rows(connection: sqlite3.Connection) -> bool:
-    """Return whether rows of removed jobs wait to be deleted."""
+    """Return whether any removed job still has rows to delete."""
     return connection.execute("SELECT 1 FROM sm_removals LIMIT 1").fetchone() is not None
 
 
 def delete_queued_rows(connection: sqlite3.Connection, limit: int) -> int:
-    """Delete up to ``limit`` rows of removed jobs and return how many there were."""
-    left = limit
-    while left > 0:
+    """Delete up to ``limit`` rows of removed jobs and return the number of deleted rows."""
+    remaining = limit
+    while remaining > 0:
         row = connection.execute("SELECT job FROM sm_removals ORDER BY job LIMIT 1").fetchone()
         if row is None:
             break
-        left -= _delete_rows(connection, int(row[0]), left)
-        if left > 0:
+        remaining -= _delete_rows(connection, int(row[0]), remaining)
+        if remaining > 0:
             connection.execute("DELETE FROM sm_removals WHERE job = ?", row)
-    return limit - left
+    return limit - remaining
 
 
 def _delete_rows(connection: sqlite3.Connection, number: int, limit: int) -> int:
-    """Delete up to ``limit`` rows of one job; fewer mean that none is left."""
-    left = limit - connection.execute(_DELETE_PENDING, (number, limit)).rowcount
-    left -= _delete_states(connection, number, left)
+    """Delete up to ``limit`` rows of one job and return the number of deleted rows.
+
+    A smaller number than ``limit`` means that the job has no rows left.
+    """
+    remaining = limit - connection.execute(_DELETE_PENDING, (number, limit)).rowcount
+    remaining -= _delete_states(connection, number, remaining)
     for table, key in _KEYED_TABLES:
-        left -= _delete_keyed(connection, number, table, key, left)
-    return limit - left
+        remaining -= _delete_keyed(connection, number, table, key, remaining)
+    return limit - remaining
 
 
 def _delete_states(connection: sqlite3.Connection, number: int, limit: int) -> int:
-    """Delete states of items; a lease lets go of those that it still holds."""
-    holds = connection.execute(
-        _HOLDS, (row_key(number, 0), row_key(number + 1, 0), limit)
+    """Delete item states, and subtract leased items from the open items of their leases."""
+    leased_counts = connection.execute(
+        _COUNT_LEASED_ITEMS, (row_key(number, 0), row_key(number + 1, 0), limit)
     ).fetchall()
     connection.executemany(
         "UPDATE sm_leases SET open_items = open_items - ? WHERE number = ?",
-        [(count, lease) for lease, count in holds],
+        [(count, lease) for lease, count in leased_counts],
     )
     return _delete_keyed(connection, number, "sm_item_states", "item_key", limit)
 
--- a/src/leverjunction/batch/retention.py
+++ b/src/leverjunction/batch/retention.py
@@ -1,10 +1,12 @@
-"""What time alone ends: deadlines of jobs, abandoned uploads, old results, claims and leases.
+"""Time-based expiry of jobs past their deadline, abandoned uploads, results, claims and leases.
 
-Every limit is compared with the entry's wall clock, so all replicas delete the same rows at the
-same entry. Each command deletes a bounded number of rows; the next one goes on.
+Every time limit is compared with the wall clock in the log entry, so all replicas delete the same
+rows when they apply the same entry. Each command deletes a bounded number of rows, and the next
+command continues.
 
-A job whose results were removed keeps its row for a while: it tells readers why the results are
-gone, and a resend of its key finds it instead of running it again.
+The row of a job whose results were removed is kept for ``REMOVED_JOB_RETENTION_MS``. Readers thus
+learn why the results are missing, and a resend with the same idempotency key finds the job instead
+of running it again.
 """
 
 from __future__ import annotations
@@ -29,24 +31,29 @@
 from leverjunction.consensus.api import ApplyContext
 
 CLAIM_RETENTION_MS = 24 * 3600 * 1000
-"""A resend of an online request is recognised for this long."""
+"""How long a resend of an online request is recognised."""
 
 LEASE_RETENTION_MS = 10 * 60 * 1000
-"""A late resend of a grant is recognised for this long; clients give up after seconds."""
+"""How long a resend of a grant is recognised; clients stop resending after some seconds."""
 
 REMOVED_JOB_RETENTION_MS = 30 * 24 * 3600 * 1000
-"""How long a job whose results were removed is still known."""
+"""How long the row of a job is kept after its results were removed."""
 
 JOBS_PER_COMMAND = 20
 
 DUE_NOW_MS = 1
-"""``next_due_ms`` while rows wait to be deleted: any time that has passed."""
+"""Returned by ``next_due_ms`` while rows are queued for deletion: a time that is always past."""
 
 
 def expire_deadlines(
     connection: sqlite3.Connection, context: ApplyContext, command: ExpireDeadlines
 ) -> ExpiredLeases:
-    """Close jobs whose deadline has passed and delete what is older than its retention."""
+    """Close jobs past their deadline, and delete results, claims, leases and jobs past retention.
+
+    Returns:
+        The number of expired items, of jobs whose results were removed, and of deleted rows of
+        removed jobs; the other counts are 0.
+    """
     expired = 0
     for job in jobs_past_deadline(connection, context.wall_ms, JOBS_PER_COMMAND):
         expired += _close_job(connection, job, context.wall_ms)
@@ -57,8 +64,8 @@
         queue_removal(connection, job.number)
     removed_rows = delete_queued_rows(connection, ROWS_PER_COMMAND)
     delete_old_claims(connection, context.wall_ms, ROWS_PER_COMMAND)
-    _forget_leases(connection, context.wall_ms)
-    _forget_removed_jobs(connection, context.wall_ms)
+    _delete_ended_leases(connection, context.wall_ms)
+    _delete_removed_jobs(connection, context.wall_ms)
     return ExpiredLeases(
         returned=0,
         unknown=0,
@@ -69,15 +76,18 @@
 
 
 def next_due_ms(connection: sqlite3.Connection) -> int:
-    """Return the time from which ``expire_deadlines`` has something to do, 0 for never."""
+    """Return the wall-clock time in milliseconds at which ``expire_deadlines`` is next needed.
+
+    The result is 0 when nothing in the tables can expire.
+    """
     if has_queued_rows(connection):
         return DUE_NOW_MS
-    times = [connection.execute(query).fetchone()[0] for query in _DUE_TIMES]
+    times = [connection.execute(query).fetchone()[0] for query in _DUE_TIME_QUERIES]
     return min((int(time) for time in times if time is not None), default=0)
 
 
 def delete_old_claims(connection: sqlite3.Connection, wall_ms: int, limit: int) -> None:
-    """Delete up to ``limit`` of the claims that are older than their retention."""
+    """Delete up to ``limit`` claims that are older than ``CLAIM_RETENTION_MS``, oldest first."""
     connection.execute(
         """
         DELETE FROM sm_claims WHERE rowid IN (
@@ -88,7 +98,7 @@
     )
 
 
-_DUE_TIMES = (
+_DUE_TIME_QUERIES = (
     "SELECT MIN(deadline_ms) FROM sm_jobs WHERE closed = 0",
     "SELECT MIN(keep_until_ms) FROM sm_jobs WHERE keep_until_ms > 0 AND removed_ms = 0",
     f"SELECT MIN(removed_ms) + {REMOVED_JOB_RETENTION_MS} FROM sm_jobs WHERE removed_ms > 0",
@@ -98,9 +108,9 @@
 
 
 def _close_job(connection: sqlite3.Connection, job: JobRow, wall_ms: int) -> int:
-    """Expire the pending items of a job; leased ones may still finish."""
+    """Expire the pending items of a job and return their number; leased items may still finish."""
     if job.state == JobState.OPEN:
-        # An upload that was never accepted: nothing was promised, so nothing is kept.
+        # The upload was never accepted, so its caller was not promised that any of it is kept.
         delete_open_job(connection, job)
         return 0
     count = job.pending
@@ -113,7 +123,7 @@
     return count
 
 
-def _forget_leases(connection: sqlite3.Connection, wall_ms: int) -> None:
+def _delete_ended_leases(connection: sqlite3.Connection, wall_ms: int) -> None:
     connection.execute(
         """
         DELETE FROM sm_leases WHERE number IN (
@@ -125,7 +135,7 @@
     )
 
 
-def _forget_removed_jobs(connection: sqlite3.Connection, wall_ms: int) -> None:
+def _delete_removed_jobs(connection: sqlite3.Connection, wall_ms: int) -> None:
     connection.execute(
         """
         DELETE FROM sm_jobs WHERE number IN (
