--- a/tests/unit/batch_machine.py
+++ b/tests/unit/batch_machine.py
@@ -1,4 +1,4 @@
-"""A job state machine with its own database, for tests."""
+"""A job state machine with its own in-memory database, and builders of its inputs, for tests."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 START_MS = 1_000_000
 DEADLINE_MS = START_MS + 60_000
-NO_BACKLOG = Backlog(
+EMPTY_BACKLOG = Backlog(
     pending_by_service={}, leases_by_owner={}, next_due_ms=START_MS + LEASE_RETENTION_MS
 )
-"""Nothing pending and no open lease; the next thing to do is to forget an ended lease."""
+"""Backlog without pending items and open leases; the next expiry deletes an ended lease."""
 
 
 class Machine:
-    """A state machine with its own database and a wall clock that the test moves."""
+    """A job state machine with an in-memory database and a wall clock that the test sets."""
 
     def __init__(self) -> None:
         self.connection = sqlite3.connect(":memory:", isolation_level=None)
-        self.machine = JobsStateMachine()
-        self.machine.create_tables(self.connection)
+        self.state_machine = JobsStateMachine()
+        self.state_machine.create_tables(self.connection)
         self.wall_ms = START_MS
         self.index = 0
 
@@ -53,11 +53,11 @@
         self.index += 1
         context = ApplyContext(index=self.index, term=1, wall_ms=self.wall_ms)
         return decode_reply(
-            self.machine.apply(self.connection, context, encode(command)), reply_type
+            self.state_machine.apply(self.connection, context, encode(command)), reply_type
         )
 
     def query(self, query: msgspec.Struct, reply_type: type) -> object:
-        return decode_reply(self.machine.query(self.connection, encode(query)), reply_type)
+        return decode_reply(self.state_machine.query(self.connection, encode(query)), reply_type)
 
     def job(self, job_id: str) -> JobView:
         view = self.query(GetJob(job_id), JobView)
@@ -65,7 +65,7 @@
         return view
 
     def submit(self, job_id: str, count: int = 3, **changes: object) -> JobView:
-        """Open, fill and accept a job."""
+        """Open a job, append ``count`` items, and accept it; ``changes`` replace spec fields."""
         self.apply(OpenJob(spec(job_id, item_count=count, **changes)), OpenedJob)
         self.apply(AppendItems(job_id, 0, items(count)), JobView)
         view = self.apply(AcceptJob(job_id), JobView)
--- a/tests/unit/test_batch_lease_spec.py
+++ b/tests/unit/test_batch_lease_spec.py
@@ -1,4 +1,8 @@
-"""The lease model holds, seeded bugs are found, and the state machine follows its traces."""
+"""Checks the lease model in ``specs.lease`` and compares the state machine with it.
+
+The model must satisfy its invariants and must fail when one of its rules is broken. The job state
+machine must reach the same states as the model on random traces.
+"""
 
 from __future__ import annotations
 
@@ -71,7 +75,7 @@
 
 
 class RealJob:
-    """The model's job in the real state machine, driven by the labels of the model's steps."""
+    """A job in the real state machine that applies the steps of the model by their labels."""
 
     def __init__(self, may_repeat: bool) -> None:
         self._connection = sqlite3.connect(":memory:", isolation_level=None)
@@ -94,8 +98,11 @@
         self._apply(AppendItems("j", 0, items), JobView)
         self._apply(AcceptJob("j"), JobView)
 
-    def follow(self, label: str) -> None:
-        """Apply the command of a step; local steps of gateways have none."""
+    def apply_step(self, label: str) -> None:
+        """Apply the command that a step of the model stands for.
+
+        A local step of a gateway has no command and changes nothing.
+        """
         kind, *rest = label.split()
         if kind == "local":
             return
@@ -122,19 +129,19 @@
             self._apply(CompleteItems(lease_id, [result]), CompletedItems)
 
     def statuses(self) -> list[str]:
-        """Return the status of each item."""
+        """Return the status of each item, in index order."""
         rows = self._connection.execute("SELECT item_key, state FROM sm_item_states")
         known = {key & 1: state for key, state in rows}
         return [known.get(index, "pending") for index in range(ITEMS)]
 
-    def rows_and_holds(self) -> int:
-        """Return how many rows the items have, and how many of them leases hold."""
+    def count_rows_and_leased_items(self) -> int:
+        """Return the number of rows of the items plus the number of leased items."""
         queries = [f"SELECT COUNT(*) FROM {name}" for name in PAYLOAD_TABLES]
         queries.append("SELECT COALESCE(SUM(open_items), 0) FROM sm_leases")
         return sum(self._connection.execute(query).fetchone()[0] for query in queries)
 
     def view(self) -> JobView:
-        """Return the job with its counters."""
+        """Return the job with its counters, as callers see it."""
         view = decode_reply(self._machine.query(self._connection, encode(GetJob("j"))), JobView)
         assert isinstance(view, JobView)
         return view
@@ -147,14 +154,18 @@
         )
 
 
-def _follow_random_traces(model: LeaseModel) -> set[str]:
-    """Walk through the model and the real state machine side by side; returns the steps taken."""
+def _compare_random_traces(model: LeaseModel) -> set[str]:
+    """Compare the model and the real state machine after each step of random traces.
+
+    Returns:
+        The kinds of the steps that were taken.
+    """
     generator = random.Random(7)
-    taken: set[str] = set()
+    step_kinds: set[str] = set()
     for _ in range(WALKS):
         state, real = model.initial(), RealJob(model.may_repeat)
         for _ in range(STEPS):
-            # A resend that changes nothing in the model must change nothing in the real one.
+            # A resend that does not change the model must not change the state machine either.
             resends = [
                 (f"{m.kind} {m.gateway} {m.item} {m.attempt}", model.deliver(state, m))
                 for m in sorted(state.sent)
@@ -163,16 +174,25 @@
             if not steps:
                 break
             label, state = generator.choice(steps)
-            taken.add(label.split()[0])
-            real.follow(label)
+            step_kinds.add(label.split()[0])
+            real.apply_step(label)
             _compare(state, real)
-    return taken
+    return step_kinds
 
 
 @pytest.mark.parametrize("may_repeat", [True, False])
 def test_real_state_machine_follows_the_traces_of_the_model(may_repeat: bool) -> None:
-    taken = _follow_random_traces(LeaseModel(ITEMS, ATTEMPTS, may_repeat))
-    assert taken == {"cancel", "grant", "regrant", "local", "done", "return", "expire", "remove"}
+    step_kinds = _compare_random_traces(LeaseModel(ITEMS, ATTEMPTS, may_repeat))
+    assert step_kinds == {
+        "cancel",
+        "grant",
+        "regrant",
+        "local",
+        "done",
+        "return",
+        "expire",
+        "remove",
+    }
 
 
 @pytest.mark.parametrize(
@@ -180,7 +200,7 @@
 )
 def test_traces_of_a_broken_model_are_noticed(rule: Rule) -> None:
     with pytest.raises(AssertionError):
-        _follow_random_traces(LeaseModel(ITEMS, ATTEMPTS, False, rule))
+        _compare_random_traces(LeaseModel(ITEMS, ATTEMPTS, False, rule))
 
 
 def _compare(state: State, real: RealJob) -> None:
@@ -188,7 +208,7 @@
     statuses = [item.status for item in state.items]
     assert (view.done, view.unknown) == (statuses.count("done"), statuses.count("unknown"))
     if state.removed:
-        assert real.rows_and_holds() == 0
+        assert real.count_rows_and_leased_items() == 0
     if state.cancelled and view.finished_ms and view.state == "cancelled":
         assert (view.pending, view.leased) == (0, 0)
         assert view.cancelled == statuses.count("pending") + statuses.count("leased")
--- a/tests/unit/test_batch_retention.py
+++ b/tests/unit/test_batch_retention.py
@@ -1,4 +1,4 @@
-"""Removal of results past their retention, and of uploads that were given up."""
+"""Tests the removal of results past their retention and of abandoned uploads."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     return reply
 
 
-def rows(machine: Machine) -> int:
+def count_rows(machine: Machine) -> int:
     counts = [
         machine.connection.execute(f"SELECT COUNT(*) FROM {table}").fetchone()[0]
         for table in PAYLOAD_TABLES
@@ -85,8 +85,8 @@
     assert isinstance(refused, Failure)
     assert refused.kind == FailureKind.EXPIRED
     assert "expired" in refused.reason
-    assert rows(machine) == 0
-    # The job itself is still known, so a resend of its key does not run it again.
+    assert count_rows(machine) == 0
+    # The row of the job is still stored, so a resend with its key does not run it again.
     view = machine.job("a")
     assert (view.state, view.done, view.removed_ms) == (JobState.COMPLETED, 3, until_ms)
     again = spec("b", idempotency_key="k", deadline_ms=until_ms + 1000)
@@ -95,10 +95,10 @@
     assert (reopened.existed, reopened.job.spec.job_id) == (True, "a")
     expire(machine, until_ms + REMOVED_JOB_RETENTION_MS + 1)
     reopened = machine.apply(OpenJob(again), OpenedJob)
-    assert isinstance(reopened, Failure), "its deadline has passed, and no job is found"
+    assert isinstance(reopened, Failure), "the old job was found, or a past deadline was accepted"
 
 
-def test_retention_of_a_job_is_what_its_acceptance_states(machine: Machine) -> None:
+def test_retention_of_a_job_is_set_by_its_acceptance(machine: Machine) -> None:
     machine.apply(OpenJob(spec("a", item_count=1)), OpenedJob)
     machine.apply(AppendItems("a", 0, items(1)), JobView)
     machine.apply(AcceptJob("a", retention_ms=5_000), JobView)
@@ -111,23 +111,23 @@
 def test_each_command_deletes_a_bounded_number_of_rows(machine: Machine) -> None:
     run_job(machine, "big", MAX_CHUNK_ITEMS)
     run_job(machine, "small", 3, deadline_ms=DEADLINE_MS)
-    before = rows(machine)
+    before = count_rows(machine)
     until_ms = START_MS + RESULTS_RETENTION_MS
     deleted = []
     while not deleted or deleted[-1]:
         deleted.append(expire(machine, until_ms).removed_rows)
         for job_id in ("big", "small"):
             refused = machine.query(GetResults(job_id, 0), ResultPage)
-            assert isinstance(refused, Failure), "no part of the results may look like the whole"
-        if rows(machine):
+            assert isinstance(refused, Failure), "partial results were returned during the removal"
+        if count_rows(machine):
             assert next_due_ms(machine) == DUE_NOW_MS
     assert max(deleted) <= ROWS_PER_COMMAND
     assert sum(deleted) == before
-    assert rows(machine) == 0
+    assert count_rows(machine) == 0
     assert next_due_ms(machine) > until_ms
 
 
-def test_lease_lets_go_of_items_that_are_removed(machine: Machine) -> None:
+def test_lease_no_longer_holds_removed_items(machine: Machine) -> None:
     machine.submit("a", 3)
     lease = machine.grant("l")
     machine.apply(CancelJob("a"), JobView)
@@ -135,7 +135,7 @@
     backlog = machine.query(GetBacklog(), Backlog)
     assert isinstance(backlog, Backlog)
     assert backlog.leases_by_owner == {}
-    assert machine.grant("l").items == [], "a resent grant names no removed item"
+    assert machine.grant("l").items == [], "a resent grant returned removed items"
     late = machine.complete("l", *[outcome(item) for item in lease.items], release=True)
     assert (late.accepted, late.discarded) == (0, 3)
     assert machine.apply(ExpireLeases(["l"]), ExpiredLeases) == ExpiredLeases(returned=0, unknown=0)
@@ -145,11 +145,11 @@
 def test_counts_of_lost_runs_are_removed_with_their_job(machine: Machine) -> None:
     machine.submit("jobs-0.a", 2)
     lease = machine.grant("l")
-    back = outcome(lease.items[0], ItemState.PENDING)
-    machine.complete("l", msgspec.structs.replace(back, lost_runs=1), release=True)
+    returned = outcome(lease.items[0], ItemState.PENDING)
+    machine.complete("l", msgspec.structs.replace(returned, lost_runs=1), release=True)
     machine.apply(CancelJob("jobs-0.a"), JobView)
     expire(machine, machine.wall_ms + RESULTS_RETENTION_MS)
-    assert rows(machine) == 0
+    assert count_rows(machine) == 0
 
 
 def test_new_job_shares_nothing_with_an_upload_that_is_being_deleted(machine: Machine) -> None:
--- a/tests/unit/test_batch_state_machine.py
+++ b/tests/unit/test_batch_state_machine.py
@@ -1,4 +1,4 @@
-"""Rules of the replicated job state machine."""
+"""Tests the commands and queries of the replicated job state machine."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import pytest
 from tests.unit.batch_machine import (
     DEADLINE_MS,
-    NO_BACKLOG,
+    EMPTY_BACKLOG,
     START_MS,
     Machine,
     items,
@@ -87,7 +87,7 @@
     assert machine.complete("old", outcome(item, body="late")).accepted == 1
     assert machine.complete("new", outcome(again)).discarded == 1
     assert machine.job("j").state == JobState.COMPLETED
-    assert machine.query(GetBacklog(), Backlog) == NO_BACKLOG
+    assert machine.query(GetBacklog(), Backlog) == EMPTY_BACKLOG
 
 
 def test_late_result_withdraws_the_item_from_the_queue(machine: Machine) -> None:
@@ -106,7 +106,7 @@
     if end == "expiry":
         machine.apply(ExpireLeases(["l"]), ExpiredLeases)
     else:
-        # An unstarted item is given back by name; the rest of the lease may have run.
+        # Item 0 was not started and is returned explicitly; the other item may have run.
         machine.complete("l", outcome(lease.items[0], ItemState.PENDING), release=True)
     view = machine.job("j")
     assert (view.unknown, view.pending) == ((2, 0) if end == "expiry" else (1, 1))
@@ -118,14 +118,14 @@
     (item,) = machine.grant("l").items
     machine.complete("l", outcome(item, ItemState.UNKNOWN))
     assert machine.job("j").pending == 1
-    # A resend of the same return must not take the item from its next holder.
+    # A resend of the return under the old lease must not take the item from its next holder.
     (again,) = machine.grant("l2").items
     machine.complete("l", outcome(item, ItemState.PENDING))
     assert machine.job("j").leased == 1
     assert machine.complete("l2", outcome(again)).accepted == 1
 
 
-def test_lost_runs_are_told_to_the_items_next_holder(machine: Machine) -> None:
+def test_lost_runs_are_passed_to_the_next_holder_of_the_item(machine: Machine) -> None:
     machine.submit("jobs-0.a", 2)
     first = machine.grant("l1")
     given_back = outcome(first.items[0], ItemState.PENDING)
@@ -135,7 +135,9 @@
     assert {item.index: item.lost_runs for item in second.items} == {0: 3, 1: 0}
     late = msgspec.structs.replace(given_back, lost_runs=9)
     machine.complete("l1", late)
-    assert {item.lost_runs for item in machine.grant("l2").items} == {3, 0}, "a late return"
+    assert {item.lost_runs for item in machine.grant("l2").items} == {3, 0}, (
+        "a late return changed lost_runs"
+    )
 
 
 def test_cancel_stops_grants_and_discards_late_results(machine: Machine) -> None:
@@ -158,7 +160,7 @@
     assert [line.custom_id for line in rest.lines] == ["c3"]
     assert rest.complete
     assert machine.query(GetBacklog(), Backlog) == msgspec.structs.replace(
-        NO_BACKLOG, cancelled_jobs=["j"]
+        EMPTY_BACKLOG, cancelled_jobs=["j"]
     )
 
 
@@ -170,8 +172,8 @@
     other = machine.apply(OpenJob(spec("c", idempotency_key="k", content_hash="x")), OpenedJob)
     assert isinstance(other, Failure)
     assert (other.kind, other.detail) == (FailureKind.KEY_REUSED, "a")
-    foreign = OpenJob(spec("d", idempotency_key="k", tenant="hanbit", content_hash="x"))
-    opened = machine.apply(foreign, OpenedJob)
+    other_tenant = OpenJob(spec("d", idempotency_key="k", tenant="hanbit", content_hash="x"))
+    opened = machine.apply(other_tenant, OpenedJob)
     assert isinstance(opened, OpenedJob)
     assert not opened.existed
 
@@ -198,8 +200,8 @@
     digest = items_hash(items_hash("", items(1)), items(2, first=1))
     view = machine.apply(AcceptJob("j", 3, digest, "day", START_MS + 5, False), JobView)
     assert isinstance(view, JobView)
-    terms = (view.spec.item_count, view.spec.batch_class, view.spec.may_repeat)
-    assert terms == (3, "day", False)
+    parameters = (view.spec.item_count, view.spec.batch_class, view.spec.may_repeat)
+    assert parameters == (3, "day", False)
     assert view.spec.deadline_ms == START_MS + 5
     other = machine.apply(AcceptJob("j", 3, "other"), JobView)
     assert isinstance(other, Failure) and other.kind == FailureKind.KEY_REUSED
@@ -232,12 +234,12 @@
     "changes",
     [{"deadline_ms": START_MS}, {"item_count": 1 << 20}, {"item_count": -1}],
 )
-def test_open_refuses_impossible_terms(machine: Machine, changes: dict[str, int]) -> None:
+def test_open_refuses_invalid_parameters(machine: Machine, changes: dict[str, int]) -> None:
     refused = machine.apply(OpenJob(spec("j", **changes)), OpenedJob)
     assert isinstance(refused, Failure) and refused.kind == FailureKind.BAD_REQUEST
 
 
-def test_grant_is_repeated_for_the_same_id_and_never_revived(machine: Machine) -> None:
+def test_resent_grant_returns_only_items_that_are_still_leased(machine: Machine) -> None:
     machine.submit("j", 3)
     lease = machine.grant("l", max_items=2)
     assert machine.grant("l", max_items=2) == lease
@@ -262,7 +264,7 @@
     machine.submit("small", 10, tenant="kilimo")
     served = [item.tenant for item in machine.grant("l1", max_items=10).items]
     assert served.count("kilimo") == 5
-    # A tenant that joins starts level: it is owed nothing for the time before.
+    # A tenant that joins starts at the served share of the others, without credit for the past.
     assert machine.job("big").leased == 45
 
 
@@ -283,7 +285,7 @@
     assert machine.grant("l2").items == []
 
 
-def test_late_result_after_the_deadline_takes_back_the_expiry(machine: Machine) -> None:
+def test_late_result_after_the_deadline_undoes_the_expiry(machine: Machine) -> None:
     machine.submit("j", 2)
     lease = machine.grant("l")
     machine.apply(ExpireLeases(["l"]), ExpiredLeases)
@@ -306,7 +308,7 @@
     assert machine.connection.execute("SELECT COUNT(*) FROM sm_items").fetchone() == (0,)
 
 
-def test_claim_is_granted_to_one_attempt_and_keeps_its_answer(machine: Machine) -> None:
+def test_claim_is_granted_to_one_attempt_and_keeps_its_response(machine: Machine) -> None:
     def claim(attempt: str, content: str = "h") -> Claim:
         reply = machine.apply(ClaimRequest("t", "k", content, "g", attempt), Claim)
         assert isinstance(reply, Claim)
@@ -314,8 +316,8 @@
 
     assert claim("a").granted and claim("a").granted
     assert not claim("b").granted
-    stranger = machine.apply(FinishClaim("t", "k", "b", 200, "x"), Claim)
-    assert isinstance(stranger, Failure)
+    other_attempt = machine.apply(FinishClaim("t", "k", "b", 200, "x"), Claim)
+    assert isinstance(other_attempt, Failure)
     machine.apply(FinishClaim("t", "k", "a", 200, "answer"), Claim)
     machine.apply(FinishClaim("t", "k", "a", 500, "other"), Claim)
     resend = claim("b")
@@ -324,7 +326,7 @@
     assert claim("c", "other").content_hash == "h"
 
 
-def test_claim_that_was_not_run_is_free_again_and_old_ones_are_forgotten(machine: Machine) -> None:
+def test_claim_that_was_not_run_is_released_and_old_claims_are_deleted(machine: Machine) -> None:
     machine.apply(ClaimRequest("t", "k", "h", "g", "a"), Claim)
     machine.apply(FinishClaim("t", "k", "a", 503, "", True), Claim)
     second = machine.apply(ClaimRequest("t", "k", "h", "g", "b"), Claim)
@@ -351,8 +353,9 @@
     )
 
 
-def test_backlog_names_the_jobs_cancelled_last(machine: Machine) -> None:
-    # Whatever their age: a new leader tells holders of a cancel that the former one may not have.
+def test_backlog_lists_the_most_recently_cancelled_jobs(machine: Machine) -> None:
+    # The age of a job must not matter. A new leader notifies lease holders of a cancel, as the
+    # former leader may have failed before it did.
     for number in range(150):
         machine.submit(f"j{number}", 1)
     for job_id in ("j0", "j70"):
@@ -365,5 +368,5 @@
 
 def test_undecodable_commands_are_refused(machine: Machine) -> None:
     context = ApplyContext(index=1, term=1, wall_ms=START_MS)
-    reply = decode_reply(machine.machine.apply(machine.connection, context, b"{}"), JobView)
+    reply = decode_reply(machine.state_machine.apply(machine.connection, context, b"{}"), JobView)
     assert isinstance(reply, Failure) and reply.kind == FailureKind.CORRUPT
