--- a/src/leverjunction/batch/commands.py
+++ b/src/leverjunction/batch/commands.py
@@ -1,4 +1,4 @@
-"""Commands, queries and replies of a job group (``jobs-N``), the group that replicates batch jobs.
+"""Commands, queries and replies of a job group (``jobs-N``), a consensus group for batch jobs.
 
 A command is replicated and applied by every replica of the group. A query is answered by the
 leader. Times are wall-clock milliseconds. A job id has the form ``{group}.{random hex}``, so the
@@ -273,8 +273,8 @@
     Attributes:
         lease_id: Lease under which the items were run.
         results: Outcomes of items.
-        release: True when the holder ends the lease and returns all items that are still leased
-            under it.
+        release: True when the holder ends the lease. Items that are still leased under it become
+            pending again, or end as UNKNOWN if they may not repeat.
     """
 
     lease_id: str
--- a/src/leverjunction/batch/state_machine.py
+++ b/src/leverjunction/batch/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine of a job group (``jobs-N``), the group that replicates batch jobs.
+"""The replicated state machine of a job group (``jobs-N``), a consensus group for batch jobs.
 
 This module decodes commands and queries and dispatches them. They are implemented in
 ``submission``, ``leasing``, ``retention``, ``claims`` and ``job_queries``. All state is in SQLite
