--- a/src/leverjunction/consensus/core.py
+++ b/src/leverjunction/consensus/core.py
@@ -17,7 +17,7 @@
     Effect,
     Event,
     Flush,
-    PeerGone,
+    PeerDown,
     Persisted,
     Propose,
     Read,
@@ -48,7 +48,7 @@
 from leverjunction.standstills import NOTED_FROM_S
 
 
-def is_answer_to_leader(event: Event) -> bool:
+def may_renew_lease(event: Event) -> bool:
     """Return whether an event may renew a leader's lease."""
     return isinstance(event, Received) and isinstance(event.message, AppendReply | ContactReply)
 
@@ -68,7 +68,7 @@
         """
         self._now_s = max(self._now_s, now_s)
         self._effects = []
-        if not is_answer_to_leader(event):
+        if not may_renew_lease(event):
             # An answer that waited here during a slow sync counts before the lease is judged.
             self._check_lease()
         self._dispatch(event)
@@ -118,7 +118,7 @@
                 self._change_target(event)
             case TransferLeadership():
                 self._start_transfer()
-            case PeerGone():
+            case PeerDown():
                 self._peer_gone(event)
 
     def _after(self) -> None:
--- a/src/leverjunction/consensus/core_base.py
+++ b/src/leverjunction/consensus/core_base.py
@@ -204,7 +204,7 @@
         wait_s = self._random.uniform(self.timeout_min_s, self.timeout_max_s)
         self.election_deadline_s = self._now_s + wait_s
 
-    def silent_since(self, since_s: float) -> None:
+    def backdate_leader_contact(self, since_s: float) -> None:
         """Take into account, right after the start, that no leader was answered since ``since_s``.
 
         A process takes a while to load. What went by of a leader's lease need not be waited for
--- a/src/leverjunction/consensus/core_election.py
+++ b/src/leverjunction/consensus/core_election.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from leverjunction.consensus.core_follower import FollowerCore
-from leverjunction.consensus.events import BecameLeader, MajorityLost, PeerGone
+from leverjunction.consensus.events import BecameLeader, MajorityLost, PeerDown
 from leverjunction.consensus.messages import (
     Header,
     IdentityQuery,
@@ -58,13 +58,13 @@
             self._reset_election_deadline()
 
     def _check_leader(self) -> None:
-        """Ask a leader that missed its heartbeat; a refused connection is told by ``PeerGone``."""
+        """Ask a leader that missed its heartbeat; a refused connection is told by ``PeerDown``."""
         if self._now_s < self.next_election_step_s():
             return
         self.leader_check_s = self._now_s + self.config.heartbeat_interval_s
         self._send(self.leader_address, IdentityQuery(header=self.header(self.leader_id), nonce=0))
 
-    def _peer_gone(self, event: PeerGone) -> None:
+    def _peer_gone(self, event: PeerDown) -> None:
         """Elect another leader at once if it was the leader's process that ended."""
         if self.role is not Role.FOLLOWER or event.term != self.term:
             return
--- a/src/leverjunction/consensus/core_follower.py
+++ b/src/leverjunction/consensus/core_follower.py
@@ -23,7 +23,7 @@
 )
 from leverjunction.consensus.types import LogEntry, Role
 
-NONE_WANTED = -1
+NO_CHUNK_WANTED = -1
 """``next_number`` of a replica that wants no further chunk of a transfer."""
 
 
@@ -155,7 +155,7 @@
         elif not self._accept_leader(header):
             return
         if not self.blank and self._holds_start(message):
-            self._reply_chunk(message, NONE_WANTED, max(self.commit_index, message.start.index))
+            self._reply_chunk(message, NO_CHUNK_WANTED, max(self.commit_index, message.start.index))
             return
         self._take_chunk(message)
 
@@ -197,7 +197,7 @@
             self._persist_term(header.term, "")
         self._settle_role()
         self._reset_election_deadline()
-        self._reply_chunk(event.chunk, NONE_WANTED, event.position.index)
+        self._reply_chunk(event.chunk, NO_CHUNK_WANTED, event.position.index)
 
     def _on_snapshot_reply(self, message: SnapshotReply) -> None:
         progress = self.progress.get(message.header.from_id)
--- a/src/leverjunction/consensus/engine.py
+++ b/src/leverjunction/consensus/engine.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from leverjunction.consensus.api import ApplyContext, StateMachine
-from leverjunction.consensus.core import RaftCore, is_answer_to_leader
+from leverjunction.consensus.core import RaftCore, may_renew_lease
 from leverjunction.consensus.events import (
     Appended,
     AppendEntries,
@@ -42,7 +42,7 @@
     TruncateLog,
 )
 from leverjunction.consensus.messages import AppendRequest, Message, SnapshotChunk
-from leverjunction.consensus.notice import ChangeNotice, Listener, nobody_listens
+from leverjunction.consensus.notice import ChangeListener, ChangeNotifier, ignore_changes
 from leverjunction.consensus.requests import RequestTable
 from leverjunction.consensus.snapshot import SnapshotStage
 from leverjunction.consensus.snapshot_sender import SnapshotSender
@@ -81,7 +81,7 @@
     changed_role: Callable[[BecameLeader | SteppedDown], None]
     repaired: Callable[[RepairDone], None]
     majority_lost: Callable[[MajorityLost], None] = lambda _lost: None
-    listener: Listener = nobody_listens
+    listener: ChangeListener = ignore_changes
 
 
 class ReplicaEngine:
@@ -120,7 +120,7 @@
         self.applied_index = self.core.applied_index
         self._now_s = now_s
         self._requests = RequestTable(callbacks.answer)
-        self._notice = ChangeNotice(config.group, callbacks.listener)
+        self._notice = ChangeNotifier(config.group, callbacks.listener)
         self._sender = SnapshotSender(store.connection, config.snapshot_chunk_bytes, random)
         self._stage = SnapshotStage(store.connection)
         self._due: deque[Effect] = deque()
@@ -164,7 +164,7 @@
             self.store.put_applied(self.applied_index)
             self._run(self.core.handle(Applied(self.applied_index), self._now_s))
         self._answer_reads()
-        self._notice.tell()
+        self._notice.notify()
         return self.core.commit_index > self.applied_index
 
     def commit_idle(self) -> None:
@@ -278,7 +278,7 @@
         reply = b""
         if entry.kind is EntryKind.COMMAND:
             reply = self._apply_command(entry)
-            self._notice.note_applied()
+            self._notice.mark_applied()
         self.applied_index = entry.index
         self._requests.applied(entry.index, entry.term, reply)
 
@@ -338,7 +338,7 @@
         self.store.reset_log(chunk.header.founding_id, chunk.final, chunk.configuration)
         self._sync()
         self.applied_index = chunk.final.index
-        self._notice.note_replaced()
+        self._notice.mark_replaced()
         self._requests.skipped_to(chunk.final.index)
         event = SnapshotInstalled(
             position=chunk.final, configuration=chunk.configuration, chunk=chunk
@@ -369,7 +369,7 @@
 
 
 def _is_no_answer(event: Event) -> bool:
-    return not is_answer_to_leader(event)
+    return not may_renew_lease(event)
 
 
 def _rejected(error: Exception) -> Failure:
--- a/src/leverjunction/consensus/events.py
+++ b/src/leverjunction/consensus/events.py
@@ -100,7 +100,7 @@
     """Hand leadership to the most up-to-date voter, before a planned stop."""
 
 
-class PeerGone(msgspec.Struct, frozen=True):
+class PeerDown(msgspec.Struct, frozen=True):
     """The process that served ``address`` in ``term`` has ended: its port refuses connections.
 
     Silence, or an address that cannot be reached, is no such proof.
@@ -122,7 +122,7 @@
     | SnapshotDelivered
     | ChangeTarget
     | TransferLeadership
-    | PeerGone
+    | PeerDown
 )
 
 
--- a/src/leverjunction/consensus/group.py
+++ b/src/leverjunction/consensus/group.py
@@ -25,7 +25,7 @@
     ChangeTarget,
     Event,
     MajorityLost,
-    PeerGone,
+    PeerDown,
     Propose,
     Read,
     Received,
@@ -36,7 +36,7 @@
 )
 from leverjunction.consensus.inbox import Inbox, PeerCall, Ticket
 from leverjunction.consensus.messages import Message
-from leverjunction.consensus.notice import Listener, nobody_listens
+from leverjunction.consensus.notice import ChangeListener, ignore_changes
 from leverjunction.consensus.status import status_of, stopped_status, unknown_status
 from leverjunction.consensus.store_faults import (
     StoreCorruptError,
@@ -66,7 +66,7 @@
         random: Random,
         core_type: type[RaftCore] = RaftCore,
         silent_since_s: float | None = None,
-        listener: Listener = nobody_listens,
+        listener: ChangeListener = ignore_changes,
     ) -> None:
         """Prepare a replica; ``start`` opens its file.
 
@@ -145,7 +145,7 @@
             store.abandon()
             return corrupt_failure(self.config.data_path, str(error))
         if self._silent_since_s is not None:
-            self._engine.core.silent_since(self._silent_since_s)
+            self._engine.core.backdate_leader_contact(self._silent_since_s)
         return None
 
     def stop(self) -> None:
@@ -281,7 +281,7 @@
         """Have the core know by how much this step, and a late start of it, held up what came."""
         assert self._engine is not None
         now_s = self._clock.monotonic_s()
-        self._engine.core.slow_steps.note(now_s, now_s - min(begun_s, deadline_s))
+        self._engine.core.slow_steps.record(now_s, now_s - min(begun_s, deadline_s))
 
     def _post(self, address: str, message: Message) -> None:
         """Send a message, in the answer to the peer's own call if one is being handled."""
@@ -300,7 +300,7 @@
     def _deliver(self, batch: list[Message]) -> None:
         self._inbox.put_all([Received(message) for message in batch])
 
-    def _gone(self, event: PeerGone) -> None:
+    def _gone(self, event: PeerDown) -> None:
         self._inbox.put(event)
 
     def _new_ticket(self) -> tuple[Ticket, int]:
--- a/src/leverjunction/consensus/notice.py
+++ b/src/leverjunction/consensus/notice.py
@@ -6,12 +6,12 @@
 
 from loguru import logger
 
-Listener = Callable[[bool], None]
+ChangeListener = Callable[[bool], None]
 """Called by the replica's driver after entries were applied; True when a snapshot has replaced the
 tables. It must not block, nor ask the replica."""
 
 
-class ChangeNotice:
+class ChangeNotifier:
     """What the listener of one replica has not been told yet.
 
     What is applied never depends on the listener: it is told afterwards, and a notice that fails
@@ -20,23 +20,23 @@
 
     __slots__ = ("_failing", "_group", "_is_due", "_listener", "_replaced")
 
-    def __init__(self, group: str, listener: Listener) -> None:
+    def __init__(self, group: str, listener: ChangeListener) -> None:
         self._group = group
         self._listener = listener
         self._is_due = False
         self._replaced = False
         self._failing = False
 
-    def note_applied(self) -> None:
+    def mark_applied(self) -> None:
         """A command was applied."""
         self._is_due = True
 
-    def note_replaced(self) -> None:
+    def mark_replaced(self) -> None:
         """A snapshot has replaced the tables."""
         self._is_due = True
         self._replaced = True
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Tell the listener if there is something new."""
         if not self._is_due:
             return
@@ -53,5 +53,5 @@
         self._is_due = self._replaced = self._failing = False
 
 
-def nobody_listens(_replaced: bool) -> None:
+def ignore_changes(_replaced: bool) -> None:
     """Take a notice that nobody waits for."""
--- a/src/leverjunction/consensus/slow_steps.py
+++ b/src/leverjunction/consensus/slow_steps.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._steps: deque[tuple[float, float]] = deque()
 
-    def note(self, now_s: float, took_s: float) -> None:
+    def record(self, now_s: float, took_s: float) -> None:
         """Take the time by which a step held up what came meanwhile, both in seconds."""
         if took_s >= NOTED_FROM_S:
             self._steps.append((now_s, took_s))
--- a/src/leverjunction/consensus/snapshot_sender.py
+++ b/src/leverjunction/consensus/snapshot_sender.py
@@ -15,7 +15,7 @@
 RESEND_AFTER_S = 1.0
 GIVE_UP_AFTER_S = 10.0
 STREAM_ID_BITS = 64
-NONE_WANTED = -1
+NO_CHUNK_WANTED = -1
 
 
 @dataclass(frozen=True)
@@ -90,7 +90,7 @@
         if answer.replica_id != self.replica_id:
             return AnswerOutcome()
         self._answered_s = self._sent_s
-        if answer.next_number == NONE_WANTED:
+        if answer.next_number == NO_CHUNK_WANTED:
             return AnswerOutcome(ended=SnapshotDelivered(self.replica_id, answer.matched_index))
         if answer.next_number == chunk.number + 1 and chunk.final is None:
             return AnswerOutcome(send_next=True)
--- a/src/leverjunction/consensus/transport.py
+++ b/src/leverjunction/consensus/transport.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from leverjunction.consensus.codec import decode_messages, encode_messages
-from leverjunction.consensus.events import PeerGone
+from leverjunction.consensus.events import PeerDown
 from leverjunction.consensus.messages import (
     AppendReply,
     AppendRequest,
@@ -131,7 +131,7 @@
         group: str,
         address: str,
         deliver: Callable[[list[Message]], None],
-        gone: Callable[[PeerGone], None],
+        gone: Callable[[PeerDown], None],
     ) -> None:
         """Start the thread of small messages; that of large ones starts with the first.
 
@@ -197,7 +197,7 @@
             logger.exception("group {}: a message to {} is lost", self._group, self._address)
             return
         if isinstance(reply, Failure) and reply.kind is FailureKind.NOT_LISTENING:
-            self._gone(PeerGone(address=self._address, term=batch[-1].header.term))
+            self._gone(PeerDown(address=self._address, term=batch[-1].header.term))
         if not isinstance(reply, bytes) or not reply:
             return
         answers = decode_messages(reply)
--- a/src/testbed/simulation/replica.py
+++ b/src/testbed/simulation/replica.py
@@ -17,7 +17,7 @@
     BecameLeader,
     ChangeTarget,
     Event,
-    PeerGone,
+    PeerDown,
     Propose,
     Read,
     Received,
@@ -248,7 +248,7 @@
     def _post(self, address: str, message: Message) -> None:
         origin = self._machine.name
         if self._network.refuses(origin, address):
-            gone = PeerGone(address=address, term=message.header.term)
+            gone = PeerDown(address=address, term=message.header.term)
             delay_s = self._network.ordered_delay_s(origin, address)
             self._machine.after(delay_s, lambda: self._handle(gone))
             return
--- a/tests/unit/consensus_simulation.py
+++ b/tests/unit/consensus_simulation.py
@@ -17,7 +17,7 @@
 from leverjunction.consensus.events import (
     BecameLeader,
     Event,
-    PeerGone,
+    PeerDown,
     Propose,
     Read,
     Received,
@@ -74,16 +74,16 @@
 class Faults:
     """Chances and counts of what goes wrong.
 
-    The chances are for each message or step; ``struck`` counts what did happen.
+    The chances are for each message or step; ``counts`` counts what did happen.
     """
 
     drop: float = 0.05
     repeat: float = 0.05
     crash_in_sync: float = 0.002
-    struck: dict[str, int] = field(default_factory=dict)
+    counts: dict[str, int] = field(default_factory=dict)
 
     def count(self, name: str) -> None:
-        self.struck[name] = self.struck.get(name, 0) + 1
+        self.counts[name] = self.counts.get(name, 0) + 1
 
 
 class Simulation:
@@ -230,7 +230,7 @@
 
     def heal(self) -> None:
         """End all faults and let the group settle."""
-        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, struck=self.faults.struck)
+        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, counts=self.faults.counts)
         self.partitioned.clear()
         for address in self.addresses:
             self.start(address)
@@ -277,7 +277,7 @@
             self.step(to, [Received(message)])
         elif self.random.random() >= self.faults.drop:
             self.faults.count("refused connection")
-            gone = PeerGone(address=to, term=message.header.term)
+            gone = PeerDown(address=to, term=message.header.term)
             self.at(self.random.uniform(0.0005, 0.5), lambda: self.step(origin, [gone]))
 
     def _schedule_tick(self, node: Node) -> None:
--- a/tests/unit/lots_simulation.py
+++ b/tests/unit/lots_simulation.py
@@ -340,7 +340,7 @@
     def calm(self) -> None:
         """End all faults and let the group settle; then check what must hold."""
         kept = self.faults
-        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, struck=kept.struck)
+        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, counts=kept.counts)
         until_s = self.now_s + CALM_AT_MOST_S
         while self.now_s < until_s:
             self.partitioned.clear()
--- a/tests/unit/test_consensus_faults.py
+++ b/tests/unit/test_consensus_faults.py
@@ -38,4 +38,4 @@
     simulation = Simulation(seed, size)
     play(simulation)
     assert simulation.acked
-    assert simulation.faults.struck["read answered"]
+    assert simulation.faults.counts["read answered"]
--- a/tests/unit/test_consensus_leader_gone.py
+++ b/tests/unit/test_consensus_leader_gone.py
@@ -11,7 +11,7 @@
 
 from leverjunction.clock import SystemClock
 from leverjunction.consensus.core import RaftCore
-from leverjunction.consensus.events import AppendEntries, Effect, PeerGone, Received, Send, Tick
+from leverjunction.consensus.events import AppendEntries, Effect, PeerDown, Received, Send, Tick
 from leverjunction.consensus.messages import (
     AppendReply,
     AppendRequest,
@@ -114,7 +114,7 @@
 def test_a_leader_whose_process_ended_is_replaced_before_its_lease_is_over() -> None:
     core = follower()
     told_s = HEARD_S + 1.6 * HEARTBEAT_S
-    core.handle(PeerGone(address="c", term=TERM), told_s)
+    core.handle(PeerDown(address="c", term=TERM), told_s)
     assert core.leader_address == ""
     assert core.next_deadline_s() <= told_s + SHORTEST_S / 4
     assert sent(core.handle(Tick(), told_s + SHORTEST_S / 4), VoteRequest) == ["b", "c"]
@@ -123,7 +123,7 @@
 def test_a_vote_is_given_at_once_after_the_leaders_process_ended_but_not_in_its_silence() -> None:
     core = follower()
     assert not pre_vote_is_granted(core, HEARD_S + 0.3)
-    core.handle(PeerGone(address="c", term=TERM), HEARD_S + 0.3)
+    core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     assert pre_vote_is_granted(core, HEARD_S + 0.3)
 
 
@@ -134,7 +134,7 @@
 )
 def test_only_the_end_of_the_present_leaders_process_counts(address: str, term: int) -> None:
     core = follower()
-    core.handle(PeerGone(address=address, term=term), HEARD_S + 0.3)
+    core.handle(PeerDown(address=address, term=term), HEARD_S + 0.3)
     assert core.leader_address == "c"
     assert not pre_vote_is_granted(core, HEARD_S + 0.3)
 
@@ -157,7 +157,7 @@
     """
     core = follower()
     told_s = HEARD_S + 0.3
-    core.handle(PeerGone(address="c", term=TERM), told_s)
+    core.handle(PeerDown(address="c", term=TERM), told_s)
     entry = LogEntry(index=1, term=TERM, kind=EntryKind.NO_OP, wall_ms=0, payload=b"")
     effects = core.handle(Received(late_append(entry)), told_s + 0.05)
     assert any(isinstance(effect, AppendEntries) for effect in effects)
@@ -173,7 +173,7 @@
 
 def test_a_candidate_goes_on_though_a_late_message_of_the_ended_leader_comes() -> None:
     core = follower()
-    core.handle(PeerGone(address="c", term=TERM), HEARD_S + 0.3)
+    core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     core.handle(Tick(), HEARD_S + 0.45)
     assert core.role == "candidate"
     core.handle(Received(late_append()), HEARD_S + 0.46)
@@ -183,14 +183,14 @@
 def test_a_leader_that_was_taken_for_ended_and_is_heard_on_leads_again() -> None:
     """A refused connection is no proof for ever: a port may have been refused by a mistake."""
     core = follower()
-    core.handle(PeerGone(address="c", term=TERM), HEARD_S + 0.3)
+    core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     core.handle(Received(late_append()), HEARD_S + 0.3 + 2 * LONGEST_S)
     assert core.leader_address == "c"
 
 
 def test_an_ended_leader_that_leads_a_later_term_is_followed() -> None:
     core = follower()
-    core.handle(PeerGone(address="c", term=TERM), HEARD_S + 0.3)
+    core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     newer = AppendRequest(
         header=header("c", TERM + 1), previous=LogPosition(), commit_index=0, sequence=1
     )
@@ -201,7 +201,7 @@
 def test_an_ended_leader_is_followed_in_the_term_in_which_this_replica_campaigned() -> None:
     """Found on reading: the verdict outlived its term when the replica itself had raised it."""
     core = follower()
-    core.handle(PeerGone(address="c", term=TERM), HEARD_S + 0.3)
+    core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     core.handle(Tick(), HEARD_S + 0.45)
     vote = VoteReply(header=header("b"), campaign_term=TERM + 1, granted=True, pre=True)
     core.handle(Received(vote), HEARD_S + 0.46)
@@ -284,7 +284,7 @@
 
 def test_a_leader_does_not_mind_peers_that_are_gone() -> None:
     core = follower()
-    core.handle(PeerGone(address="c", term=TERM), HEARD_S + 0.2)
+    core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.2)
     now_s = HEARD_S + 0.4
     core.handle(Tick(), now_s)
     for pre in (True, False):
@@ -296,14 +296,14 @@
         )
         core.handle(Received(reply), now_s)
     assert core.role == "leader"
-    core.handle(PeerGone(address="a", term=TERM + 1), now_s)
+    core.handle(PeerDown(address="a", term=TERM + 1), now_s)
     assert core.role == "leader"
 
 
 def test_a_restarted_voter_honours_what_is_left_of_the_lease_that_it_may_have_given() -> None:
     loaded_s = START_S + 0.3
     core = voter(now_s=loaded_s)
-    core.silent_since(START_S)
+    core.backdate_leader_contact(START_S)
     assert not pre_vote_is_granted(core, START_S + SHORTEST_S - 0.01)
     assert pre_vote_is_granted(core, START_S + SHORTEST_S)
 
@@ -313,7 +313,7 @@
     waits_s = []
     for seed in range(20):
         core = voter(seed, START_S + load_s)
-        core.silent_since(START_S)
+        core.backdate_leader_contact(START_S)
         waits_s.append(core.next_deadline_s() - (START_S + load_s))
     assert min(waits_s) >= max(0.0, SHORTEST_S - load_s)
     assert max(waits_s) <= max(LONGEST_S - SHORTEST_S, LONGEST_S - load_s)
@@ -321,7 +321,7 @@
 
 
 def test_a_sender_tells_that_a_process_ended_and_in_which_term_it_asked() -> None:
-    told: list[PeerGone] = []
+    told: list[PeerDown] = []
 
     class Refusing:
         def send(self, peer_address: str, group: str, body: bytes) -> Failure:
@@ -333,7 +333,7 @@
         sender.put(IdentityQuery(header=header("a"), nonce=0))
         sender.stop()
         sender.join(5.0)
-    assert told == [PeerGone(address="gone", term=TERM)]
+    assert told == [PeerDown(address="gone", term=TERM)]
 
 
 def test_a_port_that_refuses_connections_is_told_from_one_that_is_silent() -> None:
@@ -371,7 +371,7 @@
         term = others[0].status().term
         cluster.cut.add(leader)
         for replica in others:
-            replica._gone(PeerGone(address=leader, term=term))
+            replica._gone(PeerDown(address=leader, term=term))
         cluster.propose(b"two")
         assert others[0].status().term > term
     finally:
--- a/tests/unit/test_consensus_slow_steps.py
+++ b/tests/unit/test_consensus_slow_steps.py
@@ -35,7 +35,7 @@
 def test_what_lasts(steps: list[tuple[float, float]], now_s: float, lasting_s: float) -> None:
     slow = SlowSteps()
     for at_s, took_s in steps:
-        slow.note(at_s, took_s)
+        slow.record(at_s, took_s)
     assert slow.lasting_s(now_s) == lasting_s
 
 
@@ -58,6 +58,6 @@
     )
     core = RaftCore(config, durable, Random(1), 10.0)
     for _ in range(3):
-        core.slow_steps.note(10.0, took_s)
+        core.slow_steps.record(10.0, took_s)
     assert (core.timeout_min_s, core.timeout_max_s) == pytest.approx(timeouts_s)
     assert core.lease_s < core.timeout_min_s
--- a/tests/unit/test_consensus_standstill.py
+++ b/tests/unit/test_consensus_standstill.py
@@ -112,7 +112,7 @@
     for node in stage.group.nodes.values():
         assert node.engine is not None
         for _ in range(LASTING_STEPS):
-            node.engine.core.slow_steps.note(stage.group.now_s, step_s)
+            node.engine.core.slow_steps.record(stage.group.now_s, step_s)
     stage.stand_still(set(stage.group.addresses), for_s)
     stage.group.run(stage.group.now_s + SETTLE_S)
     assert (stage.leader(), stage.terms()) == (leader, terms)
--- a/tests/unit/test_lots_replicas.py
+++ b/tests/unit/test_lots_replicas.py
@@ -17,7 +17,7 @@
 def test_every_replica_holds_what_the_committed_commands_say(size: int, seeds: range) -> None:
     struck: set[str] = set()
     for seed in seeds:
-        struck |= set(play(seed, size, ROUNDS, STEPS).faults.struck)
+        struck |= set(play(seed, size, ROUNDS, STEPS).faults.counts)
     assert struck >= {
         "acknowledged",
         "read answered",
@@ -29,4 +29,4 @@
 
 def test_a_change_of_machines_falls_on_the_end_of_a_snapshot() -> None:
     """The leader once met, at this seed, an entry of its log that it had not written yet."""
-    assert play(1051, 3, ROUNDS, 120).faults.struck["machine replaced"]
+    assert play(1051, 3, ROUNDS, 120).faults.counts["machine replaced"]
