--- a/src/leverjunction/consensus/engine.py
+++ b/src/leverjunction/consensus/engine.py
@@ -14,6 +14,7 @@
 from loguru import logger
 
 from leverjunction.consensus.api import ApplyContext, StateMachine
+from leverjunction.consensus.change_notifier import ChangeListener, ChangeNotifier, ignore_changes
 from leverjunction.consensus.core import RaftCore, may_renew_lease
 from leverjunction.consensus.events import (
     Appended,
@@ -42,7 +43,6 @@
     TruncateLog,
 )
 from leverjunction.consensus.messages import AppendRequest, Message, SnapshotChunk
-from leverjunction.consensus.notice import ChangeListener, ChangeNotifier, ignore_changes
 from leverjunction.consensus.requests import RequestTable
 from leverjunction.consensus.snapshot import SnapshotStage
 from leverjunction.consensus.snapshot_sender import SnapshotSender
--- a/src/leverjunction/consensus/group.py
+++ b/src/leverjunction/consensus/group.py
@@ -17,6 +17,7 @@
 from leverjunction.clock import Clock
 from leverjunction.consensus import metrics
 from leverjunction.consensus.api import GroupStatus, StateMachine
+from leverjunction.consensus.change_notifier import ChangeListener, ignore_changes
 from leverjunction.consensus.codec import decode_messages, encode_messages
 from leverjunction.consensus.core import RaftCore
 from leverjunction.consensus.engine import EngineCallbacks, ReplicaEngine
@@ -36,7 +37,6 @@
 )
 from leverjunction.consensus.inbox import Inbox, PeerCall, Ticket
 from leverjunction.consensus.messages import Message
-from leverjunction.consensus.notice import ChangeListener, ignore_changes
 from leverjunction.consensus.status import status_of, stopped_status, unknown_status
 from leverjunction.consensus.store_faults import (
     StoreCorruptError,
