--- a/src/leverjunction/consensus/commit_guard.py
+++ b/src/leverjunction/consensus/commit_guard.py
@@ -1,10 +1,10 @@
-"""A sidecar file that tells a shortened write-ahead log from a clean one.
+"""A sidecar file that detects a truncated or missing write-ahead log.
 
-SQLite takes the end of its write-ahead log for the end of what was committed. If that file is
-cut or removed, commits that were synced and acknowledged vanish without an error. So after each
-commit its sequence number is written here as well, without a sync of its own: a number above the
-one in the database proves a loss, and a crash of the machine can only make it too low, which
-raises no false alarm.
+SQLite treats the end of its write-ahead log as the end of the committed data. If that file is
+truncated or removed, commits that were synced and acknowledged vanish without an error. After
+each commit, its sequence number is therefore also written to the sidecar file, without a sync of
+its own. A number above the one in the database proves a loss. A crash of the machine can only
+leave the number too low, which raises no false alarm.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class CommitGuard:
-    """The highest commit sequence number known to have been synced."""
+    """Stores the highest commit sequence number that is known to be synced."""
 
     def __init__(self, database: Path) -> None:
         path = database.with_name(database.name + GUARD_SUFFIX)
@@ -29,12 +29,12 @@
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
 
     def record(self, sequence: int) -> None:
-        """Note that commit ``sequence`` is synced."""
+        """Record that the commit with number ``sequence`` is synced."""
         data = _RECORD.pack(sequence, _digest(sequence))
         os.pwrite(self._descriptor, data, 0)
 
     def last_recorded(self) -> int:
-        """Return the highest commit noted, 0 when there is none that can be read."""
+        """Return the highest recorded sequence number, or 0 if the file has no valid record."""
         data = os.pread(self._descriptor, _RECORD.size, 0)
         if len(data) != _RECORD.size:
             return 0
--- a/src/leverjunction/consensus/core.py
+++ b/src/leverjunction/consensus/core.py
@@ -1,8 +1,8 @@
-"""The pure Raft core of one replica: events in, effects out.
+"""The pure Raft core of one replica: it takes events and returns effects.
 
-No I/O, threads, clock or global randomness: time and a random generator are passed in, so the
-processes, the simulator and the model check's conformance test all run this same code. The order
-rules for effects are in ``consensus.events``.
+The core does no I/O and has no threads, clock or global randomness. Time and a random generator
+are passed in, so the processes, the simulator and the conformance test of the model checker all
+run the same code. ``consensus.events`` states the order in which effects must be carried out.
 """
 
 from __future__ import annotations
@@ -49,19 +49,22 @@
 
 
 def may_renew_lease(event: Event) -> bool:
-    """Return whether an event may renew a leader's lease."""
+    """Return whether the event is a follower's reply, which may renew the leader's lease."""
     return isinstance(event, Received) and isinstance(event.message, AppendReply | ContactReply)
 
 
 class RaftCore(ElectionCore):
-    """One replica of one group. Not thread-safe; one driver calls it."""
+    """The Raft state machine of one replica of one group.
+
+    Not thread-safe: a single driver calls it.
+    """
 
     def handle(self, event: Event, now_s: float) -> list[Effect]:
         """Handle one event.
 
         Args:
-            event: What happened.
-            now_s: Monotonic time, in seconds; never less than at the call before.
+            event: The event to handle.
+            now_s: Monotonic time, in seconds; not less than in the previous call.
 
         Returns:
             Effects to carry out, in order.
@@ -69,25 +72,28 @@
         self._now_s = max(self._now_s, now_s)
         self._effects = []
         if not may_renew_lease(event):
-            # An answer that waited here during a slow sync counts before the lease is judged.
+            # A reply that was queued during a slow sync counts before the lease is checked.
             self._check_lease()
         self._dispatch(event)
         if not isinstance(event, Propose | Read):
-            self._after()
+            self._advance_leader()
         return self._effects
 
     def begin_step(self, now_s: float) -> None:
-        """Take the time at which a batch of events begins to be handled.
+        """Detect a pause of this replica when it begins to handle a batch of events.
+
+        A batch that begins after the replica's timer was due shows that the process did not run in
+        between. Time before the last step is not counted again.
 
-        What it is late by is a standstill of this replica: its timer was due before. Time up to
-        the last step was counted then.
+        Args:
+            now_s: Monotonic time, in seconds.
         """
         late_s = now_s - max(self.next_deadline_s(), self._now_s)
         if late_s >= NOTED_FROM_S:
-            self._stood_still(now_s, late_s)
+            self._on_standstill(now_s, late_s)
 
     def next_deadline_s(self) -> float:
-        """Return the monotonic time at which a ``Tick`` is due, in seconds."""
+        """Return the monotonic time at which the next ``Tick`` is due, in seconds."""
         if self.role is Role.LEADER:
             return self.heartbeat_due_s
         if self.is_founder():
@@ -109,25 +115,25 @@
             case Persisted():
                 self.persisted_index = min(event.last_index, self.log.last_index)
             case Applied():
-                self._applied(event.index)
+                self._on_applied(event.index)
             case SnapshotInstalled():
                 self._on_snapshot_installed(event)
             case SnapshotDelivered():
-                self._snapshot_delivered(event.replica_id, event.matched_index)
+                self._on_snapshot_delivered(event.replica_id, event.matched_index)
             case ChangeTarget():
                 self._change_target(event)
             case TransferLeadership():
                 self._start_transfer()
             case PeerDown():
-                self._peer_gone(event)
+                self._on_peer_down(event)
 
-    def _after(self) -> None:
-        """Take the leader's steps that any event may have made possible."""
+    def _advance_leader(self) -> None:
+        """Take the leader's follow-up steps, which any event may have enabled."""
         if self.role is not Role.LEADER:
             return
         self._advance_commit()
         if self.commit_index >= self.log.configuration_index and not self.is_voter():
-            self._follow(self.term, "this replica was removed from the group")
+            self._become_follower(self.term, "this replica was removed from the group")
             return
         self._drive_membership()
         if self.transferring():
@@ -137,7 +143,7 @@
         if self.role is Role.LEADER:
             if self._now_s >= self.heartbeat_due_s:
                 self._start_round()
-                self._ask_missing()
+                self._query_missing_targets()
         elif self.blank:
             self._tick_founding()
         else:
@@ -177,7 +183,10 @@
     def _receive_reply(
         self, message: VoteReply | AppendReply | ContactReply | SnapshotReply
     ) -> None:
-        """Handle a reply that counts for a quorum; it must be for this very replica."""
+        """Handle a reply that may count towards a quorum.
+
+        Replies to another replica id or from another founding of the group are dropped.
+        """
         header = message.header
         from_blank_learner = header.founding_id == "" and isinstance(message, SnapshotReply)
         if not self._is_addressed(header):
@@ -185,7 +194,7 @@
         if not self._same_founding(header) and not from_blank_learner:
             return
         if header.term > self.term:
-            self._follow(header.term, "a peer has a higher term")
+            self._become_follower(header.term, "a peer has a higher term")
         match message:
             case VoteReply():
                 self._on_vote_reply(message)
--- a/src/leverjunction/consensus/core_follower.py
+++ b/src/leverjunction/consensus/core_follower.py
@@ -1,4 +1,4 @@
-"""The follower's and the learner's side of replication: appends and snapshot chunks."""
+"""Replication on the side of the follower and the learner: appends and snapshot chunks."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from leverjunction.consensus.types import LogEntry, Role
 
 NO_CHUNK_WANTED = -1
-"""``next_number`` of a replica that wants no further chunk of a transfer."""
+"""``next_number`` in the reply of a replica that needs no further chunk of a transfer."""
 
 
 @dataclass
 class IncomingSnapshot:
-    """The transfer that this replica is receiving.
+    """The snapshot transfer that this replica is receiving.
 
     Attributes:
-        stream_id: Which transfer.
-        next_number: Chunk that it wants next.
+        stream_id: Id of the transfer.
+        next_number: Number of the chunk expected next.
     """
 
     stream_id: str
@@ -41,7 +41,7 @@
 
 
 class FollowerCore(MembershipCore):
-    """Appends and snapshots as the receiver sees them."""
+    """Append requests and snapshots, on the receiving side."""
 
     incoming: IncomingSnapshot | None = None
 
@@ -49,67 +49,74 @@
         header = message.header
         if not self._accept_leader(header):
             return
-        self._ask_repaired()
+        self._query_repaired()
         entries = [entry for entry in message.entries if entry.index > self.log.base.index]
         if message.previous.index >= self.log.base.index and not self.log.holds(message.previous):
             self._reply_append(message, False, self._conflict_hint(message.previous.index))
             return
         if message.previous.index < self.log.base.index and not entries:
             self._reply_append(message, True, self.log.base.index)
-            self._note_progress(message, self.log.base.index)
+            self._update_caught_up(message, self.log.base.index)
             return
-        self._store(entries)
+        self._store_entries(entries)
         matched = message.previous.index + len(message.entries)
         self._reply_append(message, True, matched)
         commit_index = min(message.commit_index, matched)
         if commit_index > self.commit_index:
             self._commit(commit_index)
-        self._note_progress(message, matched)
+        self._update_caught_up(message, matched)
 
     def _on_contact_request(self, message: ContactRequest) -> None:
-        """Tell a leader that it is followed; what is committed is told with the entries."""
+        """Acknowledge the leader; the commit index comes with the entries instead."""
         if self._accept_leader(message.header):
             header = self.header(message.header.from_id)
             reply = ContactReply(header=header, sequence=message.sequence)
             self._send(message.header.from_address, reply)
 
-    def _note_progress(self, message: AppendRequest, matched: int) -> None:
-        """Note that this replica lacks nothing; a leader heard in a repair does not say so."""
-        if self._is_gone(message.header.from_id):
+    def _update_caught_up(self, message: AppendRequest, matched: int) -> None:
+        """Record the time at which this replica held every committed entry.
+
+        Snapshot chunks do not count: a replica under repair hears the leader but lacks entries.
+        """
+        if self._is_dead_leader(message.header.from_id):
             return
-        if matched >= message.commit_index and self._knows_commits(message):
+        if matched >= message.commit_index and self._leader_committed_in_term(message):
             self.caught_up_s = self._now_s
 
-    def _knows_commits(self, message: AppendRequest) -> bool:
-        """Return whether its sender knows all that is committed: once an entry of its term is.
+    def _leader_committed_in_term(self, message: AppendRequest) -> bool:
+        """Return whether the leader has committed an entry of its own term.
 
-        A new leader may hold entries that its predecessor has committed and acknowledged, without
-        knowing that they are.
+        Only then is its commit index complete. Before that, a new leader may hold entries that its
+        predecessor committed and acknowledged, without knowing that they are committed.
         """
         index = message.commit_index
         return index == 0 or self.log.term_at(index) == message.header.term
 
     def _accept_leader(self, header: Header) -> bool:
-        """Check a leader's message; follow it, or tell its sender why not."""
+        """Return whether to process a leader's message; follow the leader if so.
+
+        A message for another replica id is answered with this replica's identity, and one of an
+        older term with the current term.
+        """
         if self.blank or not self._is_addressed(header):
             self._send_identity(header.from_address, header.from_id)
             return False
         if not self._same_founding(header):
             return False
         if header.term < self.term:
-            self._send_stale(header)
+            self._reject_stale_leader(header)
             return False
-        if header.term == self.term and self._is_gone(header.from_id):
-            # What it sent counts, as it led then; that it was sent says nothing of now.
+        if header.term == self.term and self._is_dead_leader(header.from_id):
+            # The content was valid when sent, but a delayed message is no proof of contact.
             return True
         if header.term > self.term or self.role is Role.CANDIDATE:
-            self._follow(header.term, "another replica leads")
-        self._leader_heard(header)
-        self.lost_voters.answered(header.from_address, header.from_id)
+            self._become_follower(header.term, "another replica leads")
+        self._record_leader_contact(header)
+        self.lost_voters.record_reply(header.from_address, header.from_id)
         return True
 
-    def _send_stale(self, header: Header) -> None:
-        """Answer a leader of an older term with the newer one."""
+    def _reject_stale_leader(self, header: Header) -> None:
+        """Reply to a leader of an older term with the current term."""
         reply = AppendReply(header=self.header(header.from_id), sequence=0, accepted=False, index=0)
         self._send(header.from_address, reply)
 
@@ -123,14 +130,14 @@
         self._send(message.header.from_address, reply)
 
     def _conflict_hint(self, index: int) -> int:
-        """Return the highest index that may match below a ``previous`` that did not."""
+        """Return the highest index that may match the leader, given a mismatch at ``index``."""
         if index > self.log.last_index:
             return self.log.last_index
         hint = self.log.first_index_of_term_at(index) - 1
         return max(hint, self.commit_index, self.log.base.index)
 
-    def _store(self, entries: list[LogEntry]) -> None:
-        """Append what is new, after removing what conflicts with the leader's log."""
+    def _store_entries(self, entries: list[LogEntry]) -> None:
+        """Append the new entries, after removing those that conflict with the leader's log."""
         fresh = [entry for entry in entries if self.log.term_at(entry.index) != entry.term]
         if not fresh:
             return
@@ -143,7 +150,7 @@
             self._emit(TruncateLog(from_index=first))
         self.log.append(fresh)
         self._emit(AppendEntries(entries=tuple(fresh)))
-        self._settle_role()
+        self._reset_role()
 
     def _on_snapshot_chunk(self, message: SnapshotChunk) -> None:
         header = message.header
@@ -151,18 +158,18 @@
             self._send_identity(header.from_address, header.from_id)
             return
         if self.blank:
-            self._leader_heard(header)
+            self._record_leader_contact(header)
         elif not self._accept_leader(header):
             return
         if not self.blank and self._holds_start(message):
             self._reply_chunk(message, NO_CHUNK_WANTED, max(self.commit_index, message.start.index))
             return
-        self._take_chunk(message)
+        self._receive_chunk(message)
 
     def _holds_start(self, message: SnapshotChunk) -> bool:
         return self.commit_index >= message.start.index or self.log.holds(message.start)
 
-    def _take_chunk(self, message: SnapshotChunk) -> None:
+    def _receive_chunk(self, message: SnapshotChunk) -> None:
         if message.number == 0:
             self.incoming = IncomingSnapshot(stream_id=message.stream_id, next_number=0)
         incoming = self.incoming
@@ -185,7 +192,7 @@
         self._send(message.header.from_address, reply)
 
     def _on_snapshot_installed(self, event: SnapshotInstalled) -> None:
-        """The tables now stand for the snapshot's position; the log starts after it."""
+        """Restart the log after the position of a snapshot that was installed in the tables."""
         header = event.chunk.header
         self.founding_id = header.founding_id
         self.incoming = None
@@ -195,7 +202,7 @@
         self.persisted_index = event.position.index
         if header.term > self.term:
             self._persist_term(header.term, "")
-        self._settle_role()
+        self._reset_role()
         self._reset_election_deadline()
         self._reply_chunk(event.chunk, NO_CHUNK_WANTED, event.position.index)
 
@@ -203,7 +210,7 @@
         progress = self.progress.get(message.header.from_id)
         if self.role is not Role.LEADER or progress is None:
             return
-        progress.heard_s = self._now_s
+        progress.last_received_s = self._now_s
         self._emit(
             SnapshotAnswered(
                 replica_id=message.header.from_id,
--- a/src/leverjunction/consensus/core_founding.py
+++ b/src/leverjunction/consensus/core_founding.py
@@ -1,11 +1,13 @@
-"""First start of a group, and the identity messages that tell a blank replica from a voter.
-
-A new group forms only if every first member answers "blank" and no witness (another process that
-may hold a replica) answers that the group is founded. The founder (the lowest first
-address) then sends the founding record, which lists the replica ids that answered, and becomes a
-voter itself only after all the others have stored it. A replica whose id is in the record has
-never voted or acknowledged anything, since its id is as old as its data; so it may start as a
-voter with an empty log. A replica with any other id stays blank and is repaired as a learner.
+"""Founding (bootstrap) of a group, and the identity messages that distinguish blank replicas.
+
+A new group is founded only if every first member replies that it is blank and no witness (another
+process that may hold a replica) replies that the group is founded already. The founder is the
+first member with the lowest address. It sends the founding record, which lists the replica ids
+that replied, and becomes a voter itself only after all the others have stored the record.
+
+A replica id is created together with the replica's data. A replica whose id is in the record has
+therefore never voted or acknowledged anything, and may start as a voter with an empty log. A
+replica with any other id stays blank and is repaired as a learner.
 """
 
 from __future__ import annotations
@@ -31,21 +33,21 @@
 
 NONCE_BITS = 63
 FOUNDING_ID_BITS = 128
-WITNESS_WAIT_SHARE = 0.5
-"""How long the witnesses have to answer, as a share of the time that an attempt lasts."""
+WITNESS_WAIT_FRACTION = 0.5
+"""Time that witnesses have to reply, as a fraction of the duration of a founding attempt."""
 
 
 @dataclass
 class FoundingAttempt:
-    """What the founder has learnt in its current attempt.
+    """State of the founder's current attempt to found the group.
 
     Attributes:
-        nonce: Ties the answers to this attempt.
-        started_s: When it began, monotonic seconds.
-        blank_ids: Replica id of each first member that answered "blank", by address.
-        founding_id: Chosen once all have answered; empty before.
+        nonce: Number that ties replies to this attempt.
+        started_s: Monotonic time at which the attempt began, in seconds.
+        blank_ids: Replica id of each first member that replied that it is blank, by address.
+        founding_id: Random id of the founding, chosen once all have replied; empty before.
         stored: Replica ids that have stored the founding record.
-        founded_elsewhere: True when somebody answered that the group is founded already.
+        founded_elsewhere: True when a process replied that the group is founded already.
     """
 
     nonce: int
@@ -57,21 +59,21 @@
 
 
 class FoundingCore(CoreBase):
-    """Founding and identity."""
+    """Founding of the group and identity of its replicas."""
 
     attempt: FoundingAttempt | None = None
     founding_due_s: float = 0.0
 
     def is_founder(self) -> bool:
-        """Return whether this replica is the one that may found the group."""
+        """Return whether this replica may found the group: the blank one at the lowest address."""
         lowest = min(self.config.first_members, default="")
         return self.blank and not self.barred_from_founding and self.config.address == lowest
 
-    def untouched(self) -> bool:
-        """Return whether this replica has never voted nor held an entry or a snapshot."""
+    def is_pristine(self) -> bool:
+        """Return whether this replica has never voted or held an entry or a snapshot."""
         return self.term == 0 and self.log.last_index == 0 and self.log.base == LogPosition()
 
-    def _others(self) -> list[str]:
+    def _other_first_members(self) -> list[str]:
         return [peer for peer in self.config.first_members if peer != self.config.address]
 
     def _tick_founding(self) -> None:
@@ -79,34 +81,34 @@
             return
         self.founding_due_s = self._now_s + self.config.heartbeat_interval_s
         attempt = self.attempt
-        patience_s = self.config.election_timeout_max_s
-        if attempt is None or self._now_s - attempt.started_s > patience_s:
+        timeout_s = self.config.election_timeout_max_s
+        if attempt is None or self._now_s - attempt.started_s > timeout_s:
             attempt = FoundingAttempt(self._random.getrandbits(NONCE_BITS), self._now_s)
             self.attempt = attempt
-        self._ask_first_members(attempt)
+        self._query_first_members(attempt)
         self._advance_founding(attempt)
 
-    def _ask_first_members(self, attempt: FoundingAttempt) -> None:
+    def _query_first_members(self, attempt: FoundingAttempt) -> None:
         if attempt.founding_id:
             self._send_founding(attempt)
             return
-        for address in self._others():
+        for address in self._other_first_members():
             if address not in attempt.blank_ids:
-                self._ask_identity(address, attempt)
+                self._query_identity(address, attempt)
         for address in self.config.witnesses:
-            self._ask_identity(address, attempt)
+            self._query_identity(address, attempt)
 
-    def _ask_identity(self, address: str, attempt: FoundingAttempt) -> None:
+    def _query_identity(self, address: str, attempt: FoundingAttempt) -> None:
         self._send(address, IdentityQuery(header=self.header(""), nonce=attempt.nonce))
 
     def _may_found(self, attempt: FoundingAttempt) -> bool:
-        """Return whether every first member is blank and nobody knows of a founding.
+        """Return whether every first member is blank and no process knows of a founding.
 
-        A witness that holds no replica does not answer, so all have some time to do so.
+        A witness that holds no replica never replies, so the founder waits a fixed time for them.
         """
-        wait_s = WITNESS_WAIT_SHARE * self.config.election_timeout_max_s
+        wait_s = WITNESS_WAIT_FRACTION * self.config.election_timeout_max_s
         waited = not self.config.witnesses or self._now_s - attempt.started_s >= wait_s
-        all_blank = all(address in attempt.blank_ids for address in self._others())
+        all_blank = all(address in attempt.blank_ids for address in self._other_first_members())
         return all_blank and waited and not attempt.founded_elsewhere
 
     def _advance_founding(self, attempt: FoundingAttempt) -> None:
@@ -114,7 +116,7 @@
             attempt.founding_id = f"{self._random.getrandbits(FOUNDING_ID_BITS):032x}"
             self._send_founding(attempt)
         if attempt.founding_id and attempt.stored >= set(attempt.blank_ids.values()):
-            self._found(attempt.founding_id, self._founding_configuration(attempt))
+            self._adopt_founding(attempt.founding_id, self._founding_configuration(attempt))
 
     def _founding_configuration(self, attempt: FoundingAttempt) -> Configuration:
         ids = {self.config.address: self.replica_id, **attempt.blank_ids}
@@ -139,15 +141,15 @@
         )
         self._send(address, FoundRequest(header=header, configuration=configuration))
 
-    def _found(self, founding_id: str, configuration: Configuration) -> None:
-        """Store the founding record: from now on this replica votes."""
+    def _adopt_founding(self, founding_id: str, configuration: Configuration) -> None:
+        """Store the founding record; this replica is a voter from then on."""
         self.attempt = None
         self.founding_id = founding_id
         self._emit(PersistFounding(founding_id=founding_id, configuration=configuration))
         self.log = LogView(
             DurableState(replica_id=self.replica_id, base_configuration=configuration)
         )
-        self._settle_role()
+        self._reset_role()
         self._reset_election_deadline()
 
     def _on_identity_query(self, message: IdentityQuery) -> None:
@@ -155,8 +157,8 @@
             return
         self._send_identity(message.header.from_address, message.header.from_id, message.nonce)
 
-    def _on_founding_answer(self, message: IdentityReply) -> None:
-        """Handle an identity answer while this replica is trying to found the group."""
+    def _on_founding_identity(self, message: IdentityReply) -> None:
+        """Handle an identity reply that belongs to this replica's founding attempt."""
         attempt = self.attempt
         if attempt is None or message.nonce != attempt.nonce or attempt.founding_id:
             return
@@ -172,9 +174,9 @@
             self._send_identity(header.from_address, header.from_id)
             return
         member = message.configuration.find(self.replica_id)
-        is_new = self.founding_id != header.founding_id and self.untouched()
+        is_new = self.founding_id != header.founding_id and self.is_pristine()
         if is_new and member is not None and member.voter:
-            self._found(header.founding_id, message.configuration)
+            self._adopt_founding(header.founding_id, message.configuration)
         self._send(header.from_address, FoundReply(header=self.header(header.from_id)))
 
     def _on_found_reply(self, message: FoundReply) -> None:
@@ -186,7 +188,7 @@
             self._advance_founding(attempt)
 
     def _offer_founding(self, address: str, replica_id: str) -> None:
-        """Give the founding record to a first member that is still blank."""
+        """Send the founding record to a first member that is still blank."""
         if self.blank or self.log.base != LogPosition():
             return
         member = self.log.base_configuration.find(replica_id)
--- a/src/leverjunction/consensus/core_membership.py
+++ b/src/leverjunction/consensus/core_membership.py
@@ -1,9 +1,9 @@
 """Membership changes, one voter at a time, driven by the leader (Ongaro, chapter 4).
 
-The configuration names target addresses. The leader adds the replica that lives at each as a
-learner, promotes it once it holds every committed entry, and only then drops the voter that it
-replaces. A voter whose disk was lost is replaced in just this way: the replica at its address
-answers with another id.
+The configuration names target addresses. The leader adds the replica that runs at each of them as
+a learner, promotes it once it holds every committed entry, and only then removes the voter that it
+replaces. A voter that lost its disk is replaced in the same way, since the replica at its address
+replies with another id.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class MembershipCore(ReplicationCore):
-    """Membership as the leader sees it."""
+    """Membership changes and leadership transfer, on the side of the leader."""
 
     def __init__(
         self, config: GroupConfig, durable: DurableState, random: Random, now_s: float
@@ -37,17 +37,17 @@
         self.transfer_deadline_s = 0.0
         self.transfer_sent = False
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         self.live_ids = {}
         self.transfer_deadline_s = 0.0
-        super()._lead()
+        super()._become_leader()
 
     def _on_identity_reply(self, message: IdentityReply) -> None:
-        """Learn which replica lives at an address."""
+        """Record which replica runs at an address, and act on it."""
         if message.header.founding_id in ("", self.founding_id):
-            self._repaired_answered(message.header)
+            self._on_repaired_identity(message.header)
         if self.role is not Role.LEADER:
-            self._identity_heard_by_other(message)
+            self._on_identity_reply_as_non_leader(message)
             return
         header = message.header
         if header.founding_id not in ("", self.founding_id):
@@ -55,48 +55,48 @@
         self.live_ids[header.from_address] = header.from_id
         progress = self.progress.get(header.from_id)
         if progress is not None and header.founding_id == "":
-            self._member_is_blank(header, progress)
+            self._on_blank_member(header, progress)
         self._drive_membership()
 
-    def _member_is_blank(self, header: Header, progress: Progress) -> None:
-        """A member has no data yet: it needs the founding record or a snapshot."""
-        progress.heard_s = self._now_s
-        # One that has matched anything is not blank any more: the message is an old one.
+    def _on_blank_member(self, header: Header, progress: Progress) -> None:
+        """Handle the reply of a blank member, which needs the founding record or a snapshot."""
+        progress.last_received_s = self._now_s
+        # A member that has matched an entry is no longer blank, so the message is outdated.
         if progress.match_index == 0 and progress.state is not ProgressState.SNAPSHOT:
             progress.blank = True
             self._offer_founding(header.from_address, header.from_id)
 
-    def _identity_heard_by_other(self, message: IdentityReply) -> None:
+    def _on_identity_reply_as_non_leader(self, message: IdentityReply) -> None:
         if self.blank:
-            self._on_founding_answer(message)
+            self._on_founding_identity(message)
         elif message.header.founding_id == "":
             self._offer_founding(message.header.from_address, message.header.from_id)
 
-    def _ask_missing(self) -> None:
-        """Ask target addresses that hold no member yet which replica lives there."""
-        self._ask_repaired()
+    def _query_missing_targets(self) -> None:
+        """Query the identity of the replicas at target addresses that have no member yet."""
+        self._query_repaired()
         held = {member.address for member in self.configuration.members}
         for address in self.configuration.target:
             if address not in held:
                 self._send(address, IdentityQuery(header=self.header(""), nonce=0))
 
     def _may_change(self) -> bool:
-        """Return whether the last change is committed, and an entry of this term too."""
+        """Return whether the last configuration and an entry of this term are committed."""
         return (
             self.role is Role.LEADER
-            and self.knows_commits()
+            and self.has_committed_in_term()
             and self.log.configuration_index <= self.commit_index
         )
 
     def _drive_membership(self) -> None:
-        """Make the next single change towards the target, if one is due."""
+        """Append the next single change towards the target, if one is due."""
         if not self._may_change():
             return
         change = (
-            self._drop_replaced()
+            self._remove_replaced_voter()
             or self._promote()
-            or self._drop_untargeted()
-            or self._drop_dead_learner()
+            or self._remove_untargeted_voter()
+            or self._remove_dead_learner()
             or self._add_learner()
         )
         if change is not None:
@@ -109,24 +109,24 @@
     def _with_members(self, members: list[Member]) -> Configuration:
         return Configuration(members=tuple(sorted(members)), target=self.configuration.target)
 
-    def _without(self, gone: Member) -> Configuration:
-        return self._with_members([item for item in self.configuration.members if item != gone])
+    def _without(self, removed: Member) -> Configuration:
+        return self._with_members([item for item in self.configuration.members if item != removed])
 
-    def _contact_of(self, member: Member) -> float:
+    def _contact_s(self, member: Member) -> float:
         if member.replica_id == self.replica_id:
             return self._now_s
         return self.progress[member.replica_id].contact_s
 
-    def _drop_replaced(self) -> Configuration | None:
-        """Drop the lost one of two voters at one address, when its successor is heard."""
+    def _remove_replaced_voter(self) -> Configuration | None:
+        """Remove a lost voter once its successor at the same address has replied."""
         voters = [member for member in self.configuration.members if member.voter]
         by_address: dict[str, list[Member]] = {}
         for member in voters:
             by_address.setdefault(member.address, []).append(member)
         for same in by_address.values():
-            silent = min(same, key=self._contact_of)
-            # Equal contacts tell nothing yet: a new leader has heard neither of them.
-            if any(self._contact_of(member) > self._contact_of(silent) for member in same):
+            silent = min(same, key=self._contact_s)
+            # Equal contact times decide nothing: a new leader has heard from neither.
+            if any(self._contact_s(member) > self._contact_s(silent) for member in same):
                 return self._without(silent)
         return None
 
@@ -146,8 +146,8 @@
                 return self._with_members([*others, promoted])
         return None
 
-    def _drop_untargeted(self) -> Configuration | None:
-        """Drop a voter whose address is no longer wanted, once all wanted ones are voters."""
+    def _remove_untargeted_voter(self) -> Configuration | None:
+        """Remove a voter that is not in the target, once every target address has a voter."""
         target = set(self.configuration.target)
         voters = [member for member in self.configuration.members if member.voter]
         if not target <= {member.address for member in voters}:
@@ -156,8 +156,8 @@
         unwanted.sort(key=lambda member: member.replica_id == self.replica_id)
         return self._without(unwanted[0]) if unwanted else None
 
-    def _drop_dead_learner(self) -> Configuration | None:
-        """Drop a learner whose address is unwanted or now holds another replica."""
+    def _remove_dead_learner(self) -> Configuration | None:
+        """Remove a learner whose address is not in the target or now holds another replica."""
         for member in self.configuration.members:
             if member.voter:
                 continue
@@ -178,9 +178,9 @@
         return None
 
     def _has_live_voter(self, address: str) -> bool:
-        """Return whether a voter at the address answers; then another id there is old news."""
+        """Return whether a voter at the address replies; another id seen there is then outdated."""
         return any(
-            self._now_s - self._contact_of(member) <= self.lease_s
+            self._now_s - self._contact_s(member) <= self.lease_s
             for member in self.configuration.members
             if member.voter and member.address == address
         )
@@ -196,7 +196,7 @@
         self._emit(Appended(request_id=event.request_id, position=position))
 
     def transferring(self) -> bool:
-        """Return whether this leader is handing over, so takes no proposals for a while."""
+        """Return whether a leadership transfer is in progress; proposals are refused meanwhile."""
         return self.role is Role.LEADER and self._now_s < self.transfer_deadline_s
 
     def _start_transfer(self) -> None:
@@ -205,7 +205,7 @@
             self.transfer_sent = False
 
     def _transfer(self) -> None:
-        """Ask the most up-to-date other voter to campaign, once it holds the whole log."""
+        """Ask the most up-to-date other voter to campaign, once it holds the entire log."""
         if self.transfer_sent:
             return
         voters = self.configuration.voter_ids()
--- a/src/leverjunction/consensus/core_replication.py
+++ b/src/leverjunction/consensus/core_replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication, its commit rule, reads and lease."""
+"""Replication on the side of the leader, with its commit rule, linearizable reads and lease."""
 
 from __future__ import annotations
 
@@ -33,12 +33,14 @@
     Role,
 )
 
-COMPACT_AT_SHARE = 1.5
-"""Compaction waits until the log is this much over what is kept, so it runs seldom."""
+COMPACT_THRESHOLD_FACTOR = 1.5
+"""Factor by which the log exceeds its retention limits before it is compacted, so that compaction
+runs rarely.
+"""
 
 
 class ReplicationCore(FoundingCore):
-    """Replication as the leader sees it."""
+    """Replication, on the side of the leader."""
 
     def __init__(
         self, config: GroupConfig, durable: DurableState, random: Random, now_s: float
@@ -49,21 +51,21 @@
         self.term_start_index = 0
         self.snapshot_peer = ""
         self.round_sent_s: dict[int, float] = {}
-        self.reads_waiting: list[int] = []
-        self.reads_in_round: list[int] = []
+        self.pending_reads: list[int] = []
+        self.round_reads: list[int] = []
         self.read_index = 0
         self.read_round = 0
         self.repair_reports = RepairReports()
 
-    def _lead(self) -> None:
-        """Set up what only a leader keeps and append the no-op of the term."""
+    def _become_leader(self) -> None:
+        """Initialize the leader's state and append the no-op entry of the term."""
         self.leader_id = self.replica_id
         self.leader_address = self.config.address
         self.leader_since_s = self._now_s
         self.sequence = 0
         self.round_sent_s = {}
-        self.reads_waiting = []
-        self.reads_in_round = []
+        self.pending_reads = []
+        self.round_reads = []
         self.snapshot_peer = ""
         self.progress = {}
         self._sync_progress()
@@ -71,18 +73,18 @@
         self._append_own(EntryKind.NO_OP, b"", 0)
         self._start_round()
 
-    def _leader_stopped(self) -> None:
-        super()._leader_stopped()
-        for request_id in [*self.reads_waiting, *self.reads_in_round]:
+    def _clear_leader_state(self) -> None:
+        super()._clear_leader_state()
+        for request_id in [*self.pending_reads, *self.round_reads]:
             self._emit(Refused(request_id=request_id, leader_address=""))
-        self.reads_waiting = []
-        self.reads_in_round = []
+        self.pending_reads = []
+        self.round_reads = []
 
     def _sync_progress(self) -> None:
-        """Keep one progress a member other than this replica."""
+        """Keep one ``Progress`` for each member other than this replica."""
         members = {member.replica_id for member in self.configuration.members}
         members.discard(self.replica_id)
-        # Sorted, so that a run can be replayed from its seed.
+        # Sorted, so that a simulation can be replayed from its seed.
         for replica_id in sorted(members - set(self.progress)):
             self.progress[replica_id] = Progress(
                 next_index=self.log.last_index + 1, contact_s=self._now_s
@@ -91,7 +93,16 @@
             del self.progress[replica_id]
 
     def _append_own(self, kind: EntryKind, payload: bytes, wall_ms: int) -> LogPosition:
-        """Append an entry of the leader's own term and return its position."""
+        """Append an entry of the leader's own term.
+
+        Args:
+            kind: Kind of the entry.
+            payload: Payload of the entry.
+            wall_ms: Wall-clock time of the entry, in milliseconds.
+
+        Returns:
+            Position of the entry in the log.
+        """
         entry = LogEntry(
             index=self.log.last_index + 1,
             term=self.term,
@@ -106,7 +117,7 @@
         return LogPosition(term=entry.term, index=entry.index)
 
     def _start_round(self) -> None:
-        """Send every peer what it lacks, or a heartbeat, under a new sequence number."""
+        """Send every peer its missing entries, or a heartbeat, under a new sequence number."""
         self.sequence += 1
         self.round_sent_s[self.sequence] = self._now_s
         oldest_s = self._now_s - max(self.timeout_max_s, self.lease_s)
@@ -120,10 +131,10 @@
                 self._send_heartbeat(replica_id, progress)
 
     def _flush(self) -> None:
-        """Replicate what the batch of events appended and start a round for waiting reads."""
+        """Replicate the entries that the batch appended, and start a round for waiting reads."""
         if self.role is not Role.LEADER:
             return
-        if self.reads_waiting and not self.reads_in_round and self.knows_commits():
+        if self.pending_reads and not self.round_reads and self.has_committed_in_term():
             self._start_read_round()
             return
         for replica_id, progress in self.progress.items():
@@ -136,7 +147,7 @@
         self._send_append(replica_id, previous_index, previous_index)
 
     def _send_entries_to(self, replica_id: str, progress: Progress) -> bool:
-        """Send the entries that a peer lacks; return whether anything was sent."""
+        """Send the entries that a peer is missing; return whether any were sent."""
         sent = False
         while self._may_send(progress):
             if progress.blank or self.log.term_at(progress.next_index - 1) is None:
@@ -167,10 +178,10 @@
         return False
 
     def _window_compacted(self, progress: Progress) -> bool:
-        """Return whether the log no longer reaches back to the end of what is in flight.
+        """Return whether the log was compacted past the last entry in flight to a peer.
 
-        If that was lost, no heartbeat finds out: its previous position is gone from the log. And
-        if it was not, what comes next needs a snapshot all the same.
+        If that entry was lost, no heartbeat can detect it, since its position is no longer in the
+        log. If it was not lost, the entries after it need a snapshot all the same.
         """
         return self.log.term_at(progress.next_index - 1) is None
 
@@ -198,8 +209,8 @@
             self._send(member.address, request)
 
     def _start_snapshot(self, replica_id: str, progress: Progress) -> None:
-        """Begin a snapshot transfer, unless one is under way or the peer is silent."""
-        silence_s = self._now_s - progress.heard_s
+        """Start a snapshot transfer, unless another is in progress or the peer is silent."""
+        silence_s = self._now_s - progress.last_received_s
         if self.snapshot_peer or silence_s > self.timeout_max_s:
             return
         member = self.configuration.find(replica_id)
@@ -210,80 +221,91 @@
         progress.inflight.clear()
         self._emit(StartSnapshot(replica_id=replica_id, address=member.address))
 
-    def _snapshot_delivered(self, replica_id: str, matched_index: int | None) -> None:
+    def _on_snapshot_delivered(self, replica_id: str, matched_index: int | None) -> None:
         if self.snapshot_peer == replica_id:
             self.snapshot_peer = ""
         progress = self.progress.get(replica_id)
         if progress is None or progress.state is not ProgressState.SNAPSHOT:
             return
-        progress.probe(progress.match_index + 1)
+        progress.become_probe(progress.match_index + 1)
         if matched_index is None:
             progress.probe_sent = True
             return
         progress.blank = False
-        progress.matched(matched_index)
+        progress.record_match(matched_index)
         self._send_entries_to(replica_id, progress)
 
     def _on_append_reply(self, message: AppendReply) -> None:
-        progress = self._follower_answered(message.header, message.sequence)
+        progress = self._record_follower_reply(message.header, message.sequence)
         if progress is None:
             return
         if message.accepted:
-            self._accepted(progress, message.index)
+            self._record_match(progress, message.index)
         elif progress.state is not ProgressState.SNAPSHOT and message.index >= progress.match_index:
-            progress.probe(min(message.index + 1, progress.next_index))
+            progress.become_probe(min(message.index + 1, progress.next_index))
         self._advance_commit()
         self._finish_reads()
         self._send_entries_to(message.header.from_id, progress)
 
     def _on_contact_reply(self, message: ContactReply) -> None:
-        """Take the answer of a peer to which entries are still on their way."""
-        if self._follower_answered(message.header, message.sequence) is not None:
+        """Handle the acknowledgement of a heartbeat that overtook entries in flight."""
+        if self._record_follower_reply(message.header, message.sequence) is not None:
             self._finish_reads()
 
-    def _follower_answered(self, header: Header, sequence: int) -> Progress | None:
-        """Count an answer for the lease; return what is known of its sender while this leads."""
+    def _record_follower_reply(self, header: Header, sequence: int) -> Progress | None:
+        """Count a reply towards the lease.
+
+        Returns:
+            The sender's ``Progress``, or None if this replica does not lead or the reply is not
+            for its term.
+        """
         progress = self.progress.get(header.from_id)
         if self.role is not Role.LEADER or header.term != self.term or progress is None:
             return None
-        progress.heard_s = self._now_s
-        self._answered(progress, sequence)
+        progress.last_received_s = self._now_s
+        self._record_round_ack(progress, sequence)
         self._check_lease()
         return progress if self.role is Role.LEADER else None
 
-    def _accepted(self, progress: Progress, index: int) -> None:
+    def _record_match(self, progress: Progress, index: int) -> None:
         if progress.state is ProgressState.SNAPSHOT:
             return
         progress.blank = False
-        progress.matched(min(index, self.log.last_index))
+        progress.record_match(min(index, self.log.last_index))
 
-    def _answered(self, progress: Progress, sequence: int) -> None:
-        """Record that a peer took this replica for the leader when the round was sent."""
+    def _record_round_ack(self, progress: Progress, sequence: int) -> None:
+        """Record that a peer acknowledged this leader as of the time the round was sent."""
         progress.acked_sequence = max(progress.acked_sequence, sequence)
         sent_s = self.round_sent_s.get(sequence)
         if sent_s is not None:
             progress.contact_s = max(progress.contact_s, sent_s)
 
     def quorum_contact_s(self) -> float:
-        """Return the time up to which a quorum is known to have followed this leader."""
+        """Return the monotonic time up to which a quorum followed this leader, in seconds."""
         contacts = {replica_id: item.contact_s for replica_id, item in self.progress.items()}
         contacts[self.replica_id] = self._now_s
         return max(self._quorum_of(contacts), self.leader_since_s)
 
     def _check_lease(self) -> None:
-        """Step down first of all if no quorum was heard in a lease's time of running."""
-        if self.role is Role.LEADER and self._lease_ended():
-            self._follow(self.term, "no quorum was heard within the lease")
+        """Step down if no quorum replied within the lease, not counting pauses of this process."""
+        if self.role is Role.LEADER and self._lease_expired():
+            self._become_follower(self.term, "no quorum was heard within the lease")
 
-    def _lease_ended(self) -> bool:
+    def _lease_expired(self) -> bool:
         return self.standstills.ran_s(self.quorum_contact_s(), self._now_s) > self.lease_s
 
-    def knows_commits(self) -> bool:
-        """Return whether this leader knows all that is committed: once an entry of its term is."""
+    def has_committed_in_term(self) -> bool:
+        """Return whether this leader has committed an entry of its own term.
+
+        Only then does its commit index cover everything that earlier leaders committed.
+        """
         return self.commit_index >= self.term_start_index
 
     def _advance_commit(self) -> None:
-        """Commit what a quorum holds durably, if it is of this term (Ongaro, 3.6.2)."""
+        """Commit the entries that a quorum has persisted, if the last is of this term.
+
+        Entries of earlier terms are committed only indirectly (Ongaro, 3.6.2).
+        """
         if self.role is not Role.LEADER:
             return
         matches: dict[str, float] = {
@@ -299,12 +321,12 @@
         self.commit_index = index
         self._emit(Commit(index=index))
         for changed_index in self.log.configuration_indexes(previous + 1, index):
-            self._report_repair(changed_index)
+            self._detect_repairs(changed_index)
 
-    def _report_repair(self, index: int) -> None:
-        """Note a repair when the configuration that drops the lost replica is committed.
+    def _detect_repairs(self, index: int) -> None:
+        """Detect a repair in a committed configuration that removes a lost replica.
 
-        Every replica reports it, so the report outlives the leader that made the change.
+        Every replica reports the repair, so the report survives a failure of the leader.
         """
         voters = [member for member in self.log.configuration_at(index).members if member.voter]
         kept_ids = {member.replica_id for member in voters}
@@ -313,22 +335,24 @@
                 continue
             for new in voters:
                 if new.address == old.address:
-                    self._repair_committed(RepairDone(old.replica_id, new.replica_id, old.address))
+                    self._on_repair_committed(
+                        RepairDone(old.replica_id, new.replica_id, old.address)
+                    )
 
-    def _repair_committed(self, repair: RepairDone) -> None:
-        """Report a repair of this replica's own address at once, others once they answer."""
+    def _on_repair_committed(self, repair: RepairDone) -> None:
+        """Report a repair at this replica's own address at once, others once they reply."""
         if repair.new_id == self.replica_id:
             self._emit(repair)
             return
         self.repair_reports.committed(repair, self.term)
-        self._ask_repaired()
+        self._query_repaired()
 
-    def _ask_repaired(self) -> None:
-        """Ask the addresses of repairs that wait to be reported which replica lives there."""
+    def _query_repaired(self) -> None:
+        """Query the identity of the replicas at the addresses of unreported repairs."""
         for address in self.repair_reports.addresses(self.configuration):
             self._send(address, IdentityQuery(header=self.header(""), nonce=0))
 
-    def _repaired_answered(self, header: Header) -> None:
+    def _on_repaired_identity(self, header: Header) -> None:
         repair = self.repair_reports.answered(header.from_address, header.from_id, header.term)
         if repair is not None:
             self._emit(repair)
@@ -337,18 +361,18 @@
         if self.role is not Role.LEADER:
             self._emit(Refused(request_id=request_id, leader_address=self.leader_address))
             return
-        self.reads_waiting.append(request_id)
+        self.pending_reads.append(request_id)
 
     def _start_read_round(self) -> None:
-        """Serve all waiting reads by one round (read index; Ongaro, 6.4)."""
-        self.reads_in_round, self.reads_waiting = self.reads_waiting, []
+        """Serve all waiting reads by one round (ReadIndex; Ongaro, 6.4)."""
+        self.round_reads, self.pending_reads = self.pending_reads, []
         self.read_index = self.commit_index
         self._start_round()
         self.read_round = self.sequence
         self._finish_reads()
 
     def _finish_reads(self) -> None:
-        if self.role is not Role.LEADER or not self.reads_in_round:
+        if self.role is not Role.LEADER or not self.round_reads:
             return
         acked: dict[str, float] = {
             replica_id: item.acked_sequence for replica_id, item in self.progress.items()
@@ -356,19 +380,19 @@
         acked[self.replica_id] = self.sequence
         if self._quorum_of(acked) < self.read_round:
             return
-        for request_id in self.reads_in_round:
+        for request_id in self.round_reads:
             self._emit(ReadReady(request_id=request_id, index=self.read_index))
-        self.reads_in_round = []
+        self.round_reads = []
 
-    def _applied(self, index: int) -> None:
-        """Drop applied entries beyond what is kept for peers that lag a little."""
+    def _on_applied(self, index: int) -> None:
+        """Compact applied entries beyond those retained for peers that lag slightly."""
         self.applied_index = max(self.applied_index, index)
         entries = self.applied_index - self.log.base.index
-        over_entries = entries > self.config.log_kept_entries * COMPACT_AT_SHARE
-        limit_bytes = self.config.log_kept_bytes * COMPACT_AT_SHARE
-        if not over_entries and self.log.bytes_up_to(self.applied_index) <= limit_bytes:
+        over_entries = entries > self.config.log_kept_entries * COMPACT_THRESHOLD_FACTOR
+        limit_bytes = self.config.log_kept_bytes * COMPACT_THRESHOLD_FACTOR
+        if not over_entries and self.log.payload_bytes_up_to(self.applied_index) <= limit_bytes:
             return
-        first = self.log.first_kept(
+        first = self.log.first_retained_index(
             self.applied_index, self.config.log_kept_entries, self.config.log_kept_bytes
         )
         base = self._term_position(first - 1)
--- a/src/leverjunction/consensus/events.py
+++ b/src/leverjunction/consensus/events.py
@@ -1,15 +1,16 @@
-"""Events that the pure core handles, and effects that it asks for.
+"""Events that the pure core handles, and effects that it requests.
 
-Rules for whoever carries the effects out (the runtime's engine and the simulator alike):
+Rules for the code that carries out the effects (the engine, which the simulator also runs):
 
 1. Effects are carried out in the order given.
 2. ``PersistFounding``, ``PersistHardState``, ``TruncateLog``, ``AppendEntries``, ``CompactLog`` and
-   ``StoreChunk`` change the durable state. They may be gathered into one synced transaction.
-3. A ``Send`` (or ``SendEntries``) leaves only after everything before it is synced, unless it has
-   ``after_sync=False`` and no ``PersistHardState`` before it is still unsynced.
-4. After a sync the core gets ``Persisted``; only then does it count its own log as held.
-5. ``Commit`` lets entries be applied; proposals are answered after their entry is applied, and
-   ``ReadReady`` reads are answered once its index is applied.
+   ``StoreChunk`` change the durable state. They may be combined into one synced transaction.
+3. A ``Send`` or ``SendEntries`` message is sent only after all effects before it are synced,
+   unless it has ``after_sync=False`` and every ``PersistHardState`` before it is synced.
+4. After a sync the core receives ``Persisted``. Only then does it count its own log entries as
+   persisted.
+5. ``Commit`` allows entries to be applied. A proposal is answered after its entry is applied, and
+   a ``ReadReady`` read after its index is applied.
 """
 
 from __future__ import annotations
@@ -25,19 +26,19 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time has passed; due at ``RaftCore.next_deadline_s()`` at the latest."""
+    """Timer event, sent at ``RaftCore.next_deadline_s()`` at the latest."""
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A message has arrived."""
+    """A message from another replica has arrived."""
 
     message: Message
 
 
 class Flush(msgspec.Struct, frozen=True):
-    """A batch of events ends: replicate what it appended and start a round for its reads.
+    """End of a batch of events: replicate the entries it appended and start a round for its reads.
 
-    Sent by the engine after each batch, before the sync, so that many proposals share a message.
+    The engine sends it after each batch, before the sync, so that proposals share messages.
     """
 
 
@@ -45,9 +46,9 @@
     """A local caller proposes a command.
 
     Attributes:
-        request_id: Names the proposal in ``Appended`` and ``Refused``.
+        request_id: Identifies the proposal in ``Appended`` and ``Refused``.
         payload: Encoded command.
-        wall_ms: Wall clock of this replica, in milliseconds.
+        wall_ms: Wall-clock time of this replica, in milliseconds.
     """
 
     request_id: int
@@ -56,7 +57,7 @@
 
 
 class Read(msgspec.Struct, frozen=True):
-    """A local caller wants a linearizable read; answered by ``ReadReady`` or ``Refused``."""
+    """A local caller requests a linearizable read; answered by ``ReadReady`` or ``Refused``."""
 
     request_id: int
 
@@ -68,13 +69,19 @@
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """Entries up to ``index`` are applied to the tables."""
+    """Entries up to and including ``index`` are applied to the tables."""
 
     index: int
 
 
 class SnapshotInstalled(msgspec.Struct, frozen=True):
-    """A received snapshot is in the tables and synced; the log starts after ``position``."""
+    """A received snapshot is installed and synced; the log starts after ``position``.
+
+    Attributes:
+        position: Log position of the snapshot.
+        configuration: Configuration in force at ``position``.
+        chunk: Final chunk of the transfer, which is still to be acknowledged.
+    """
 
     position: LogPosition
     configuration: Configuration
@@ -82,14 +89,25 @@
 
 
 class SnapshotDelivered(msgspec.Struct, frozen=True):
-    """The transfer to ``replica_id`` ended; it holds ``matched_index`` (None: it failed)."""
+    """A snapshot transfer has ended.
+
+    Attributes:
+        replica_id: Receiver of the snapshot.
+        matched_index: Highest index that the receiver holds; None when the transfer failed.
+    """
 
     replica_id: str
     matched_index: int | None
 
 
 class ChangeTarget(msgspec.Struct, frozen=True):
-    """An operator sets the addresses that shall hold the voters."""
+    """An operator sets the target addresses of the voters.
+
+    Attributes:
+        request_id: Identifies the request in ``Appended`` and ``Refused``.
+        addresses: RPC addresses that shall each hold one voter.
+        wall_ms: Wall-clock time of this replica, in milliseconds.
+    """
 
     request_id: int
     addresses: tuple[str, ...]
@@ -97,13 +115,17 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True):
-    """Hand leadership to the most up-to-date voter, before a planned stop."""
+    """Transfer leadership to the most up-to-date voter, before a planned stop."""
 
 
 class PeerDown(msgspec.Struct, frozen=True):
-    """The process that served ``address`` in ``term`` has ended: its port refuses connections.
+    """The process at ``address`` has ended, since its port refuses connections.
+
+    A timeout or an unreachable address does not prove this.
 
-    Silence, or an address that cannot be reached, is no such proof.
+    Attributes:
+        address: RPC address of the peer.
+        term: Term of the message that could not be sent.
     """
 
     address: str
@@ -127,39 +149,39 @@
 
 
 class PersistFounding(msgspec.Struct, frozen=True):
-    """Store the founding record: this replica is no longer blank."""
+    """Store the founding record; this replica is no longer blank."""
 
     founding_id: str
     configuration: Configuration
 
 
 class PersistHardState(msgspec.Struct, frozen=True):
-    """Store term and vote."""
+    """Store the current term and vote."""
 
     hard_state: HardState
 
 
 class TruncateLog(msgspec.Struct, frozen=True):
-    """Remove the entries from ``from_index`` on, which conflict with the leader's."""
+    """Remove the entries at and after ``from_index``, which conflict with the leader's log."""
 
     from_index: int
 
 
 class AppendEntries(msgspec.Struct, frozen=True):
-    """Store entries at the end of the log."""
+    """Append entries to the stored log."""
 
     entries: tuple[LogEntry, ...]
 
 
 class CompactLog(msgspec.Struct, frozen=True):
-    """Remove the applied entries up to ``base``; record the base and its configuration."""
+    """Remove the applied entries up to ``base``; store the base and its configuration."""
 
     base: LogPosition
     configuration: Configuration
 
 
 class StoreChunk(msgspec.Struct, frozen=True):
-    """Stage a snapshot chunk; install the snapshot after the final one."""
+    """Stage a snapshot chunk; install the snapshot after the final chunk."""
 
     chunk: SnapshotChunk
 
@@ -173,7 +195,7 @@
 
 
 class SendEntries(msgspec.Struct, frozen=True):
-    """Send ``request`` filled with the stored entries ``first_index`` to ``last_index``."""
+    """Send ``request`` with the stored entries ``first_index`` to ``last_index``, inclusive."""
 
     address: str
     request: AppendRequest
@@ -183,14 +205,14 @@
 
 
 class StartSnapshot(msgspec.Struct, frozen=True):
-    """Start streaming a snapshot to a replica; ends with ``SnapshotDelivered``."""
+    """Start sending a snapshot to a replica; the transfer ends with ``SnapshotDelivered``."""
 
     replica_id: str
     address: str
 
 
 class SnapshotAnswered(msgspec.Struct, frozen=True):
-    """A reply for the running snapshot transfer has come in from a peer."""
+    """A peer has replied to a chunk of the current snapshot transfer."""
 
     replica_id: str
     stream_id: str
@@ -199,20 +221,25 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """Entries up to ``index`` are committed and may be applied."""
+    """Entries up to and including ``index`` are committed and may be applied."""
 
     index: int
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """A proposal now stands at ``position``; it counts only if that entry is committed."""
+    """A proposal was appended at ``position``; it takes effect only if that entry is committed."""
 
     request_id: int
     position: LogPosition
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A proposal or read was not taken: this replica does not lead; nothing was appended."""
+    """A request was refused because this replica cannot take it; nothing was appended.
+
+    Attributes:
+        request_id: Request that is refused.
+        leader_address: RPC address of the leader; empty when it is unknown.
+    """
 
     request_id: int
     leader_address: str
@@ -226,22 +253,27 @@
 
 
 class BecameLeader(msgspec.Struct, frozen=True):
-    """This replica leads ``term``."""
+    """This replica became the leader of ``term``."""
 
     term: int
 
 
 class SteppedDown(msgspec.Struct, frozen=True):
-    """This replica no longer leads; proposals not yet committed have an unknown fate."""
+    """This replica no longer leads; the outcome of its uncommitted proposals is unknown."""
 
     term: int
     reason: str
 
 
 class RepairDone(msgspec.Struct, frozen=True):
-    """A lost replica has been replaced: its successor holds every committed entry and votes.
+    """A lost replica was replaced by a voter that holds every committed entry.
 
-    Each replica reports it when the change is committed and the successor has answered it.
+    Each replica reports the repair once the change is committed and the new replica has replied.
+
+    Attributes:
+        old_id: Replica id of the lost replica.
+        new_id: Replica id of its replacement.
+        address: RPC address of both.
     """
 
     old_id: str
@@ -250,10 +282,10 @@
 
 
 class MajorityLost(msgspec.Struct, frozen=True):
-    """So many voters lost their disks that no leader can be elected any more.
+    """So many voters lost their disks that no leader can be elected.
 
     Attributes:
-        lost: Addresses of the voters at which other replicas live now.
+        lost: Addresses of the lost voters, which now hold other replicas.
     """
 
     lost: tuple[str, ...]
--- a/src/leverjunction/consensus/lost_voters.py
+++ b/src/leverjunction/consensus/lost_voters.py
@@ -1,8 +1,9 @@
-"""Which voters are lost, by the ids that their addresses answer with: pure.
+"""Detects lost voters by the replica ids that reply from their addresses. Does no I/O.
 
-A voter whose disk is lost comes back under another id, as a blank replica that votes for nobody.
-With a majority of voters gone so, no election ends; the group must say so rather than campaign in
-silence, since only an operator can decide to go on without what the lost disks held.
+A voter that lost its disk comes back under another id, as a blank replica, which does not vote.
+When a majority of voters is lost in this way, no candidate can win an election. The group must
+report this instead of campaigning silently, since only an operator can decide to continue without
+the data on the lost disks.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 
 
 class LostVoters:
-    """The replica that last answered from each address."""
+    """Tracks the replica that last replied from each address."""
 
-    __slots__ = ("_live_ids", "_told")
+    __slots__ = ("_live_ids", "_reported")
 
     def __init__(self) -> None:
         self._live_ids: dict[str, str] = {}
-        self._told = False
+        self._reported = False
 
-    def answered(self, address: str, replica_id: str) -> None:
-        """Note which replica lives at an address."""
+    def record_reply(self, address: str, replica_id: str) -> None:
+        """Record which replica replied from an address."""
         self._live_ids[address] = replica_id
 
-    def lost(self, configuration: Configuration) -> list[Member]:
-        """Return the voters at whose address another replica lives."""
+    def lost_members(self, configuration: Configuration) -> list[Member]:
+        """Return the voters whose address now holds another replica."""
         return [
             member
             for member in configuration.members
@@ -32,14 +33,14 @@
             and self._live_ids.get(member.address, member.replica_id) != member.replica_id
         ]
 
-    def majority(self, configuration: Configuration) -> bool:
-        """Return whether fewer voters than a quorum are left."""
-        left = len(configuration.voter_ids()) - len(self.lost(configuration))
-        return left < configuration.quorum()
+    def is_majority_lost(self, configuration: Configuration) -> bool:
+        """Return whether fewer voters remain than make a quorum."""
+        remaining = len(configuration.voter_ids()) - len(self.lost_members(configuration))
+        return remaining < configuration.quorum()
 
-    def newly_a_majority(self, configuration: Configuration) -> bool:
-        """Return True once each time that a majority turns out to be lost."""
-        lost = self.majority(configuration)
-        newly = lost and not self._told
-        self._told = lost
+    def majority_newly_lost(self, configuration: Configuration) -> bool:
+        """Return True on the first call after a majority became lost, False until it recovers."""
+        lost = self.is_majority_lost(configuration)
+        newly = lost and not self._reported
+        self._reported = lost
         return newly
--- a/src/leverjunction/consensus/messages.py
+++ b/src/leverjunction/consensus/messages.py
@@ -1,9 +1,9 @@
 """Messages between the replicas of a group.
 
 Every message names its sender by replica id and address, and its receiver by replica id (empty
-when the sender does not know it). ``founding_id`` ties it to one founding of the group: a replica
-drops what belongs to another. Replies are counted by ``from_id``, never by address, so a machine
-that lost its disk does not stand in for the voter it used to hold.
+when the sender does not know it). ``founding_id`` ties the message to one founding (bootstrap) of
+the group, and a replica drops messages of another founding. Replies are counted by ``from_id``,
+never by address, so a machine that lost its disk does not count as the voter that it used to hold.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class Header(msgspec.Struct, frozen=True, kw_only=True):
-    """What all messages carry.
+    """Fields common to all messages.
 
     Attributes:
-        founding_id: Founding of the group that the sender belongs to; empty when it is blank.
+        founding_id: Founding that the sender belongs to; empty when the sender is blank.
         from_id: Replica id of the sender.
         from_address: RPC address of the sender.
-        to_id: Replica id of the intended receiver; empty when any replica there may answer.
+        to_id: Replica id of the receiver; empty when any replica at the address may reply.
         term: Sender's term.
     """
 
@@ -32,13 +32,13 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A candidate asks for a vote; ``pre`` asks only whether one would be given.
+    """Request for a vote or, with ``pre``, for a pre-vote.
 
     Attributes:
         header: Sender and receiver; ``term`` is the term campaigned for.
         last: Position of the candidate's last entry.
-        pre: True for a pre-vote, which changes no state.
-        transfer: True when the leader itself asked for this election.
+        pre: True for a pre-vote, which only asks if a vote would be granted and changes no state.
+        transfer: True when the leader requested this election (leadership transfer).
     """
 
     header: Header
@@ -48,7 +48,7 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a ``VoteRequest``; ``campaign_term`` repeats the term that was asked about."""
+    """Reply to a ``VoteRequest``; ``campaign_term`` repeats the term campaigned for."""
 
     header: Header
     campaign_term: int
@@ -57,14 +57,14 @@
 
 
 class AppendRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Entries, or a heartbeat when ``entries`` is empty.
+    """Entries to append, or a heartbeat when ``entries`` is empty.
 
     Attributes:
         header: Sender and receiver.
         previous: Position right before the first entry; the receiver must hold it.
         commit_index: Leader's commit index.
-        sequence: Leader's message round; the reply repeats it, which confirms leadership as of
-            the time the round was sent.
+        sequence: Number of the leader's message round. The reply repeats it, which confirms
+            leadership as of the time the round was sent.
         entries: Consecutive entries after ``previous``.
     """
 
@@ -76,13 +76,13 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to an ``AppendRequest``, sent once its entries are synced.
+    """Reply to an ``AppendRequest``, sent once its entries are synced.
 
     Attributes:
         header: Sender and receiver.
-        sequence: Round that is answered.
-        accepted: True when the receiver holds everything up to ``index``.
-        index: Matched index if accepted, else the highest index worth trying as ``previous``.
+        sequence: Round that is acknowledged.
+        accepted: True when the sender of the reply holds every entry up to ``index``.
+        index: Matched index if accepted, else the highest index to try as ``previous``.
     """
 
     header: Header
@@ -92,15 +92,15 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of a snapshot.
+    """One chunk of a snapshot.
 
     Attributes:
         header: Sender and receiver.
-        stream_id: Random id of this transfer.
-        number: Position of the chunk in the transfer, from 0.
+        stream_id: Random id of the transfer.
+        number: Number of the chunk in the transfer, from 0.
         start: Sender's applied position when the transfer began.
         data: Encoded rows (see ``consensus.snapshot``).
-        final: Set on the last chunk: the position that the complete snapshot stands for.
+        final: Log position of the complete snapshot; set on the last chunk only.
         configuration: Configuration in force at ``final``; empty before the last chunk.
     """
 
@@ -114,13 +114,13 @@
 
 
 class SnapshotReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a ``SnapshotChunk``, sent once it is stored.
+    """Reply to a ``SnapshotChunk``, sent once the chunk is stored.
 
     Attributes:
         header: Sender and receiver.
-        stream_id: Transfer that is answered.
-        next_number: Chunk that the receiver wants next; -1 when it needs none of this transfer.
-        matched_index: Highest index that the receiver then holds; set with ``next_number`` -1.
+        stream_id: Id of the transfer.
+        next_number: Number of the chunk expected next; -1 when no more chunks are needed.
+        matched_index: Highest index held by the sender of the reply; set with ``next_number`` -1.
     """
 
     header: Header
@@ -130,22 +130,31 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, kw_only=True):
-    """The leader hands over: the receiver campaigns at once."""
+    """Leadership transfer: tells the receiver to campaign at once."""
 
     header: Header
 
 
 class IdentityQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks which replica lives at an address, and whether it is blank."""
+    """Asks which replica runs at an address, and whether it is blank.
+
+    Attributes:
+        header: Sender; the receiver's id may be unknown.
+        nonce: Number that the reply repeats; 0 outside of a founding attempt.
+    """
 
     header: Header
     nonce: int
 
 
 class IdentityReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Tells the replica's id in the header; an empty ``founding_id`` there means blank.
+    """Identifies the sender by its header, where an empty ``founding_id`` means blank.
 
-    Also sent unasked (nonce 0) to a peer whose message was meant for another replica id.
+    Also sent without a query (with nonce 0) to a peer whose message was for another replica id.
+
+    Attributes:
+        header: Sender and receiver.
+        nonce: Number of the query that is answered.
     """
 
     header: Header
@@ -153,24 +162,32 @@
 
 
 class FoundRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The founding record: a blank replica named in it becomes a voter with an empty log."""
+    """Founding record; a blank replica that it lists becomes a voter with an empty log.
+
+    Attributes:
+        header: Sender and receiver; ``founding_id`` is the id of the new founding.
+        configuration: First configuration of the group.
+    """
 
     header: Header
     configuration: Configuration
 
 
 class FoundReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Tells in its header which founding the replica belongs to, once that is synced."""
+    """Reply to a ``FoundRequest``, sent once the record is synced.
+
+    Its header names the founding that the sender belongs to.
+    """
 
     header: Header
 
 
 class ContactRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A heartbeat without a position: entries are on their way that it overtakes.
+    """Heartbeat without a log position, which may overtake entries in flight.
 
     Attributes:
         header: Sender and receiver.
-        sequence: Leader's message round, as in ``AppendRequest``.
+        sequence: Number of the leader's message round, as in ``AppendRequest``.
     """
 
     header: Header
@@ -178,7 +195,7 @@
 
 
 class ContactReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a ``ContactRequest``: the sender takes the receiver for the leader of its term."""
+    """Reply to a ``ContactRequest``: its sender acknowledges the receiver as leader of the term."""
 
     header: Header
     sequence: int
--- a/src/leverjunction/consensus/progress.py
+++ b/src/leverjunction/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one peer."""
+"""Replication progress of a peer, as tracked by the leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class ProgressState(StrEnum):
-    """How entries are sent to a peer."""
+    """How the leader sends entries to a peer.
+
+    Values: ``PROBE`` sends one message at a time to find the matching index, ``REPLICATE`` sends
+    pipelined messages, ``SNAPSHOT`` waits for a snapshot transfer.
+    """
 
     PROBE = "probe"
     REPLICATE = "replicate"
@@ -18,18 +22,19 @@
 
 @dataclass
 class Progress:
-    """A peer's replication state on the leader.
+    """Replication state of one peer.
 
     Attributes:
-        match_index: Highest index that the peer is known to hold durably.
-        next_index: First index to send next.
-        state: One message at a time (probe), pipelined (replicate), or a snapshot transfer.
-        inflight: Last index of each unanswered append message, oldest first.
-        probe_sent: True while a probe is unanswered; a heartbeat sends the next one.
-        acked_sequence: Highest message round that the peer has answered.
-        contact_s: Monotonic time at which that round was sent, in seconds.
-        heard_s: Monotonic time at which anything came from the peer, in seconds.
-        blank: True when the peer said that it is blank, so it needs a snapshot or the founding.
+        next_index: Index of the next entry to send.
+        contact_s: Monotonic time at which the last acknowledged round was sent, in seconds.
+        match_index: Highest index that the peer is known to have persisted.
+        state: How entries are sent to the peer.
+        inflight: Last index of each unacknowledged append message, oldest first.
+        probe_sent: True while a probe is unacknowledged; a heartbeat sends the next one.
+        acked_sequence: Highest message round that the peer has acknowledged.
+        last_received_s: Monotonic time of the last message from the peer, in seconds.
+        blank: True when the peer replied that it is blank, so that it needs a snapshot or the
+            founding record.
     """
 
     next_index: int
@@ -39,11 +44,11 @@
     inflight: deque[int] = field(default_factory=deque)
     probe_sent: bool = False
     acked_sequence: int = 0
-    heard_s: float = -math.inf
+    last_received_s: float = -math.inf
     blank: bool = False
 
-    def matched(self, index: int) -> None:
-        """Record that the peer holds everything up to ``index``."""
+    def record_match(self, index: int) -> None:
+        """Record that the peer has persisted every entry up to ``index``."""
         self.match_index = max(self.match_index, index)
         while self.inflight and self.inflight[0] <= self.match_index:
             self.inflight.popleft()
@@ -53,8 +58,8 @@
         self.next_index = max(self.next_index, self.match_index + 1)
         self.probe_sent = False
 
-    def probe(self, next_index: int) -> None:
-        """Go back to one message at a time, from ``next_index``."""
+    def become_probe(self, next_index: int) -> None:
+        """Return to probing with one message at a time, from ``next_index``."""
         self.state = ProgressState.PROBE
         self.next_index = max(next_index, self.match_index + 1)
         self.inflight.clear()
--- a/src/leverjunction/consensus/status.py
+++ b/src/leverjunction/consensus/status.py
@@ -1,4 +1,4 @@
-"""The status of a replica, as operators and the rest of the process see it."""
+"""Status of a replica, as reported to operators and to the rest of the process."""
 
 from __future__ import annotations
 
@@ -8,12 +8,19 @@
 from leverjunction.consensus.engine import ReplicaEngine
 from leverjunction.consensus.types import GroupConfig, Role
 
-OLDEST_CONTACT_S = 3600.0
-"""Age of contact of a replica that has never held all that was committed; an age is never above."""
+MAX_CONTACT_AGE_S = 3600.0
+"""Upper bound of the reported contact age, in seconds; also the age reported by a replica that has
+never held every committed entry.
+"""
 
 
 def status_of(engine: ReplicaEngine, now_s: float) -> GroupStatus:
-    """Return what a running replica knows of its group at monotonic time ``now_s``."""
+    """Return the status of a running replica.
+
+    Args:
+        engine: Engine of the replica.
+        now_s: Monotonic time, in seconds.
+    """
     core = engine.core
     contact_s = core.caught_up_s
     members = core.configuration.members
@@ -21,10 +28,10 @@
     others = core.configuration.voter_ids() - {core.replica_id}
     if role is Role.LEADER:
         quorum_s = core.quorum_contact_s()
-        if core.knows_commits():
+        if core.has_committed_in_term():
             contact_s = quorum_s
         if others and now_s - quorum_s > core.lease_s:
-            # After a long freeze the core learns of the time only with its next event.
+            # After a long pause the core notices the elapsed time only with its next event.
             role = Role.FOLLOWER
     return GroupStatus(
         group=core.config.group,
@@ -36,7 +43,7 @@
         applied_index=engine.applied_index,
         voters=[member.address for member in members if member.voter],
         learners=[member.address for member in members if not member.voter],
-        leader_contact_age_s=min(max(0.0, now_s - contact_s), OLDEST_CONTACT_S),
+        leader_contact_age_s=min(max(0.0, now_s - contact_s), MAX_CONTACT_AGE_S),
         majority_lost=core.majority_lost(),
     )
 
@@ -53,15 +60,15 @@
         applied_index=0,
         voters=[],
         learners=[],
-        leader_contact_age_s=OLDEST_CONTACT_S,
+        leader_contact_age_s=MAX_CONTACT_AGE_S,
     )
 
 
 def stopped_status(last: GroupStatus) -> GroupStatus:
-    """Return the status of a replica that serves nothing any more, from its last one."""
+    """Return the status of a replica that has stopped, given its last status."""
     return msgspec.structs.replace(
         last,
         role=Role.BLANK.value,
         leader_address="",
-        leader_contact_age_s=OLDEST_CONTACT_S,
+        leader_contact_age_s=MAX_CONTACT_AGE_S,
     )
--- a/src/leverjunction/consensus/types.py
+++ b/src/leverjunction/consensus/types.py
@@ -1,4 +1,4 @@
-"""Values shared by the pure core, the store and the runtime of a consensus group."""
+"""Types and defaults shared by the pure core, the store and the runtime of a consensus group."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 
 class Role(StrEnum):
-    """What a replica is to its group at the moment."""
+    """Current role of a replica in its group.
+
+    Values: ``BLANK`` is a replica that belongs to no founding of the group and does not vote,
+    ``LEARNER`` a member that receives entries but does not vote. The others are Raft's roles.
+    """
 
     BLANK = "blank"
     LEARNER = "learner"
@@ -28,7 +32,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries."""
+    """Kind of a log entry."""
 
     NO_OP = 0
     COMMAND = 1
@@ -39,9 +43,10 @@
     """One replica in a configuration.
 
     Attributes:
-        replica_id: Durable random id of the replica's data; votes and matches are counted by it.
-        address: RPC address at which it is reached.
-        voter: False for a learner, which receives entries but counts in no quorum.
+        replica_id: Durable random id of the replica's data, by which votes and matched entries
+            are counted.
+        address: RPC address of the replica.
+        voter: False for a learner, which receives entries but does not count towards a quorum.
     """
 
     replica_id: str
@@ -50,12 +55,12 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """Membership of a group, in force on a replica from the moment it is in its log.
+    """Membership of a group, in force on a replica as soon as it is in the replica's log.
 
     Attributes:
-        members: Voters and learners, at most one change of a voter apart from its predecessor.
-        target: Addresses that shall each hold one voter; the leader works towards it one change
-            at a time, which is also how a voter that lost its disk is replaced.
+        members: Voters and learners; at most one voter differs from the previous configuration.
+        target: Addresses that shall each hold one voter. The leader changes the members towards
+            the target one at a time, which also replaces a voter that lost its disk.
     """
 
     members: tuple[Member, ...] = ()
@@ -73,7 +78,7 @@
         return None
 
     def quorum(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that make a majority."""
         return len(self.voter_ids()) // 2 + 1
 
 
@@ -83,8 +88,8 @@
     Attributes:
         index: Position in the log, from 1.
         term: Term of the leader that appended it.
-        kind: What ``payload`` is.
-        wall_ms: The leader's wall clock when it appended the entry, in milliseconds.
+        kind: Kind of ``payload``.
+        wall_ms: Leader's wall-clock time when it appended the entry, in milliseconds.
         payload: Command of the state machine, or an encoded ``Configuration``.
     """
 
@@ -96,11 +101,11 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """Election state that is durable before any message of the same step leaves.
+    """Election state, which is persisted before any message of the same step is sent.
 
     Attributes:
         term: Highest term seen.
-        voted_for: Replica id that got this replica's vote in ``term``, empty when none did.
+        voted_for: Replica id that received this replica's vote in ``term``; empty when none did.
     """
 
     term: int = 0
@@ -108,28 +113,29 @@
 
 
 class LogPosition(msgspec.Struct, frozen=True, order=True):
-    """A place in the log; the order is Raft's "more up to date" (term first, then index)."""
+    """Position in the log, ordered by term, then index: Raft's order of up-to-date logs."""
 
     term: int = 0
     index: int = 0
 
 
 class DurableState(msgspec.Struct, frozen=True, kw_only=True):
-    """All that a replica's file holds when it is opened, except payloads and tables.
+    """Durable state of a replica, as loaded from its file, without payloads and tables.
 
     Attributes:
         replica_id: Durable random id, created with the file.
-        founding_id: Random id given to the group when it was founded; empty on a blank replica.
-        hard_state: Election state.
+        founding_id: Random id of the group's founding (bootstrap); empty on a blank replica.
+        hard_state: Term and vote.
         base: Position up to which the log was compacted into the tables.
         base_configuration: Configuration in force at ``base``.
-        term_starts: First index of each run of entries with one term, in order, after ``base``.
-        last_index: Index of the last entry (``base.index`` when there is none).
+        term_starts: First position of each run of entries with equal terms after ``base``, in
+            order.
+        last_index: Index of the last entry; ``base.index`` when the log is empty.
         entry_bytes: Payload size of each entry after ``base``, in order.
-        configurations: Configuration entries after ``base``, by index.
+        configurations: Index and configuration of each configuration entry after ``base``.
         applied_index: Highest index applied to the tables.
-        barred_from_founding: True when this data replaces a corrupt file: "blank" then does not
-            mean that the group is new, so this replica takes no part in founding one.
+        barred_from_founding: True when this data replaces a corrupt file. The replica is then
+            blank although the group may not be new, so it takes no part in a founding.
     """
 
     replica_id: str
@@ -146,29 +152,31 @@
 
 
 class GroupConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of one replica of one group.
+    """Settings of one replica of one group; durations are in seconds.
 
     Attributes:
         group: Name of the group.
         address: RPC address of this replica.
-        first_members: RPC addresses of the members that found the group, the same everywhere.
-            The lowest one founds it, once every one of them has answered that it is blank.
+        first_members: RPC addresses of the members that found the group, the same on all of them.
+            The member with the lowest address founds it, once all have replied that they are
+            blank.
         witnesses: RPC addresses of other processes that may hold a replica of the group, such as
-            its voters before a change of the configuration. They are asked before a founding: one
-            that answers with a founding of the group forbids another one.
-        data_path: The replica's SQLite file; ``:memory:`` in the simulator.
-        heartbeat_interval_s: Longest pause between two messages of a leader to a peer.
-        election_timeout_min_s: Shortest silence after which a follower campaigns; a leader
-            that hears no quorum for this long steps down (its lease).
-        election_timeout_max_s: Longest silence after which a follower campaigns.
-        max_batch_bytes: Payload bytes in one append message.
-        max_batch_entries: Entries in one append message.
-        max_inflight_batches: Append messages to a peer that may be unanswered.
-        log_kept_entries: Applied entries kept in the log for peers that lag a little.
-        log_kept_bytes: Payload bytes of applied entries kept at most.
+            its voters before a change of the configuration. They are queried before a founding. A
+            witness that replies with a founding of the group prevents a second one.
+        data_path: Path of the replica's SQLite file; ``:memory:`` in the simulator.
+        heartbeat_interval_s: Longest interval between two messages of a leader to a peer.
+        election_timeout_min_s: Shortest time without contact to a leader after which a follower
+            campaigns. A leader without replies of a quorum steps down within it (its lease).
+        election_timeout_max_s: Longest time without contact to a leader after which a follower
+            campaigns.
+        max_batch_bytes: Limit of the payload bytes in one append message.
+        max_batch_entries: Limit of the entries in one append message.
+        max_inflight_batches: Limit of unacknowledged append messages to a peer.
+        log_kept_entries: Limit of the applied entries retained for peers that lag slightly.
+        log_kept_bytes: Limit of the payload bytes of the applied entries retained.
         snapshot_chunk_bytes: Payload bytes in one snapshot chunk.
-        rejoin_when_corrupt: Move a corrupt file aside and rejoin blank, instead of refusing to
-            start.
+        rejoin_when_corrupt: Move a corrupt file aside and rejoin as a blank replica, instead of
+            refusing to start.
     """
 
     group: str
--- a/tests/unit/test_consensus_slow_steps.py
+++ b/tests/unit/test_consensus_slow_steps.py
@@ -1,4 +1,4 @@
-"""Slow steps that last make a replica patient; a single one does not."""
+"""Sustained slow steps extend a replica's timeouts; a single slow step does not."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("steps", "now_s", "lasting_s"),
+    ("steps", "now_s", "sustained_s"),
     [
         ([], 10.0, 0.0),
         ([(1.0, 4.0)], 1.0, 0.0),
@@ -32,11 +32,13 @@
         "long ago",
     ],
 )
-def test_what_lasts(steps: list[tuple[float, float]], now_s: float, lasting_s: float) -> None:
+def test_sustained_step_duration(
+    steps: list[tuple[float, float]], now_s: float, sustained_s: float
+) -> None:
     slow = SlowSteps()
     for at_s, took_s in steps:
         slow.record(at_s, took_s)
-    assert slow.lasting_s(now_s) == lasting_s
+    assert slow.sustained_s(now_s) == sustained_s
 
 
 @pytest.mark.parametrize(
@@ -44,8 +46,10 @@
     [(0.06, (0.4, 0.8)), (0.2, (0.8, 1.6)), (0.3, (1.2, 2.4)), (5.0, (1.5, 3.0))],
     ids=["fast enough", "slow", "slower", "bounded"],
 )
-def test_a_slow_replica_is_patient(took_s: float, timeouts_s: tuple[float, float]) -> None:
-    members = tuple(Member(replica_id=one, address=one) for one in ("a", "b", "c"))
+def test_a_slow_replica_extends_its_timeouts(
+    took_s: float, timeouts_s: tuple[float, float]
+) -> None:
+    members = tuple(Member(replica_id=item, address=item) for item in ("a", "b", "c"))
     durable = DurableState(
         replica_id="a", founding_id="f", base_configuration=Configuration(members)
     )
