--- a/tests/unit/consensus_simulation.py
+++ b/tests/unit/consensus_simulation.py
@@ -1,4 +1,4 @@
-"""Engines of one group in virtual time, with a network and disks that fail by a seed."""
+"""Simulates the engines of one group in virtual time, with seeded network and disk faults."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 class CrashedError(Exception):
-    """The simulated process dies before the sync of a batch."""
+    """The simulated process crashed before the sync of a batch."""
 
 
 class CrashingStore(Store):
-    """A store whose commit may be the process's last act, before anything is durable."""
+    """A store that can crash the process in a commit, before anything is durable."""
 
     crash_next = False
 
@@ -49,7 +49,7 @@
 
 
 class CheckedMachine(LogMachine):
-    """Checks that every replica applies the same command at the same index."""
+    """A state machine that checks that all replicas apply the same command at the same index."""
 
     def __init__(self, applied: dict[int, bytes]) -> None:
         self._applied = applied
@@ -62,7 +62,7 @@
 
 @dataclass
 class Node:
-    """A machine: its disk outlives its process unless it is wiped."""
+    """A machine, whose disk survives a crash of its process unless it is wiped."""
 
     address: str
     connection: sqlite3.Connection | None = None
@@ -72,9 +72,9 @@
 
 @dataclass
 class Faults:
-    """Chances and counts of what goes wrong.
+    """Probabilities and counts of faults.
 
-    The chances are for each message or step; ``counts`` counts what did happen.
+    The probabilities are per message or step; ``counts`` counts the faults that occurred.
     """
 
     drop: float = 0.05
@@ -87,11 +87,11 @@
 
 
 class Simulation:
-    """A group of ``size`` nodes; ``run`` plays events until a virtual time."""
+    """A group of ``size`` nodes; ``run`` executes events up to a virtual time."""
 
     chunk_bytes = 64
     kept_entries = 0
-    """Entries that each log keeps; 0: drawn anew at each start."""
+    """Entries that each log retains; 0 to draw the number at each start."""
 
     def __init__(self, seed: int, size: int, core_type: type[RaftCore] = RaftCore) -> None:
         self.random = Random(seed)
@@ -114,11 +114,11 @@
             self.start(address)
 
     def make_machine(self, address: str) -> StateMachine:
-        """Return the state machine of a replica that starts."""
+        """Return the state machine of a starting replica."""
         return CheckedMachine(self.applied)
 
     def listen(self, address: str, replaced: bool) -> None:
-        """Be told that the tables of a replica have changed."""
+        """Handle a notification that the tables of a replica have changed."""
 
     def at(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now_s + delay_s, next(self._numbers), action))
@@ -172,7 +172,7 @@
             self.faults.count("crash")
 
     def wipe(self, address: str) -> None:
-        """Lose a machine's disk, unless an earlier loss is not repaired yet."""
+        """Lose a machine's disk, unless an earlier loss is still unrepaired."""
         founded = self.nodes[address].engine is not None and bool(self.acked)
         if self.unrepaired or not founded:
             return
@@ -214,7 +214,7 @@
         self.step(address, [Propose(request_id, command, int(self.now_s * 1000))])
 
     def read(self, address: str) -> None:
-        """Read everything; all that was acknowledged before must be there."""
+        """Read all commands; the result must include every command acknowledged before."""
         before = set(self.acked)
 
         def answered(result: bytes | Failure) -> None:
@@ -237,7 +237,7 @@
         self.run(self.now_s + QUIET_END_S)
 
     def check_end(self) -> None:
-        """Check that every acknowledged command is in every replica, exactly once."""
+        """Check that every replica holds every acknowledged command exactly once."""
         states = [self._state(node) for node in self.nodes.values()]
         assert all(state == states[0] for state in states), "replicas did not converge"
         assert len(states[0]) == len(set(states[0])), "a command was applied twice"
@@ -272,7 +272,7 @@
             self.at(delay_s, lambda: self._arrive(origin, to, message))
 
     def _arrive(self, origin: str, to: str, message: Message) -> None:
-        """Hand a message over; the port of a process that has ended refuses it, mostly."""
+        """Deliver a message; the port of an ended process usually refuses the connection."""
         if self.nodes[to].engine is not None:
             self.step(to, [Received(message)])
         elif self.random.random() >= self.faults.drop:
--- a/tests/unit/election_replay.py
+++ b/tests/unit/election_replay.py
@@ -1,8 +1,8 @@
-"""Real cores that take the steps of the election model, for its conformance test.
+"""Replays the steps of the election model on real cores, for the model's conformance test.
 
-Votes, appends, snapshots and changes of the membership go through ``RaftCore.handle``. The model
-has no time, so the driver grants pre-votes, marks vote requests as asked for by the leader (which
-passes by leader stickiness) and gives every core a lease that never ends.
+Votes, appends, snapshots and membership changes go through ``RaftCore.handle``. The model has no
+time, so the driver grants pre-votes, marks vote requests as leadership transfers (which bypasses
+leader stickiness) and gives every core a lease that does not expire.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class SteppedCore(RaftCore):
-    """A real core that takes a step towards its target only when the model does."""
+    """A real core that changes its membership only when the model does."""
 
     may_drive = False
 
@@ -72,18 +72,18 @@
 
 
 def replica_id(identity: ReplicaId) -> str:
-    """Return the real replica id of a replica of the model."""
+    """Return the real replica id for a replica of the model."""
     return f"m{identity[0]}-{identity[1]}"
 
 
 def identity_of(real_id: str) -> ReplicaId:
-    """Return the replica of the model with a real replica id."""
+    """Return the model's replica for a real replica id."""
     number, _, life = real_id[1:].partition("-")
     return int(number), int(life)
 
 
 class Node:
-    """A machine with a real core; keeps the payloads that the core does not."""
+    """A machine with a real core, which also stores the payloads that the core does not hold."""
 
     def __init__(self, number: int, life: int) -> None:
         founded = life == 1
@@ -109,7 +109,7 @@
         self.core = SteppedCore(config, durable, Random(number), self.now_s)
 
     def handle(self, event: Event) -> list[Effect]:
-        """Handle an event and what follows from it at once: the sync and the application."""
+        """Handle an event, sync and apply at once, and return all effects."""
         effects = list(self.core.handle(event, self.now_s))
         for effect in effects:
             if isinstance(effect, TruncateLog):
@@ -124,13 +124,13 @@
         return effects
 
     def handle_alone(self, event: Event) -> None:
-        """Handle an event whose messages are lost; a transfer that it starts fails."""
+        """Handle an event but drop its messages; a snapshot transfer that it starts fails."""
         for effect in self.handle(event):
             if isinstance(effect, StartSnapshot):
                 self.handle_alone(SnapshotDelivered(effect.replica_id, None))
 
     def messages(self, effects: list[Effect]) -> list[tuple[str, Message]]:
-        """Return the messages among effects, entries filled in, each with its address."""
+        """Return the messages among the effects with their addresses, with entries filled in."""
         found: list[tuple[str, Message]] = []
         for effect in effects:
             if isinstance(effect, Send):
@@ -147,7 +147,7 @@
         return found
 
     def as_model(self) -> Machine:
-        """Return this machine as the model has it, without what it collects from others."""
+        """Return this machine's state in the model, without the votes and acks it collects."""
         roles = {Role.BLANK: "blank", Role.CANDIDATE: "candidate", Role.LEADER: "leader"}
         voted_for = self.core.hard_state.voted_for
         return Machine(
@@ -179,7 +179,7 @@
         self.committed: tuple[Entry, ...] = ()
 
     def follow(self, label: str) -> None:
-        """Take the real step for a label of the model."""
+        """Take the step on the real cores that a label of the model names."""
         kind, *numbers = label.split()
         number, *rest = map(int, numbers)
         if kind == "campaign":
@@ -198,13 +198,13 @@
         self._note_commits()
 
     def compare(self, group: Group) -> None:
-        """Check that the real machines are in the model's state."""
+        """Check that the state of the real machines equals the model's."""
         expected = [machine._replace(votes=(), acked=()) for machine in group.machines]
         assert [node.as_model() for node in self.nodes] == expected
         assert self.committed == group.committed
 
     def change(self, number: int) -> int:
-        """Let a leader make its next change of the membership; returns how many it made."""
+        """Have a leader make its next membership change; return the number of changes made."""
         leader = self.nodes[number]
         before = leader.changes
         alive = {node.core.replica_id for node in self.nodes}
@@ -221,11 +221,11 @@
         return leader.changes - before
 
     def knows_committed(self, number: int) -> bool:
-        """Return whether a leader knows of everything that was committed."""
+        """Return whether a leader's commit index covers every committed entry."""
         return self.nodes[number].core.commit_index >= len(self.committed)
 
     def blank_votes(self) -> list[Message]:
-        """Send every vote request in reach to the blank replicas; return votes they gave."""
+        """Send all known vote requests to the blank replicas; return the votes they granted."""
         requests = [request for node in self.nodes for request in node.votes_asked.values()]
         given: list[Message] = []
         for node in self.nodes:
@@ -295,7 +295,7 @@
         return [reply for to, reply in member.messages(effects) if to == address]
 
     def _for(self, member: Node, leader: Node, effects: list[Effect]) -> list[Message]:
-        """Return the messages for one member; transfers are carried out whole."""
+        """Return the messages for one member; snapshot transfers are run to completion."""
         address = member.core.config.address
         found = [message for to, message in leader.messages(effects) if to == address]
         for effect in effects:
--- a/tests/unit/test_consensus_effect_order.py
+++ b/tests/unit/test_consensus_effect_order.py
@@ -1,12 +1,11 @@
-"""Effects are carried out in the order in which the core gives them.
+"""Effects are carried out in the order in which the core returns them.
 
-Symptom: a leader whose file is whole stops serving, "log entries 74 to 74 are not all there", and
-asks for its file to be moved away. Sequence: the last answer of a snapshot's receiver comes; the
-same event makes a membership change due, whose entry the core appends to its log. Cause: the
-engine, carrying out "the snapshot was answered", handed the core the next event and carried out
-that one's effects at once, before the rest of the first ones; among them was a message with the
-entry that was still to be written. Settled by the order of the calls on the store: ``entries(74)``
-with rows up to 73 in the file, the core's log at 74, and no append of 74 before it.
+Guards against effects of a nested event that run before the remaining effects of the outer event.
+A leader with an intact file stopped with "log entries 74 to 74 are not all there" and asked for
+its file to be moved aside. The last reply of a snapshot receiver had also triggered a membership
+change, whose entry was appended to the core's log. While carrying out ``SnapshotAnswered``, the
+engine passed the next event to the core and carried out its effects at once. Among them was a
+message with entry 74, while the store held rows up to 73 only and the append of 74 was pending.
 """
 
 from __future__ import annotations
@@ -34,8 +33,8 @@
 ENTRY = LogEntry(index=1, term=1, kind=EntryKind.CONFIGURATION, wall_ms=0, payload=b"{}")
 
 
-class AnsweredCore(RaftCore):
-    """An answer makes an entry due, and the end of the transfer a message that holds it."""
+class SnapshotReplyCore(RaftCore):
+    """Appends an entry with a snapshot reply, and sends it when the transfer has ended."""
 
     def handle(self, event: Event, now_s: float) -> list[Effect]:
         if isinstance(event, Tick):
@@ -67,7 +66,7 @@
             changed_role=lambda _effect: None,
             repaired=lambda _repair: None,
         ),
-        AnsweredCore,
+        SnapshotReplyCore,
     )
     ended = AnswerOutcome(ended=SnapshotDelivered("r", 0))
     engine._sender.answered = lambda _answer: ended  # type: ignore[method-assign]
--- a/tests/unit/test_consensus_election_spec.py
+++ b/tests/unit/test_consensus_election_spec.py
@@ -1,4 +1,4 @@
-"""The election model holds, seeded bugs are found, and the real core follows its traces."""
+"""Checks the election model, its detection of seeded bugs, and the core's conformance to it."""
 
 from __future__ import annotations
 
@@ -47,19 +47,23 @@
 
 
 def test_a_repair_that_is_reported_once_more_is_found() -> None:
-    """A group lost its second disk so: see the seed 148 of the simulator (test_simulation)."""
+    """Guards against a repeated repair report while the replica's disk is lost once more.
+
+    An operator who trusts the report takes down the next machine. This cost a group two of its
+    three disks in the simulator (seed 148, see ``test_simulation``).
+    """
     found = check(LOST_AGAIN_BOUNDS, Rule.REPORT_AGAIN, SEEDED_BUG_STATES)
     assert "quorum_survives" in failed_invariants(found)
 
 
 def _follow_random_traces(model: ElectionModel) -> Counter[str]:
-    """Walk through the model and real cores side by side; returns how often each step came."""
+    """Run random traces of the model on real cores; return how often each step was taken."""
     generator = random.Random(5)
     taken: Counter[str] = Counter()
     for _ in range(WALKS):
         state, real = INITIAL, RealGroup()
         for _ in range(STEPS):
-            _check_no_unasked_change(model, real, state, generator.choice(MACHINES))
+            _check_no_unexpected_change(model, real, state, generator.choice(MACHINES))
             steps = [
                 (label, after)
                 for label, after in model.steps(state)
@@ -76,10 +80,10 @@
     return taken
 
 
-def _check_no_unasked_change(
+def _check_no_unexpected_change(
     model: ElectionModel, real: RealGroup, state: object, number: int
 ) -> None:
-    """A leader that has no change to make in the model makes none in the real core either."""
+    """Check that a leader without a membership change in the model makes none in the real core."""
     labels = {label for label, _ in model.steps(state)}  # type: ignore[arg-type]
     if not any(f"{kind} {number}" in labels for kind in CHANGES):
         full = len(real.nodes[number].entries) >= model.bounds.entries
--- a/tests/unit/test_consensus_faults.py
+++ b/tests/unit/test_consensus_faults.py
@@ -1,4 +1,4 @@
-"""Whole groups in virtual time with a bad network, crashes and lost disks."""
+"""Groups of replicas in virtual time with an unreliable network, crashes and lost disks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def play(simulation: Simulation) -> None:
-    """Let clients and faults act by the simulation's own random generator."""
+    """Run client requests and faults, drawn from the simulation's own random generator."""
     random = simulation.random
     simulation.run(simulation.now_s + 5.0)
     for number in range(STEPS):
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 @pytest.mark.parametrize("seed", range(12))
-def test_no_promise_breaks_under_faults(seed: int, size: int) -> None:
+def test_guarantees_hold_under_faults(seed: int, size: int) -> None:
     simulation = Simulation(seed, size)
     play(simulation)
     assert simulation.acked
--- a/tests/unit/test_consensus_frozen_leader.py
+++ b/tests/unit/test_consensus_frozen_leader.py
@@ -1,4 +1,4 @@
-"""A leader's process that was frozen and wakes with an old lease serves no read."""
+"""A leader whose process was frozen serves no read under its expired lease."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 
 def leader() -> RaftCore:
-    """Return a core that leads term 1, with its no-op committed at ``ELECTION_S``."""
-    members = tuple(Member(replica_id=one, address=one) for one in IDS)
+    """Return a core that leads term 1 and has committed its no-op at ``ELECTION_S``."""
+    members = tuple(Member(replica_id=item, address=item) for item in IDS)
     durable = DurableState(
         replica_id="a", founding_id="f", base_configuration=Configuration(members, IDS)
     )
@@ -53,13 +53,13 @@
         effects = core.handle(Received(granted), ELECTION_S)
     assert any(isinstance(effect, AppendEntries) for effect in effects)
     core.handle(Persisted(1), ELECTION_S)
-    answer(core, ELECTION_S)
+    acknowledge(core, ELECTION_S)
     assert (core.role, core.commit_index) == (Role.LEADER, 1)
     return core
 
 
-def answer(core: RaftCore, now_s: float, sequence: int | None = None) -> list[Effect]:
-    """Let one peer answer a round, the latest by default."""
+def acknowledge(core: RaftCore, now_s: float, sequence: int | None = None) -> list[Effect]:
+    """Have one peer acknowledge a round, the latest by default; return the effects."""
     number = core.sequence if sequence is None else sequence
     reply = AppendReply(header=header("b", 1), sequence=number, accepted=True, index=1)
     return core.handle(Received(reply), now_s)
@@ -67,11 +67,11 @@
 
 def test_a_read_is_answered_only_after_a_quorum_has_answered_its_own_round() -> None:
     core = leader()
-    former_round = core.sequence
+    previous_round = core.sequence
     core.handle(Read(request_id=7), ELECTION_S)
     core.handle(Flush(), ELECTION_S)
-    assert not any(isinstance(e, ReadReady) for e in answer(core, ELECTION_S, former_round))
-    assert ReadReady(request_id=7, index=1) in answer(core, ELECTION_S)
+    assert not any(isinstance(e, ReadReady) for e in acknowledge(core, ELECTION_S, previous_round))
+    assert ReadReady(request_id=7, index=1) in acknowledge(core, ELECTION_S)
 
 
 @pytest.mark.parametrize("frozen_s", [0.6, 5.0, 3600.0])
@@ -96,4 +96,4 @@
     core = leader()
     core.handle(Read(request_id=7), ELECTION_S)
     core.handle(Flush(), ELECTION_S)
-    assert not any(isinstance(e, ReadReady) for e in answer(core, ELECTION_S + 5.0))
+    assert not any(isinstance(e, ReadReady) for e in acknowledge(core, ELECTION_S + 5.0))
--- a/tests/unit/test_consensus_full_window.py
+++ b/tests/unit/test_consensus_full_window.py
@@ -1,4 +1,4 @@
-"""A peer whose unanswered messages were all lost, and are compacted by the time it is back."""
+"""A peer returns after all messages in flight were lost and their entries were compacted."""
 
 from __future__ import annotations
 
@@ -49,7 +49,11 @@
 def test_a_peer_behind_the_compacted_log_gets_a_snapshot(
     seed: int, silence_s: float, fault: str
 ) -> None:
-    """Simulated, hanbit 2084: its heartbeats matched at 0, so nobody saw that it lacked entries."""
+    """Guards against a full window of lost messages whose entries were compacted.
+
+    In the simulator (scenario hanbit, seed 2084), heartbeats to such a peer matched at index 0, so
+    the leader never detected that the peer was missing entries.
+    """
     simulation = group_without_faults(seed)
     leader = leader_of(simulation)
     away = next(address for address in simulation.addresses if address != leader)
@@ -63,7 +67,7 @@
     core = core_of(simulation, leader)
     members = core.configuration.members
     progress = core.progress[next(m.replica_id for m in members if m.address == away)]
-    assert progress.next_index <= core.log.base.index, "what is in flight is not compacted"
+    assert progress.next_index <= core.log.base.index, "entries in flight are not compacted"
     term = core.term
 
     simulation.heal()
--- a/tests/unit/test_consensus_leader_gone.py
+++ b/tests/unit/test_consensus_leader_gone.py
@@ -1,4 +1,4 @@
-"""A leader whose process ended is replaced without waiting for its lease; silence alone is not."""
+"""A leader whose process has ended is replaced before its lease expires; a silent leader is not."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
 
 
 def voter(seed: int = 1, now_s: float = START_S) -> RaftCore:
-    """Return a core that has just been loaded and voted for ``c`` in the term before."""
-    members = tuple(Member(replica_id=one, address=one) for one in IDS)
+    """Return a core that was just loaded and voted for ``c`` in ``TERM``."""
+    members = tuple(Member(replica_id=item, address=item) for item in IDS)
     durable = DurableState(
         replica_id="a",
         founding_id="f",
@@ -73,7 +73,7 @@
 
 
 def follower(seed: int = 1) -> RaftCore:
-    """Return a core that heard its leader ``c`` at ``HEARD_S``."""
+    """Return a core with leader ``c``, whose last heartbeat came at ``HEARD_S``."""
     core = voter(seed)
     heartbeat = AppendRequest(
         header=header("c"), previous=LogPosition(), commit_index=0, sequence=1
@@ -113,11 +113,11 @@
 
 def test_a_leader_whose_process_ended_is_replaced_before_its_lease_is_over() -> None:
     core = follower()
-    told_s = HEARD_S + 1.6 * HEARTBEAT_S
-    core.handle(PeerDown(address="c", term=TERM), told_s)
+    reported_s = HEARD_S + 1.6 * HEARTBEAT_S
+    core.handle(PeerDown(address="c", term=TERM), reported_s)
     assert core.leader_address == ""
-    assert core.next_deadline_s() <= told_s + SHORTEST_S / 4
-    assert sent(core.handle(Tick(), told_s + SHORTEST_S / 4), VoteRequest) == ["b", "c"]
+    assert core.next_deadline_s() <= reported_s + SHORTEST_S / 4
+    assert sent(core.handle(Tick(), reported_s + SHORTEST_S / 4), VoteRequest) == ["b", "c"]
 
 
 def test_a_vote_is_given_at_once_after_the_leaders_process_ended_but_not_in_its_silence() -> None:
@@ -140,38 +140,39 @@
 
 
 def late_append(*entries: LogEntry) -> AppendRequest:
-    """Return a message that the leader ``c`` sent before its process ended."""
+    """Return an append request that the leader ``c`` sent before its process ended."""
     return AppendRequest(
         header=header("c"), previous=LogPosition(), commit_index=0, sequence=2, entries=entries
     )
 
 
-def test_a_late_message_of_a_leader_that_ended_is_stored_and_does_not_stand_for_its_life() -> None:
-    """A message that was under way when the leader's process ended holds up no election.
+def test_a_delayed_message_of_a_dead_leader_is_stored_but_is_no_sign_of_life() -> None:
+    """Guards against an election that is held up by a delayed message of the dead leader.
 
-    Symptom: simulator, hanbit 77320183: all three gateways were one version behind for 4.0 s and
-    more, with every exchange answered. Sequence: a change is acknowledged, 70 ms later the leader's
-    disk is lost; one follower learns at once that the process ended; 2.3 s later a message of the
-    dead leader arrives there. The follower then has a leader again and refuses its vote to the
-    other one for a whole election timeout: 3.2 s without a leader in place of some 0.7 s.
+    In the simulator (scenario hanbit, seed 77320183), all three gateways were one version behind
+    for 4.0 s and more, although every exchange was answered. A change was acknowledged, and 70 ms
+    later the leader's disk was lost. One follower learned at once that the process had ended, but
+    2.3 s later it received a message of the dead leader. It then had a leader again and refused
+    its vote to the other follower for a whole election timeout. The group had no leader for 3.2 s
+    instead of about 0.7 s.
     """
     core = follower()
-    told_s = HEARD_S + 0.3
-    core.handle(PeerDown(address="c", term=TERM), told_s)
+    reported_s = HEARD_S + 0.3
+    core.handle(PeerDown(address="c", term=TERM), reported_s)
     entry = LogEntry(index=1, term=TERM, kind=EntryKind.NO_OP, wall_ms=0, payload=b"")
-    effects = core.handle(Received(late_append(entry)), told_s + 0.05)
+    effects = core.handle(Received(late_append(entry)), reported_s + 0.05)
     assert any(isinstance(effect, AppendEntries) for effect in effects)
     assert sent(effects, AppendReply) == ["c"]
     assert core.leader_address == ""
-    assert core.next_deadline_s() <= told_s + SHORTEST_S / 4
+    assert core.next_deadline_s() <= reported_s + SHORTEST_S / 4
     request = VoteRequest(
         header=header("b", TERM + 1), last=LogPosition(term=TERM, index=1), pre=True
     )
-    replies = core.handle(Received(request), told_s + 0.06)
+    replies = core.handle(Received(request), reported_s + 0.06)
     assert [effect.message.granted for effect in replies if isinstance(effect, Send)] == [True]
 
 
-def test_a_candidate_goes_on_though_a_late_message_of_the_ended_leader_comes() -> None:
+def test_a_candidate_ignores_a_delayed_message_of_the_dead_leader() -> None:
     core = follower()
     core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     core.handle(Tick(), HEARD_S + 0.45)
@@ -180,15 +181,15 @@
     assert core.role == "candidate"
 
 
-def test_a_leader_that_was_taken_for_ended_and_is_heard_on_leads_again() -> None:
-    """A refused connection is no proof for ever: a port may have been refused by a mistake."""
+def test_a_leader_wrongly_reported_dead_is_followed_again() -> None:
+    """A refused connection is not a permanent proof: it may have been refused by mistake."""
     core = follower()
     core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     core.handle(Received(late_append()), HEARD_S + 0.3 + 2 * LONGEST_S)
     assert core.leader_address == "c"
 
 
-def test_an_ended_leader_that_leads_a_later_term_is_followed() -> None:
+def test_a_dead_leader_that_leads_a_later_term_is_followed() -> None:
     core = follower()
     core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     newer = AppendRequest(
@@ -198,8 +199,8 @@
     assert core.leader_address == "c"
 
 
-def test_an_ended_leader_is_followed_in_the_term_in_which_this_replica_campaigned() -> None:
-    """Found on reading: the verdict outlived its term when the replica itself had raised it."""
+def test_a_dead_leader_is_followed_in_the_term_in_which_this_replica_campaigned() -> None:
+    """Guards against a dead-leader mark that survives a term raised by the replica itself."""
     core = follower()
     core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.3)
     core.handle(Tick(), HEARD_S + 0.45)
@@ -213,39 +214,41 @@
     assert (core.role, core.leader_address) == ("follower", "c")
 
 
-def test_a_leader_whose_address_answers_with_another_replica_has_ended() -> None:
-    """A leader that lost its disk and is started again at once never refuses a connection.
+def test_a_leader_whose_address_answers_with_another_replica_is_dead() -> None:
+    """A leader that lost its disk and restarts at once never refuses a connection.
 
-    Symptom and sequence as above: the other follower asked the dead leader whether it lives when
-    a blank process was up at its address already, and did nothing with that answer.
+    In the run described above, the other follower queried the dead leader when a blank process was
+    already running at its address, and ignored the reply.
     """
     core = follower()
-    answer = IdentityReply(
+    reply = IdentityReply(
         header=Header(founding_id="", from_id="new", from_address="c", to_id="a", term=0), nonce=0
     )
-    told_s = HEARD_S + 0.3
-    core.handle(Received(answer), told_s)
+    reported_s = HEARD_S + 0.3
+    core.handle(Received(reply), reported_s)
     assert core.leader_address == ""
-    assert core.next_deadline_s() <= told_s + SHORTEST_S / 4
-    assert pre_vote_is_granted(core, told_s)
+    assert core.next_deadline_s() <= reported_s + SHORTEST_S / 4
+    assert pre_vote_is_granted(core, reported_s)
 
 
 @pytest.mark.parametrize(
     ("from_id", "from_address"), [("c", "c"), ("b", "b")], ids=["the leader", "another member"]
 )
-def test_other_answers_do_not_end_a_leader(from_id: str, from_address: str) -> None:
+def test_other_identity_replies_do_not_mark_the_leader_dead(
+    from_id: str, from_address: str
+) -> None:
     core = follower()
-    answer = IdentityReply(
+    reply = IdentityReply(
         header=Header(
             founding_id="f", from_id=from_id, from_address=from_address, to_id="a", term=TERM
         ),
         nonce=0,
     )
-    core.handle(Received(answer), HEARD_S + 0.3)
+    core.handle(Received(reply), HEARD_S + 0.3)
     assert core.leader_address == "c"
 
 
-def test_a_leader_that_campaigns_itself_leads_no_more() -> None:
+def test_a_leader_that_campaigns_no_longer_leads() -> None:
     core = follower()
     request = VoteRequest(header=header("c", TERM + 1), last=LogPosition(), pre=True)
     effects = core.handle(Received(request), HEARD_S + 0.3)
@@ -253,16 +256,16 @@
     assert core.leader_address == ""
 
 
-def test_a_campaign_from_before_the_leader_led_says_nothing() -> None:
+def test_a_campaign_from_before_the_leader_was_elected_is_ignored() -> None:
     core = follower()
     request = VoteRequest(header=header("c", TERM), last=LogPosition(), pre=True)
     core.handle(Received(request), HEARD_S + 0.3)
     assert core.leader_address == "c"
 
 
-def test_a_restarted_leader_that_is_taken_for_one_campaigns_at_once() -> None:
-    """Its followers ask it whether it lives, and would wait for its lease in vain."""
-    members = tuple(Member(replica_id=one, address=one) for one in IDS)
+def test_a_restarted_leader_that_its_followers_still_query_campaigns_at_once() -> None:
+    """Its followers would otherwise wait until the lease of its former term has expired."""
+    members = tuple(Member(replica_id=item, address=item) for item in IDS)
     durable = DurableState(
         replica_id="a",
         founding_id="f",
@@ -276,13 +279,13 @@
     assert sent(core.handle(Tick(), asked_s + SHORTEST_S / 4), VoteRequest) == ["b", "c"]
 
 
-def test_a_voter_that_led_nothing_does_not_campaign_when_it_is_asked() -> None:
+def test_a_voter_that_did_not_lead_does_not_campaign_when_it_is_queried() -> None:
     core = voter()
     core.handle(Received(IdentityQuery(header=header("b"), nonce=0)), START_S + 0.1)
     assert core.next_deadline_s() >= START_S + SHORTEST_S
 
 
-def test_a_leader_does_not_mind_peers_that_are_gone() -> None:
+def test_a_leader_keeps_leading_when_a_peer_is_down() -> None:
     core = follower()
     core.handle(PeerDown(address="c", term=TERM), HEARD_S + 0.2)
     now_s = HEARD_S + 0.4
@@ -300,7 +303,7 @@
     assert core.role == "leader"
 
 
-def test_a_restarted_voter_honours_what_is_left_of_the_lease_that_it_may_have_given() -> None:
+def test_a_restarted_voter_honours_the_rest_of_a_lease_that_it_may_have_granted() -> None:
     loaded_s = START_S + 0.3
     core = voter(now_s=loaded_s)
     core.backdate_leader_contact(START_S)
@@ -320,8 +323,8 @@
     assert max(waits_s) - min(waits_s) > 0.5 * (LONGEST_S - SHORTEST_S)
 
 
-def test_a_sender_tells_that_a_process_ended_and_in_which_term_it_asked() -> None:
-    told: list[PeerDown] = []
+def test_a_sender_reports_that_a_process_has_ended_with_the_term_of_its_message() -> None:
+    reported: list[PeerDown] = []
 
     class Refusing:
         def send(self, peer_address: str, group: str, body: bytes) -> Failure:
@@ -329,14 +332,14 @@
             return Failure(kind=kind, reason="", step=Step.CONNECTING)
 
     for address in ("silent", "gone"):
-        sender = PeerSender(Refusing(), "root", address, lambda _batch: None, told.append)
+        sender = PeerSender(Refusing(), "root", address, lambda _batch: None, reported.append)
         sender.put(IdentityQuery(header=header("a"), nonce=0))
         sender.stop()
         sender.join(5.0)
-    assert told == [PeerDown(address="gone", term=TERM)]
+    assert reported == [PeerDown(address="gone", term=TERM)]
 
 
-def test_a_port_that_refuses_connections_is_told_from_one_that_is_silent() -> None:
+def test_a_port_that_refuses_connections_is_distinguished_from_a_silent_one() -> None:
     rpc = RpcClient(b"key", 1)
     with socket.socket() as closed:
         closed.bind(("127.0.0.1", 0))
@@ -345,23 +348,23 @@
     assert isinstance(refused, Failure)
     assert refused.kind is FailureKind.NOT_LISTENING
     with socket.socket() as full:
-        # A queue without a free place drops the opening packet, as a machine without power does.
+        # A full accept queue drops SYN packets, so the client sees the same as with a dead machine.
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         address = full.getsockname()
         waiting = [socket.socket() for _ in range(4)]
-        for one in waiting:
-            one.setblocking(False)
-            one.connect_ex(address)
+        for connection in waiting:
+            connection.setblocking(False)
+            connection.connect_ex(address)
         silent = rpc.call_raw(f"127.0.0.1:{address[1]}", MessageKind.RAFT, b"", timeout_s=0.2)
-        for one in waiting:
-            one.close()
+        for connection in waiting:
+            connection.close()
     assert isinstance(silent, Failure)
     assert silent.kind is not FailureKind.NOT_LISTENING
 
 
-def test_a_group_elects_early_only_when_its_leaders_process_is_gone(tmp_path: Path) -> None:
-    """The cluster's links tell a stopped replica as unreachable: that is silence."""
+def test_a_group_elects_early_only_when_its_leaders_process_has_ended(tmp_path: Path) -> None:
+    """The test cluster reports a stopped replica as unreachable, which counts as silence."""
     cluster = Cluster(tmp_path, 3)
     try:
         cluster.start_all()
--- a/tests/unit/test_consensus_lost_votes.py
+++ b/tests/unit/test_consensus_lost_votes.py
@@ -1,4 +1,7 @@
-"""A candidate asks voters again whose answer was lost: they granted it, and wait for it to lead."""
+"""A candidate repeats vote requests whose replies were lost.
+
+The voters granted their votes and wait for the candidate, so they do not campaign themselves.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +28,8 @@
 
 
 def candidate() -> tuple[RaftCore, float]:
-    """Return a core that has just won its pre-vote, and the time."""
-    members = tuple(Member(replica_id=one, address=one) for one in IDS)
+    """Return a core that has just won its pre-vote, and the current time."""
+    members = tuple(Member(replica_id=item, address=item) for item in IDS)
     durable = DurableState(
         replica_id="a",
         founding_id="f",
@@ -45,13 +48,13 @@
     now_s = core.next_deadline_s()
     core.handle(Tick(), now_s)
     for voter in ("b", "c"):
-        core.handle(Received(answer(voter, pre=True)), now_s)
+        core.handle(Received(vote(voter, pre=True)), now_s)
     assert core.role is Role.CANDIDATE
     assert core.term == TERM + 1
     return core, now_s
 
 
-def answer(voter: str, *, pre: bool = False, granted: bool = True) -> VoteReply:
+def vote(voter: str, *, pre: bool = False, granted: bool = True) -> VoteReply:
     header = Header(founding_id="f", from_id=voter, from_address=voter, to_id="a", term=TERM)
     return VoteReply(header=header, campaign_term=TERM + 1, granted=granted, pre=pre)
 
@@ -64,17 +67,17 @@
     ]
 
 
-def test_voters_that_have_not_answered_are_asked_again_after_a_heartbeat() -> None:
-    """The group had no leader for another election timeout, 3.4 s in all."""
+def test_voters_that_have_not_replied_are_asked_again_after_a_heartbeat() -> None:
+    """Without the retry, a group had no leader for another election timeout, 3.4 s in total."""
     core, now_s = candidate()
-    core.handle(Received(answer("b")), now_s)
-    core.handle(Received(answer("c", granted=False)), now_s)
+    core.handle(Received(vote("b")), now_s)
+    core.handle(Received(vote("c", granted=False)), now_s)
     assert core.next_deadline_s() == pytest.approx(now_s + HEARTBEAT_S)
     assert asked(core.handle(Tick(), now_s + HEARTBEAT_S - 0.01)) == []
     assert asked(core.handle(Tick(), now_s + HEARTBEAT_S)) == ["d", "e"]
     assert asked(core.handle(Tick(), now_s + HEARTBEAT_S + 0.01)) == []
     assert core.term == TERM + 1
-    effects = core.handle(Received(answer("d")), now_s + HEARTBEAT_S + 0.02)
+    effects = core.handle(Received(vote("d")), now_s + HEARTBEAT_S + 0.02)
     assert any(isinstance(effect, BecameLeader) for effect in effects)
 
 
@@ -85,11 +88,11 @@
         effects = core.handle(
             Received(VoteRequest(header=rival, last=core.log.last, pre=False)), now_s
         )
-        replies = [one.message for one in effects if isinstance(one, Send)]
+        replies = [effect.message for effect in effects if isinstance(effect, Send)]
         assert [reply.granted for reply in replies if isinstance(reply, VoteReply)] == [True]
 
 
-def test_a_candidate_whom_nobody_answers_begins_anew_after_its_timeout() -> None:
+def test_a_candidate_without_replies_starts_over_after_its_timeout() -> None:
     core, now_s = candidate()
     until_s = core.election_deadline_s
     while core.next_deadline_s() < until_s:
--- a/tests/unit/test_consensus_repair_report.py
+++ b/tests/unit/test_consensus_repair_report.py
@@ -1,11 +1,12 @@
-"""When a repair is reported as done, and what a group says that has lost most of its disks.
-
-Symptom: simulator, hanbit 148: the settings' group had no leader for good. Sequence: the disk of
-one of three machines is lost and repaired, and lost again; another machine crashes in a sync before
-it has applied the first repair durably, starts, learns once more that this is committed, and
-reports it. Its report is word for word that of the loss that is not repaired yet. Who goes by it,
-as the operators' page asks, touches the next machine, and two of three disks are gone. The one
-voter that was left asked for votes for 40 s and said nothing of why it got none.
+"""When a repair is reported as done, and what a group reports when most of its disks are lost.
+
+Guards against a repeated repair report. In the simulator (scenario hanbit, seed 148), the group of
+the settings lost its leader permanently. The disk of one of three machines was lost, repaired and
+lost again. Another machine crashed in a sync before it had durably applied the first repair,
+restarted, learned again that the repair was committed, and reported it. The report read the same
+as one for the second loss, which was not repaired yet. An operator who relies on such a report, as
+the operators' manual says, takes down the next machine, and two of three disks are gone. The
+remaining voter requested votes for 40 s without reporting why it received none.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
 
 def follower() -> RaftCore:
-    """Return a core that holds a repair of C by ``c2`` and does not know that it is committed."""
+    """Return a core whose log holds the repair of C by ``c2``, not known to be committed."""
     durable = DurableState(
         replica_id="a",
         founding_id="f",
@@ -79,7 +80,7 @@
 
 
 def heartbeat(core: RaftCore, now_s: float) -> list[Effect]:
-    """Have the leader ``b`` tell that the repair is committed."""
+    """Handle a heartbeat of the leader ``b`` that commits the repair; return the effects."""
     message = AppendRequest(
         header=header("b", "B"),
         previous=LogPosition(term=2, index=1),
@@ -89,8 +90,8 @@
     return core.handle(Received(message), now_s)
 
 
-def answer(core: RaftCore, from_id: str, now_s: float, term: int = TERM) -> list[Effect]:
-    """Have whoever lives at C tell its id; a blank one belongs to no founding."""
+def identify(core: RaftCore, from_id: str, now_s: float, term: int = TERM) -> list[Effect]:
+    """Handle an identity reply of the replica at C; only ``c2`` belongs to the founding."""
     founding_id = "f" if from_id == "c2" else ""
     reply = IdentityReply(header=header(from_id, "C", term, founding_id), nonce=0)
     return core.handle(Received(reply), now_s)
@@ -100,7 +101,7 @@
     return [effect for effect in effects if isinstance(effect, RepairDone)]
 
 
-def asked(effects: list[Effect]) -> list[str]:
+def queried(effects: list[Effect]) -> list[str]:
     return [
         effect.address
         for effect in effects
@@ -108,38 +109,38 @@
     ]
 
 
-def test_a_repair_is_reported_once_the_new_replica_has_answered() -> None:
+def test_a_repair_is_reported_once_the_new_replica_has_replied() -> None:
     core = follower()
     effects = heartbeat(core, START_S + 0.1)
     assert reports(effects) == []
-    assert asked(effects) == ["C"]
-    assert reports(answer(core, "c2", START_S + 0.11)) == [RepairDone("c1", "c2", "C")]
-    assert reports(answer(core, "c2", START_S + 0.12)) == []
-    assert asked(heartbeat(core, START_S + 0.2)) == []
+    assert queried(effects) == ["C"]
+    assert reports(identify(core, "c2", START_S + 0.11)) == [RepairDone("c1", "c2", "C")]
+    assert reports(identify(core, "c2", START_S + 0.12)) == []
+    assert queried(heartbeat(core, START_S + 0.2)) == []
 
 
 def test_a_repair_whose_replica_is_lost_again_is_not_reported() -> None:
     core = follower()
     heartbeat(core, START_S + 0.1)
-    assert reports(answer(core, "c3", START_S + 0.11)) == []
-    assert reports(answer(core, "c2", START_S + 0.12)) == []
-    assert asked(heartbeat(core, START_S + 0.2)) == []
+    assert reports(identify(core, "c3", START_S + 0.11)) == []
+    assert reports(identify(core, "c2", START_S + 0.12)) == []
+    assert queried(heartbeat(core, START_S + 0.2)) == []
 
 
-def test_a_replica_that_did_not_answer_is_asked_with_each_heartbeat() -> None:
+def test_a_replica_that_did_not_reply_is_queried_with_each_heartbeat() -> None:
     core = follower()
     heartbeat(core, START_S + 0.1)
-    assert asked(heartbeat(core, START_S + 0.2)) == ["C"]
+    assert queried(heartbeat(core, START_S + 0.2)) == ["C"]
 
 
-def test_an_answer_of_an_earlier_term_is_older_than_the_question() -> None:
+def test_a_reply_of_an_earlier_term_is_ignored() -> None:
     core = follower()
     heartbeat(core, START_S + 0.1)
-    assert reports(answer(core, "c2", START_S + 0.11, TERM - 1)) == []
-    assert reports(answer(core, "c2", START_S + 0.12)) == [RepairDone("c1", "c2", "C")]
+    assert reports(identify(core, "c2", START_S + 0.11, TERM - 1)) == []
+    assert reports(identify(core, "c2", START_S + 0.12)) == [RepairDone("c1", "c2", "C")]
 
 
-def test_a_voter_that_finds_most_disks_lost_says_so_once() -> None:
+def test_a_voter_that_finds_most_disks_lost_reports_it_once() -> None:
     core = follower()
     heartbeat(core, START_S + 0.1)
     core.handle(Tick(), START_S + 2.0)
@@ -147,23 +148,23 @@
     assert not core.majority_lost()
     core.handle(Received(IdentityReply(header=header("b9", "B", 0, ""), nonce=0)), START_S + 2.01)
     assert not core.majority_lost()
-    effects = answer(core, "c9", START_S + 2.02, 0)
+    effects = identify(core, "c9", START_S + 2.02, 0)
     assert MajorityLost(("B", "C")) in effects
     assert core.majority_lost()
-    again = answer(core, "c9", START_S + 2.03, 0)
+    again = identify(core, "c9", START_S + 2.03, 0)
     assert not any(isinstance(effect, MajorityLost) for effect in again)
 
 
-def test_a_voter_that_answers_after_all_is_not_lost() -> None:
-    """An answer of a process that is gone may come late; the living one is heard again."""
+def test_a_voter_that_replies_again_is_not_lost() -> None:
+    """A delayed reply of an ended process is corrected by the next message of the live voter."""
     core = follower()
     core.handle(Received(IdentityReply(header=header("b9", "B", 0, ""), nonce=0)), START_S + 2.01)
-    answer(core, "c9", START_S + 2.02, 0)
+    identify(core, "c9", START_S + 2.02, 0)
     heartbeat(core, START_S + 2.1)
     assert not core.majority_lost()
 
 
-def test_replicas_that_lost_most_disks_say_so_and_how_to_go_on(tmp_path: Path) -> None:
+def test_a_lost_majority_is_logged_with_the_recovery_page(tmp_path: Path) -> None:
     lines: list[str] = []
     sink = logger.add(lines.append, level="ERROR", format="{message}")
     cluster = Cluster(tmp_path, 3)
