--- a/src/leverjunction/consensus/core_election.py
+++ b/src/leverjunction/consensus/core_election.py
@@ -134,8 +134,8 @@
         self.rejections = set()
         self._reset_election_deadline()
         if pre_vote:
-            share = self._random.uniform(PRE_VOTE_RETRY_FRACTION, 2 * PRE_VOTE_RETRY_FRACTION)
-            self.election_deadline_s = self._now_s + share * self.timeout_min_s
+            fraction = self._random.uniform(PRE_VOTE_RETRY_FRACTION, 2 * PRE_VOTE_RETRY_FRACTION)
+            self.election_deadline_s = self._now_s + fraction * self.timeout_min_s
         else:
             self._persist_term(self.term + 1, self.replica_id)
         self._request_votes(transfer)
--- a/src/leverjunction/consensus/core_follower.py
+++ b/src/leverjunction/consensus/core_follower.py
@@ -84,9 +84,9 @@
             self.caught_up_s = self._now_s
 
     def _leader_committed_in_term(self, message: AppendRequest) -> bool:
-        """Return whether the leader has committed an entry of its own term.
+        """Return whether the leader has committed an entry of its own term, or none at all.
 
-        Only then is its commit index complete. Before that, a new leader may hold entries that its
+        Otherwise its commit index may be incomplete: a new leader may hold entries that its
         predecessor committed and acknowledged, without knowing that they are committed.
         """
         index = message.commit_index
@@ -138,18 +138,18 @@
 
     def _store_entries(self, entries: list[LogEntry]) -> None:
         """Append the new entries, after removing those that conflict with the leader's log."""
-        fresh = [entry for entry in entries if self.log.term_at(entry.index) != entry.term]
-        if not fresh:
+        new_entries = [entry for entry in entries if self.log.term_at(entry.index) != entry.term]
+        if not new_entries:
             return
-        first = fresh[0].index
-        fresh = [entry for entry in entries if entry.index >= first]
+        first = new_entries[0].index
+        new_entries = [entry for entry in entries if entry.index >= first]
         if first <= self.log.last_index:
             assert first > self.commit_index, "a committed entry would be removed"
             self.log.truncate(first)
             self.persisted_index = min(self.persisted_index, first - 1)
             self._emit(TruncateLog(from_index=first))
-        self.log.append(fresh)
-        self._emit(AppendEntries(entries=tuple(fresh)))
+        self.log.append(new_entries)
+        self._emit(AppendEntries(entries=tuple(new_entries)))
         self._reset_role()
 
     def _on_snapshot_chunk(self, message: SnapshotChunk) -> None:
--- a/src/leverjunction/consensus/core_founding.py
+++ b/src/leverjunction/consensus/core_founding.py
@@ -65,7 +65,10 @@
     founding_due_s: float = 0.0
 
     def is_founder(self) -> bool:
-        """Return whether this replica may found the group: the blank one at the lowest address."""
+        """Return whether this replica may found the group.
+
+        The founder is the replica at the lowest first address, while it is blank and not barred.
+        """
         lowest = min(self.config.first_members, default="")
         return self.blank and not self.barred_from_founding and self.config.address == lowest
 
--- a/src/leverjunction/consensus/core_membership.py
+++ b/src/leverjunction/consensus/core_membership.py
@@ -81,7 +81,10 @@
                 self._send(address, IdentityQuery(header=self.header(""), nonce=0))
 
     def _may_change(self) -> bool:
-        """Return whether the last configuration and an entry of this term are committed."""
+        """Return whether this leader may change the configuration.
+
+        The last configuration and an entry of the leader's term must be committed first.
+        """
         return (
             self.role is Role.LEADER
             and self.has_committed_in_term()
@@ -123,10 +126,10 @@
         by_address: dict[str, list[Member]] = {}
         for member in voters:
             by_address.setdefault(member.address, []).append(member)
-        for same in by_address.values():
-            silent = min(same, key=self._contact_s)
+        for same_address in by_address.values():
+            silent = min(same_address, key=self._contact_s)
             # Equal contact times decide nothing: a new leader has heard from neither.
-            if any(self._contact_s(member) > self._contact_s(silent) for member in same):
+            if any(self._contact_s(member) > self._contact_s(silent) for member in same_address):
                 return self._without(silent)
         return None
 
