--- a/tests/unit/consensus_simulation.py
+++ b/tests/unit/consensus_simulation.py
@@ -1,4 +1,4 @@
-"""Engines of one group in virtual time, with a network and disks that fail by a seed."""
+"""Simulates the engines of one group in virtual time, with seeded network and disk faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from leverjunction.consensus.events import (
     BecameLeader,
     Event,
-    PeerGone,
+    PeerDown,
     Propose,
     Read,
     Received,
@@ -34,11 +34,11 @@
 
 
 class CrashedError(Exception):
-    """The simulated process dies before the sync of a batch."""
+    """The simulated process crashed before the sync of a batch."""
 
 
 class CrashingStore(Store):
-    """A store whose commit may be the process's last act, before anything is durable."""
+    """A store that can crash the process in a commit, before anything is durable."""
 
     crash_next = False
 
@@ -49,7 +49,7 @@
 
 
 class CheckedMachine(LogMachine):
-    """Checks that every replica applies the same command at the same index."""
+    """A state machine that checks that all replicas apply the same command at the same index."""
 
     def __init__(self, applied: dict[int, bytes]) -> None:
         self._applied = applied
@@ -62,7 +62,7 @@
 
 @dataclass
 class Node:
-    """A machine: its disk outlives its process unless it is wiped."""
+    """A machine, whose disk survives a crash of its process unless it is wiped."""
 
     address: str
     connection: sqlite3.Connection | None = None
@@ -72,26 +72,26 @@
 
 @dataclass
 class Faults:
-    """Chances and counts of what goes wrong.
+    """Probabilities and counts of faults.
 
-    The chances are for each message or step; ``struck`` counts what did happen.
+    The probabilities are per message or step; ``counts`` counts the faults that occurred.
     """
 
     drop: float = 0.05
     repeat: float = 0.05
     crash_in_sync: float = 0.002
-    struck: dict[str, int] = field(default_factory=dict)
+    counts: dict[str, int] = field(default_factory=dict)
 
     def count(self, name: str) -> None:
-        self.struck[name] = self.struck.get(name, 0) + 1
+        self.counts[name] = self.counts.get(name, 0) + 1
 
 
 class Simulation:
-    """A group of ``size`` nodes; ``run`` plays events until a virtual time."""
+    """A group of ``size`` nodes; ``run`` executes events up to a virtual time."""
 
     chunk_bytes = 64
     kept_entries = 0
-    """Entries that each log keeps; 0: drawn anew at each start."""
+    """Entries that each log retains; 0 to draw the number at each start."""
 
     def __init__(self, seed: int, size: int, core_type: type[RaftCore] = RaftCore) -> None:
         self.random = Random(seed)
@@ -114,11 +114,11 @@
             self.start(address)
 
     def make_machine(self, address: str) -> StateMachine:
-        """Return the state machine of a replica that starts."""
+        """Return the state machine of a starting replica."""
         return CheckedMachine(self.applied)
 
     def listen(self, address: str, replaced: bool) -> None:
-        """Be told that the tables of a replica have changed."""
+        """Handle a notification that the tables of a replica have changed."""
 
     def at(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now_s + delay_s, next(self._numbers), action))
@@ -172,7 +172,7 @@
             self.faults.count("crash")
 
     def wipe(self, address: str) -> None:
-        """Lose a machine's disk, unless an earlier loss is not repaired yet."""
+        """Lose a machine's disk, unless an earlier loss is still unrepaired."""
         founded = self.nodes[address].engine is not None and bool(self.acked)
         if self.unrepaired or not founded:
             return
@@ -214,7 +214,7 @@
         self.step(address, [Propose(request_id, command, int(self.now_s * 1000))])
 
     def read(self, address: str) -> None:
-        """Read everything; all that was acknowledged before must be there."""
+        """Read all commands; the result must include every command acknowledged before."""
         before = set(self.acked)
 
         def answered(result: bytes | Failure) -> None:
@@ -230,14 +230,14 @@
 
     def heal(self) -> None:
         """End all faults and let the group settle."""
-        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, struck=self.faults.struck)
+        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, counts=self.faults.counts)
         self.partitioned.clear()
         for address in self.addresses:
             self.start(address)
         self.run(self.now_s + QUIET_END_S)
 
     def check_end(self) -> None:
-        """Check that every acknowledged command is in every replica, exactly once."""
+        """Check that every replica holds every acknowledged command exactly once."""
         states = [self._state(node) for node in self.nodes.values()]
         assert all(state == states[0] for state in states), "replicas did not converge"
         assert len(states[0]) == len(set(states[0])), "a command was applied twice"
@@ -272,12 +272,12 @@
             self.at(delay_s, lambda: self._arrive(origin, to, message))
 
     def _arrive(self, origin: str, to: str, message: Message) -> None:
-        """Hand a message over; the port of a process that has ended refuses it, mostly."""
+        """Deliver a message; the port of an ended process usually refuses the connection."""
         if self.nodes[to].engine is not None:
             self.step(to, [Received(message)])
         elif self.random.random() >= self.faults.drop:
             self.faults.count("refused connection")
-            gone = PeerGone(address=to, term=message.header.term)
+            gone = PeerDown(address=to, term=message.header.term)
             self.at(self.random.uniform(0.0005, 0.5), lambda: self.step(origin, [gone]))
 
     def _schedule_tick(self, node: Node) -> None:
--- a/tests/unit/lots_simulation.py
+++ b/tests/unit/lots_simulation.py
@@ -356,7 +356,7 @@
     def recover(self) -> None:
         """End all faults, wait until the group has settled, and check its state."""
         previous_faults = self.faults
-        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, struck=previous_faults.struck)
+        self.faults = Faults(drop=0, repeat=0, crash_in_sync=0, counts=previous_faults.counts)
         until_s = self.now_s + RECOVERY_TIMEOUT_S
         while self.now_s < until_s:
             self.partitioned.clear()
--- a/tests/unit/test_lots_replicas.py
+++ b/tests/unit/test_lots_replicas.py
@@ -17,7 +17,7 @@
 def test_every_replica_has_the_state_of_the_committed_commands(size: int, seeds: range) -> None:
     occurred: set[str] = set()
     for seed in seeds:
-        occurred |= set(simulate(seed, size, ROUNDS, STEPS).faults.struck)
+        occurred |= set(simulate(seed, size, ROUNDS, STEPS).faults.counts)
     assert occurred >= {
         "acknowledged",
         "read answered",
@@ -29,4 +29,4 @@
 
 def test_membership_change_at_the_end_of_a_snapshot() -> None:
     """Guards against the leader reading a log entry that it has not written yet (at this seed)."""
-    assert simulate(1051, 3, ROUNDS, 120).faults.struck["machine replaced"]
+    assert simulate(1051, 3, ROUNDS, 120).faults.counts["machine replaced"]
