--- a/src/leverjunction/consensus/engine.py
+++ b/src/leverjunction/consensus/engine.py
@@ -47,7 +47,7 @@
 from leverjunction.consensus.snapshot import SnapshotStage
 from leverjunction.consensus.snapshot_sender import SnapshotSender
 from leverjunction.consensus.store import Store
-from leverjunction.consensus.store_faults import is_of_the_database
+from leverjunction.consensus.store_faults import is_environment_error
 from leverjunction.consensus.types import EntryKind, GroupConfig, LogEntry
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.wire.codec import encode_reply
@@ -295,7 +295,7 @@
         try:
             reply = self._machine.apply(connection, context, entry.payload)
         except Exception as error:
-            if is_of_the_database(error):
+            if is_environment_error(error):
                 raise
             logger.error(
                 "group {}: entry {} of term {} changes nothing, the state machine raised {!r}",
--- a/src/leverjunction/consensus/schema.py
+++ b/src/leverjunction/consensus/schema.py
@@ -9,7 +9,7 @@
 from leverjunction.errors import Failure, FailureKind, Step
 
 
-def create_missing(connection: sqlite3.Connection, script: str) -> None:
+def create_missing_tables(connection: sqlite3.Connection, script: str) -> None:
     """Run the statements of a script, each inside the transaction that may be open.
 
     ``executescript`` would commit it.
@@ -19,6 +19,6 @@
             connection.execute(statement)
 
 
-def not_decoded(group: str, error: msgspec.MsgspecError, step: Step) -> Failure:
+def decode_failure(group: str, error: msgspec.MsgspecError, step: Step) -> Failure:
     """Return the failure of a command or query that is none of a group's."""
     return Failure(kind=FailureKind.CORRUPT, reason=f"not for group {group}: {error}", step=step)
--- a/src/leverjunction/consensus/store.py
+++ b/src/leverjunction/consensus/store.py
@@ -121,7 +121,7 @@
         page_sums.sync()
         self.connection.execute("PRAGMA wal_checkpoint(PASSIVE)")
 
-    def lose_unsynced(self) -> None:
+    def discard_uncommitted(self) -> None:
         """Forget what was not committed, as a crash does; for simulated crashes."""
         if self.connection.in_transaction:
             self.connection.execute("ROLLBACK")
--- a/src/leverjunction/consensus/store_faults.py
+++ b/src/leverjunction/consensus/store_faults.py
@@ -11,7 +11,7 @@
     """Stored data does not match its checksum; the replica must stop serving."""
 
 
-def is_of_the_database(error: Exception) -> bool:
+def is_environment_error(error: Exception) -> bool:
     """Return whether an error is the machine's or its file's, whatever was asked of it.
 
     Damage is the bare class ``DatabaseError``; what a command can bring about, such as a key that
--- a/src/leverjunction/lots/state_machine.py
+++ b/src/leverjunction/lots/state_machine.py
@@ -18,8 +18,8 @@
 from loguru import logger
 
 from leverjunction.consensus.api import ApplyContext
-from leverjunction.consensus.schema import create_missing, not_decoded
-from leverjunction.consensus.store_faults import is_of_the_database
+from leverjunction.consensus.schema import create_missing_tables, decode_failure
+from leverjunction.consensus.store_faults import is_environment_error
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.lots import commands, progress_rows
 from leverjunction.lots.commands import ItemResult, ItemState
@@ -71,15 +71,15 @@
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
         """Create the tables if they are missing."""
-        create_missing(connection, _TABLES)
-        create_missing(connection, progress_rows.TABLE)
+        create_missing_tables(connection, _TABLES)
+        create_missing_tables(connection, progress_rows.TABLE)
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
         """Apply one committed command and return its encoded reply."""
         try:
             decoded = _COMMANDS.decode(command)
         except msgspec.MsgspecError as error:
-            return encode_reply(not_decoded("lots", error, Step.APPLYING))
+            return encode_reply(decode_failure("lots", error, Step.APPLYING))
         if isinstance(decoded, commands.SubmitLot):
             reply: msgspec.Struct = _submit(connection, context, decoded)
         elif isinstance(decoded, commands.RecordRuns):
@@ -97,7 +97,7 @@
         try:
             decoded = _QUERIES.decode(query)
         except msgspec.MsgspecError as error:
-            return encode_reply(not_decoded("lots", error, Step.QUERYING))
+            return encode_reply(decode_failure("lots", error, Step.QUERYING))
         if isinstance(decoded, commands.ReadResults):
             return encode_reply(_results(connection, decoded))
         if isinstance(decoded, commands.ReadBody):
@@ -179,7 +179,7 @@
     try:
         taken = take()
     except Exception as error:
-        if is_of_the_database(error):
+        if is_environment_error(error):
             # Not the part's fault: other replicas may take it.
             raise
         # The parts of other items must not share its fate, now and each time they come again.
--- a/src/leverjunction/registry/state_machine.py
+++ b/src/leverjunction/registry/state_machine.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from leverjunction.consensus.api import ApplyContext
-from leverjunction.consensus.schema import create_missing, not_decoded
+from leverjunction.consensus.schema import create_missing_tables, decode_failure
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.quarantine.records import SuspectRecord
 from leverjunction.quarantine.verdicts import on_trial, with_end
@@ -70,14 +70,14 @@
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
         """Create the tables if they are missing."""
-        create_missing(connection, TABLES)
+        create_missing_tables(connection, TABLES)
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
         """Apply one committed command and return its encoded reply."""
         try:
             decoded = _COMMANDS.decode(command)
         except msgspec.MsgspecError as error:
-            return encode_reply(not_decoded(REGISTRY_GROUP, error, Step.APPLYING))
+            return encode_reply(decode_failure(REGISTRY_GROUP, error, Step.APPLYING))
         return encode_reply(
             _HANDLERS[type(decoded)](RegistryTables(connection, context.index), decoded)
         )
@@ -87,7 +87,7 @@
         try:
             decoded = _QUERIES.decode(query)
         except msgspec.MsgspecError as error:
-            return encode_reply(not_decoded(REGISTRY_GROUP, error, Step.QUERYING))
+            return encode_reply(decode_failure(REGISTRY_GROUP, error, Step.QUERYING))
         tables = RegistryTables(connection, 0)
         if isinstance(decoded, commands.GetView):
             return encode_reply(tables.view())
--- a/src/leverjunction/settings/state_machine.py
+++ b/src/leverjunction/settings/state_machine.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from leverjunction.consensus.api import ApplyContext
-from leverjunction.consensus.schema import create_missing, not_decoded
+from leverjunction.consensus.schema import create_missing_tables, decode_failure
 from leverjunction.errors import Step
 from leverjunction.settings.commands import (
     ApplyChange,
@@ -72,14 +72,14 @@
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
         """Create the tables if they are missing."""
-        create_missing(connection, _TABLES)
+        create_missing_tables(connection, _TABLES)
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
         """Apply one committed command and return its encoded reply."""
         try:
             decoded = _COMMANDS.decode(command)
         except msgspec.MsgspecError as error:
-            return encode_reply(not_decoded("root", error, Step.APPLYING))
+            return encode_reply(decode_failure("root", error, Step.APPLYING))
         if isinstance(decoded, ApplyChange):
             return encode_reply(_apply_change(connection, context, decoded))
         return encode_reply(_next_fence(connection, context))
@@ -89,7 +89,7 @@
         try:
             decoded = _QUERIES.decode(query)
         except msgspec.MsgspecError as error:
-            return encode_reply(not_decoded("root", error, Step.QUERYING))
+            return encode_reply(decode_failure("root", error, Step.QUERYING))
         if isinstance(decoded, GetSettings):
             return encode_reply(_delta(connection, decoded.after_version))
         return encode_reply(_history(connection, decoded.limit))
--- a/src/testbed/simulation/replica.py
+++ b/src/testbed/simulation/replica.py
@@ -70,7 +70,7 @@
 
     def crash(self) -> None:
         """Lose what was not synced."""
-        self.store.lose_unsynced()
+        self.store.discard_uncommitted()
         self.crash_in_sync = False
 
     def _new_store(self) -> Store:
--- a/tests/unit/consensus_simulation.py
+++ b/tests/unit/consensus_simulation.py
@@ -167,7 +167,7 @@
     def crash(self, address: str) -> None:
         node = self.nodes[address]
         if node.engine is not None:
-            node.engine.store.lose_unsynced()
+            node.engine.store.discard_uncommitted()
             node.engine = None
             self.faults.count("crash")
 
