--- a/src/leverjunction/consensus/page_sums.py
+++ b/src/leverjunction/consensus/page_checksums.py
@@ -36,16 +36,16 @@
     """One frame of the write-ahead log: a page's number and sum, and whether it ends a commit."""
 
     number: int
-    page_sum: int
+    page_checksum: int
     ends_commit: bool
 
 
-def _page_sum(number: int, page: bytes | memoryview) -> int:
+def _page_checksum(number: int, page: bytes | memoryview) -> int:
     # The number is the seed, so a page in the place of another is noticed.
     return xxhash.xxh3_64_intdigest(page, number) or 1
 
 
-class PageSums:
+class PageChecksums:
     """The sums of one file's pages. Used by the thread that owns the file's connection."""
 
     def __init__(self, database: Path) -> None:
@@ -76,7 +76,7 @@
             known = stored[count - 1] if count <= len(stored) else UNKNOWN
             if count in logged or known == UNKNOWN:
                 self._unknown.add(count)
-            elif known != _page_sum(count, page):
+            elif known != _page_checksum(count, page):
                 return f"page {count} does not match its checksum"
         missing = [
             number
@@ -101,7 +101,7 @@
                 file.seek((number - 1) * PAGE_BYTES)
                 page = file.read(PAGE_BYTES)
                 if len(page) == PAGE_BYTES:
-                    sums[number] = _page_sum(number, page)
+                    sums[number] = _page_checksum(number, page)
         self._put(sums)
         self._unknown.clear()
         os.fsync(self._descriptor)
@@ -119,7 +119,7 @@
         pending: dict[int, int] = {}
         frames = 0
         for count, frame in enumerate(self._frames(self._wal_descriptor, self._offset, salts), 1):
-            pending[frame.number] = frame.page_sum
+            pending[frame.number] = frame.page_checksum
             if frame.ends_commit:
                 committed |= pending
                 pending.clear()
@@ -187,7 +187,7 @@
                 if frame_salts != salts:
                     return
                 page = view[start + _FRAME_HEADER.size : start + _FRAME_BYTES]
-                yield _Frame(number, _page_sum(number, page), pages_after != 0)
+                yield _Frame(number, _page_checksum(number, page), pages_after != 0)
             if len(data) < _FRAME_BYTES * _FRAMES_PER_READ:
                 return
             offset += len(data)
--- a/src/leverjunction/consensus/store.py
+++ b/src/leverjunction/consensus/store.py
@@ -18,7 +18,7 @@
 
 from leverjunction.consensus.commit_guard import CommitGuard
 from leverjunction.consensus.log_view import decode_configuration, encode_configuration
-from leverjunction.consensus.page_sums import PAGE_BYTES, PageSums
+from leverjunction.consensus.page_checksums import PAGE_BYTES, PageChecksums
 from leverjunction.consensus.store_faults import StoreCorruptError, corrupt_failure
 from leverjunction.consensus.tail_cache import TailCache
 from leverjunction.consensus.types import (
@@ -81,11 +81,11 @@
         random: Random,
         guard: CommitGuard | None,
         tail_cache_bytes: int = TAIL_CACHE_BYTES,
-        page_sums: PageSums | None = None,
+        page_checksums: PageChecksums | None = None,
     ) -> None:
         self.connection = connection
         self._guard = guard
-        self._page_sums = page_sums
+        self._page_checksums = page_checksums
         self._cache = TailCache(tail_cache_bytes)
         connection.executescript(_SCHEMA)
         if self._get("replica_id") is None:
@@ -93,8 +93,8 @@
             self._put("replica_id", f"{random.getrandbits(REPLICA_ID_BITS):032x}".encode())
             self._put_sequence(0)
             connection.execute("COMMIT")
-        if page_sums is not None:
-            page_sums.record_commit()
+        if page_checksums is not None:
+            page_checksums.record_commit()
         self.commit_sequence = int(self._get("commit_sequence") or b"0")
 
     def begin(self) -> None:
@@ -111,14 +111,14 @@
         self.connection.execute("COMMIT")
         if self._guard is not None:
             self._guard.record(self.commit_sequence)
-        if self._page_sums is not None:
-            self._page_sums.record_commit()
-            if self._page_sums.frames_since_sync >= WAL_CHECKPOINT_PAGES:
-                self._checkpoint(self._page_sums)
+        if self._page_checksums is not None:
+            self._page_checksums.record_commit()
+            if self._page_checksums.frames_since_sync >= WAL_CHECKPOINT_PAGES:
+                self._checkpoint(self._page_checksums)
 
-    def _checkpoint(self, page_sums: PageSums) -> None:
+    def _checkpoint(self, page_checksums: PageChecksums) -> None:
         """Move the write-ahead log into the file, whose pages' sums are durable by then."""
-        page_sums.sync()
+        page_checksums.sync()
         self.connection.execute("PRAGMA wal_checkpoint(PASSIVE)")
 
     def discard_uncommitted(self) -> None:
@@ -135,13 +135,13 @@
 
     def abandon(self) -> None:
         """Close the file without a commit, after a fault."""
-        if self._page_sums is not None:
+        if self._page_checksums is not None:
             # SQLite checkpoints when a connection closes.
-            self._page_sums.record_commit()
-            self._page_sums.sync()
+            self._page_checksums.record_commit()
+            self._page_checksums.sync()
         self.connection.close()
-        if self._page_sums is not None:
-            self._page_sums.close()
+        if self._page_checksums is not None:
+            self._page_checksums.close()
         if self._guard is not None:
             self._guard.close()
 
@@ -294,13 +294,13 @@
     if path == MEMORY_PATH:
         return Store(_connect(path), random, None)
     guard = CommitGuard(Path(path))
-    page_sums = PageSums(Path(path))
+    page_checksums = PageChecksums(Path(path))
     try:
-        damage = page_sums.find_damage()
+        damage = page_checksums.find_damage()
         if damage:
             return corrupt_failure(path, damage)
-        _recover(path, page_sums)
-        store = Store(_connect(path), random, guard, page_sums=page_sums)
+        _recover(path, page_checksums)
+        store = Store(_connect(path), random, guard, page_checksums=page_checksums)
         damage = _find_damage(store, guard)
     except (sqlite3.DatabaseError, StoreCorruptError, msgspec.MsgspecError) as error:
         return corrupt_failure(path, str(error))
@@ -310,13 +310,13 @@
     return store
 
 
-def _recover(path: str, page_sums: PageSums) -> None:
+def _recover(path: str, page_checksums: PageChecksums) -> None:
     """Let SQLite move what a stopped process has left in the write-ahead log into the file."""
-    page_sums.begin_recovery()
+    page_checksums.begin_recovery()
     connection = _connect(path)
     connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     connection.close()
-    page_sums.end_recovery()
+    page_checksums.end_recovery()
 
 
 def _connect(path: str) -> sqlite3.Connection:
--- a/src/leverjunction/consensus/store_recovery.py
+++ b/src/leverjunction/consensus/store_recovery.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from leverjunction.consensus.commit_guard import GUARD_SUFFIX
-from leverjunction.consensus.page_sums import PAGES_SUFFIX
+from leverjunction.consensus.page_checksums import PAGES_SUFFIX
 from leverjunction.consensus.store import MEMORY_PATH, Store, open_store
 from leverjunction.consensus.types import GroupConfig
 from leverjunction.errors import Failure
--- a/tests/unit/test_written_bytes.py
+++ b/tests/unit/test_written_bytes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from leverjunction.consensus.page_sums import PAGE_BYTES
+from leverjunction.consensus.page_checksums import PAGE_BYTES
 from leverjunction.consensus.store import Store, open_store
 from leverjunction.consensus.types import Configuration, EntryKind, LogEntry, LogPosition
 from testbed.load.written_bytes import LogReader, WrittenReport, measure
