--- a/src/leverjunction/consensus/engine.py
+++ b/src/leverjunction/consensus/engine.py
@@ -121,7 +121,9 @@
         self._now_s = now_s
         self._requests = RequestTable(callbacks.answer)
         self._notice = ChangeNotice(config.group, callbacks.listener)
-        self._sender = SnapshotSender(store.connection, config.snapshot_chunk_bytes, random)
+        self._snapshot_sender = SnapshotSender(
+            store.connection, config.snapshot_chunk_bytes, random
+        )
         self._stage = SnapshotStage(store.connection)
         self._due: deque[Effect] = deque()
         self._running = False
@@ -138,13 +140,13 @@
         self.core.begin_step(now_s)
         # Answers first: they may renew the lease that the other events are judged by.
         for event in sorted(events, key=_is_no_answer):
-            self._run(self.core.handle(event, now_s))
-        self._run(self.core.handle(Flush(), now_s))
+            self._execute_all(self.core.handle(event, now_s))
+        self._execute_all(self.core.handle(Flush(), now_s))
         self._resend_snapshot()
         while self._unsynced:
             self._sync()
-            self._run(self.core.handle(Persisted(self.core.log.last_index), now_s))
-        self._release()
+            self._execute_all(self.core.handle(Persisted(self.core.log.last_index), now_s))
+        self._send_held()
 
     def apply_committed(self) -> bool:
         """Apply some committed entries, answer what waited for them and tell the listener.
@@ -162,7 +164,7 @@
             for entry in self.store.entries(first, last):
                 self._apply(entry)
             self.store.put_applied(self.applied_index)
-            self._run(self.core.handle(Applied(self.applied_index), self._now_s))
+            self._execute_all(self.core.handle(Applied(self.applied_index), self._now_s))
         self._answer_reads()
         self._notice.tell()
         return self.core.commit_index > self.applied_index
@@ -176,7 +178,7 @@
         """Answer a read from the applied state."""
         return self._machine.query(self.store.connection, query)
 
-    def _run(self, effects: Sequence[Effect]) -> None:
+    def _execute_all(self, effects: Sequence[Effect]) -> None:
         """Carry effects out, in the order in which the core gave them.
 
         Some make the engine hand the core another event. What follows from that waits for what
@@ -230,7 +232,7 @@
             case BecameLeader():
                 self._callbacks.changed_role(effect)
             case SteppedDown():
-                self._sender.stop()
+                self._snapshot_sender.stop()
                 self._requests.stepped_down(effect.reason)
                 self._callbacks.changed_role(effect)
             case RepairDone():
@@ -238,7 +240,7 @@
             case MajorityLost():
                 self._callbacks.majority_lost(effect)
             case StartSnapshot():
-                self._sender.start(effect.replica_id, effect.address, self._now_s)
+                self._snapshot_sender.start(effect.replica_id, effect.address, self._now_s)
                 self._send_chunk()
             case SnapshotAnswered():
                 self._snapshot_answered(effect)
@@ -268,7 +270,7 @@
         self._unsynced = False
         self._hard_state_unsynced = False
 
-    def _release(self) -> None:
+    def _send_held(self) -> None:
         held, self._held = self._held, []
         for effect in held:
             self._callbacks.outbox(effect.address, effect.message)
@@ -343,29 +345,29 @@
         event = SnapshotInstalled(
             position=chunk.final, configuration=chunk.configuration, chunk=chunk
         )
-        self._run(self.core.handle(event, self._now_s))
+        self._execute_all(self.core.handle(event, self._now_s))
 
     def _send_chunk(self) -> None:
-        chunk = self._sender.next_chunk(self.core, self.applied_index, self._now_s)
-        self._callbacks.outbox(self._sender.address, chunk)
+        chunk = self._snapshot_sender.next_chunk(self.core, self.applied_index, self._now_s)
+        self._callbacks.outbox(self._snapshot_sender.address, chunk)
 
     def _snapshot_answered(self, effect: SnapshotAnswered) -> None:
-        outcome = self._sender.answered(effect)
+        outcome = self._snapshot_sender.handle_answer(effect)
         if outcome.send_next:
             self._send_chunk()
         if outcome.ended is not None:
-            self._sender.stop()
-            self._run(self.core.handle(outcome.ended, self._now_s))
+            self._snapshot_sender.stop()
+            self._execute_all(self.core.handle(outcome.ended, self._now_s))
 
     def _resend_snapshot(self) -> None:
         """Repeat a chunk that was not answered, or give the transfer up."""
-        chunk = self._sender.overdue_chunk(self._now_s)
+        chunk = self._snapshot_sender.overdue_chunk(self._now_s)
         if chunk is not None:
-            self._callbacks.outbox(self._sender.address, chunk)
-        ended = self._sender.expired(self._now_s)
+            self._callbacks.outbox(self._snapshot_sender.address, chunk)
+        ended = self._snapshot_sender.expired(self._now_s)
         if ended is not None:
-            self._sender.stop()
-            self._run(self.core.handle(ended, self._now_s))
+            self._snapshot_sender.stop()
+            self._execute_all(self.core.handle(ended, self._now_s))
 
 
 def _is_no_answer(event: Event) -> bool:
--- a/src/leverjunction/consensus/snapshot_sender.py
+++ b/src/leverjunction/consensus/snapshot_sender.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerOutcome:
+class AnswerAction:
     """What follows from a receiver's answer: the next chunk, the end, or neither."""
 
     send_next: bool = False
@@ -82,22 +82,22 @@
         self._sent_s = now_s
         return self._chunk
 
-    def answered(self, answer: SnapshotAnswered) -> AnswerOutcome:
+    def handle_answer(self, answer: SnapshotAnswered) -> AnswerAction:
         """Handle the receiver's answer."""
         chunk = self._chunk
         if chunk is None or answer.stream_id != self._stream_id:
-            return AnswerOutcome()
+            return AnswerAction()
         if answer.replica_id != self.replica_id:
-            return AnswerOutcome()
+            return AnswerAction()
         self._answered_s = self._sent_s
         if answer.next_number == NONE_WANTED:
-            return AnswerOutcome(ended=SnapshotDelivered(self.replica_id, answer.matched_index))
+            return AnswerAction(ended=SnapshotDelivered(self.replica_id, answer.matched_index))
         if answer.next_number == chunk.number + 1 and chunk.final is None:
-            return AnswerOutcome(send_next=True)
+            return AnswerAction(send_next=True)
         if answer.next_number < chunk.number:
             # The receiver restarted and lost what it had staged.
-            return AnswerOutcome(ended=SnapshotDelivered(self.replica_id, None))
-        return AnswerOutcome()
+            return AnswerAction(ended=SnapshotDelivered(self.replica_id, None))
+        return AnswerAction()
 
     def overdue_chunk(self, now_s: float) -> SnapshotChunk | None:
         """Return the unanswered chunk when it is time to send it again."""
--- a/tests/unit/test_consensus_effect_order.py
+++ b/tests/unit/test_consensus_effect_order.py
@@ -27,7 +27,7 @@
     Tick,
 )
 from leverjunction.consensus.messages import AppendRequest, Message
-from leverjunction.consensus.snapshot_sender import AnswerOutcome
+from leverjunction.consensus.snapshot_sender import AnswerAction
 from leverjunction.consensus.store import Store, open_store
 from leverjunction.consensus.types import EntryKind, GroupConfig, LogEntry, LogPosition
 
@@ -69,9 +69,9 @@
         ),
         AnsweredCore,
     )
-    ended = AnswerOutcome(ended=SnapshotDelivered("r", 0))
-    engine._sender.answered = lambda _answer: ended  # type: ignore[method-assign]
-    engine._run(engine.core.handle(Tick(), 1.0))
+    ended = AnswerAction(ended=SnapshotDelivered("r", 0))
+    engine._snapshot_sender.handle_answer = lambda _answer: ended  # type: ignore[method-assign]
+    engine._execute_all(engine.core.handle(Tick(), 1.0))
     engine._sync()
-    engine._release()
+    engine._send_held()
     assert [message.entries for message in sent if isinstance(message, AppendRequest)] == [(ENTRY,)]
