--- a/src/leverjunction/consensus/__init__.py
+++ b/src/leverjunction/consensus/__init__.py
@@ -1,10 +1,10 @@
-"""Replicated state: Raft (Ongaro, 2014) over groups of control processes.
+"""State replication with Raft (Ongaro, 2014) between groups of control processes.
 
-``api`` holds the contract with the rest of the product: state machines are applied by a group
-replica, and callers propose commands and ask queries through it.
+``api`` defines the interface to the rest of the product: the state machines that a group replica
+applies commands to, and the calls that propose commands and run queries.
 
-From the inside out: ``types``, ``messages`` and ``events`` are values; ``core`` is the pure
-protocol (its parts are the ``core_*`` modules); ``store`` and ``snapshot`` keep the state;
-``engine`` carries out the core's effects without threads or a clock, for the simulator too;
-``group`` runs an engine in a process.
+Modules, from the inner layer outwards: ``types``, ``messages`` and ``events`` define values;
+``core`` and the ``core_*`` modules implement the protocol without I/O; ``store`` and ``snapshot``
+hold the durable state; ``engine`` executes the core's effects without threads or a clock, so that
+the simulator can run it too; ``group`` runs an engine in a process.
 """
--- a/src/leverjunction/consensus/api.py
+++ b/src/leverjunction/consensus/api.py
@@ -1,4 +1,4 @@
-"""Contract between the consensus groups and the state machines and callers that use them."""
+"""Interfaces between the consensus groups and the state machines and callers that use them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 
 class ApplyContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What a state machine may know about the entry that it applies.
+    """Metadata of the log entry that a state machine applies.
 
     Attributes:
         index: Log index of the entry.
-        term: Term of the leader that proposed it.
-        wall_ms: The leader's wall clock when it proposed, in milliseconds; the same everywhere.
+        term: Term of the leader that appended the entry.
+        wall_ms: Wall clock of the leader when it appended the entry, in milliseconds. It is part
+            of the entry, so every replica sees the same value.
     """
 
     index: int
@@ -27,15 +28,15 @@
 class StateMachine(Protocol):
     """A deterministic state machine that keeps its state in SQLite tables.
 
-    The group replica owns the connection and the transaction: the log entry's application and the
-    applied index are committed together. ``apply`` neither commits nor rolls back, reads no clock
-    and draws no random number; it calls nobody, since whatever is raised meanwhile undoes the
-    command on this replica alone (see ``notice``). Simulator and processes run the same code; the
-    simulator's connection is an in-memory database.
+    The group replica owns the connection and the transaction, and commits the effect of an entry
+    together with the applied index. ``apply`` must not commit or roll back, read a clock or draw
+    random numbers. It must not call other components either: an exception raised by them would
+    undo the command on this replica only (see ``notice``). The simulator runs the same code on an
+    in-memory database.
     """
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
-        """Create the tables if they are missing (table names start with ``sm_``)."""
+        """Create missing tables and indexes; table names start with ``sm_``."""
         ...
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
@@ -43,26 +44,27 @@
         ...
 
     def query(self, connection: sqlite3.Connection, query: bytes) -> bytes:
-        """Answer a read and return its encoded reply. Changes nothing."""
+        """Run a read-only query and return its encoded reply."""
         ...
 
 
 class GroupStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What a replica knows of its group.
+    """A replica's view of its group.
 
     Attributes:
         group: Name of the group.
-        replica_id: Durable random id of this replica.
+        replica_id: Random id of this replica, kept in its store.
         role: ``leader``, ``follower``, ``candidate``, ``learner`` or ``blank``.
         term: Current term.
         leader_address: RPC address of the leader, empty when none is known.
         commit_index: Highest index known to be committed.
-        applied_index: Highest index applied here.
+        applied_index: Highest index applied on this replica.
         voters: RPC addresses of the voters.
         learners: RPC addresses of the learners.
-        leader_contact_age_s: Seconds since a leader's message showed that this replica holds all
-            that is committed, or, on a leader, since a quorum was heard. A leader that is heard
-            during a repair does not count: what is applied here may be old, or nothing at all.
+        leader_contact_age_s: On a leader, seconds since a quorum of voters last responded. On any
+            other replica, seconds since a leader's message last showed that this replica holds
+            every committed entry. Messages received during a repair do not count, because the
+            applied state may then be old or empty.
         majority_lost: True when so many voters lost their disks that no leader can be elected.
     """
 
@@ -80,26 +82,30 @@
 
 
 class ReplicatedGroup(Protocol):
-    """One group as its local replica offers it. Safe to call from any thread."""
+    """Access to a group through its local replica. Thread-safe."""
 
     def propose(self, command: bytes, timeout_s: float) -> bytes | Failure:
-        """Replicate a command and return its reply once it is applied here.
+        """Replicate a command and return its reply once it is applied on this replica.
+
+        Args:
+            command: Encoded command.
+            timeout_s: Longest time to wait for the reply, in seconds.
 
         Returns:
-            The state machine's encoded reply; or NOT_LEADER with the leader's address in
-            ``detail`` (not run); or NO_QUORUM / TIMEOUT with execution UNKNOWN when the entry was
-            appended and its fate is not known.
+            The state machine's encoded reply. Or a failure: NOT_LEADER with the leader's address
+            in ``detail`` when the command was not run; NO_QUORUM or TIMEOUT with execution
+            UNKNOWN when the entry was appended and may or may not be committed.
         """
         ...
 
     def query(self, query: bytes, timeout_s: float) -> bytes | Failure:
-        """Answer a linearizable read on the leader, else return NOT_LEADER or NO_QUORUM."""
+        """Run a linearizable query on the leader; NOT_LEADER, NO_QUORUM or TIMEOUT on failure."""
         ...
 
     def query_local(self, query: bytes) -> bytes:
-        """Answer from this replica's applied state, which may lag."""
+        """Run a query on this replica's applied state, which may be stale."""
         ...
 
     def status(self) -> GroupStatus:
-        """Return what this replica knows of its group."""
+        """Return this replica's view of its group."""
         ...
--- a/src/leverjunction/consensus/codec.py
+++ b/src/leverjunction/consensus/codec.py
@@ -1,11 +1,12 @@
-"""Binary form of the messages between replicas (compiled construct structures).
+"""Binary encoding of the messages between replicas, with compiled ``construct`` structures.
 
-A frame is a sequence of messages: kind, lengths, body and tail. Entries are encoded one by one and
-joined, so a small entry that goes to several peers is encoded once.
+A frame is a sequence of messages, each with its kind, the lengths of body and tail, the body and
+the tail. Log entries are encoded separately and joined, so that a small entry that is sent to
+several peers is encoded once.
 
-Payloads of entries and rows of snapshots are tails, apart from the structures: a parsed structure
-refers to itself and to what it was parsed from, so it would hold megabytes until the collector of
-cycles runs.
+Entry payloads and snapshot rows are in the tail and not in the body. A parsed structure contains a
+reference cycle and refers to its input, and would keep megabytes in memory until the cyclic
+garbage collector runs.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 ENTRY_CACHE_SIZE = 4_096
 ENTRY_CACHE_PAYLOAD_BYTES = 1_024
-"""Only entries up to this size are cached: copying a large one costs little and holds memory."""
+"""Larger entries are not cached: they are cheap to encode, and a cache would hold much memory."""
 
 _NAME = PascalString(Int8ub, "utf8")
 _BLOB = Prefixed(Int32ub, GreedyBytes)
@@ -116,28 +117,31 @@
 
 @cache
 def _compiled(kind: int) -> Any:
-    """Return a kind's structure, compiled when it is first needed: a start would wait for all."""
+    """Return the structure of a message kind.
+
+    Structures are compiled on first use: compiling all of them would delay the process start.
+    """
     return _LAYOUTS[_KINDS[kind]].compile()
 
 
-# Compiled construct structures raise the errors of the parts that they are made of.
+# Compiled construct structures also raise the errors of the functions that they call.
 _MALFORMED = (ConstructError, MsgspecError, struct.error, ValueError, LookupError)
 
 
 def encode_messages(batch: Iterable[Message]) -> bytes:
-    """Return the frame that holds the messages in order."""
+    """Return a frame that contains the messages in order."""
     parts: list[bytes] = []
     for message in batch:
         kind = _KIND_OF[type(message)]
-        tail = _tail(message)
-        body = _compiled(kind).build(_fields(message))
+        tail = _encode_tail(message)
+        body = _compiled(kind).build(_body_fields(message))
         head = _FRAME_HEAD.build({"kind": kind, "body_bytes": len(body), "tail_bytes": len(tail)})
         parts += [head, body, tail]
     return b"".join(parts)
 
 
-def _tail(message: Message) -> bytes:
-    """Return the bytes that follow a message's structure."""
+def _encode_tail(message: Message) -> bytes:
+    """Return the bytes that follow the body of a message."""
     match message:
         case messages.AppendRequest():
             return b"".join(_encode_entry(entry) for entry in message.entries)
@@ -148,7 +152,7 @@
 
 
 def decode_messages(frame: bytes) -> list[Message] | Failure:
-    """Return the messages of a frame, or a CORRUPT failure if it is not well formed."""
+    """Return the messages of a frame, or a CORRUPT failure if the frame is malformed."""
     try:
         return [_decode(kind, body, tail) for kind, body, tail in _split_frame(frame)]
     except _MALFORMED as error:
@@ -161,16 +165,16 @@
 
 def _encode_entry(entry: LogEntry) -> bytes:
     if len(entry.payload) <= ENTRY_CACHE_PAYLOAD_BYTES:
-        return _encode_small(entry)
-    return _build_entry(entry)
+        return _encode_entry_cached(entry)
+    return _encode_entry_uncached(entry)
 
 
 @lru_cache(maxsize=ENTRY_CACHE_SIZE)
-def _encode_small(entry: LogEntry) -> bytes:
-    return _build_entry(entry)
+def _encode_entry_cached(entry: LogEntry) -> bytes:
+    return _encode_entry_uncached(entry)
 
 
-def _build_entry(entry: LogEntry) -> bytes:
+def _encode_entry_uncached(entry: LogEntry) -> bytes:
     head = _ENTRY_HEAD.build(
         {
             "index": entry.index,
@@ -184,21 +188,21 @@
 
 
 def _split_frame(frame: bytes) -> Iterator[tuple[int, bytes, bytes]]:
-    """Yield kind, body and tail of each message of a frame."""
+    """Yield the kind, body and tail of each message in a frame."""
     offset = 0
     while offset < len(frame):
         head = _FRAME_HEAD.parse(frame[offset : offset + _FRAME_HEAD_BYTES])
         offset += _FRAME_HEAD_BYTES
-        body = _part(frame, offset, head.body_bytes)
+        body = _read_bytes(frame, offset, head.body_bytes)
         offset += head.body_bytes
-        yield head.kind, body, _part(frame, offset, head.tail_bytes)
+        yield head.kind, body, _read_bytes(frame, offset, head.tail_bytes)
         offset += head.tail_bytes
 
 
-def _part(data: bytes, offset: int, size: int) -> bytes:
+def _read_bytes(data: bytes, offset: int, size: int) -> bytes:
     part = data[offset : offset + size]
     if len(part) < size:
-        raise ValueError(f"{size} bytes announced, {len(part)} are there")
+        raise ValueError(f"expected {size} bytes, found {len(part)}")
     return part
 
 
@@ -213,7 +217,7 @@
             term=head.term,
             kind=EntryKind(head.kind),
             wall_ms=head.wall_ms,
-            payload=_part(blob, offset, head.payload_bytes),
+            payload=_read_bytes(blob, offset, head.payload_bytes),
         )
         entries.append(entry)
         offset += head.payload_bytes
@@ -230,8 +234,8 @@
     }
 
 
-def _fields(message: Message) -> dict[str, Any]:
-    """Return the fields of a message as its layout names them."""
+def _body_fields(message: Message) -> dict[str, Any]:
+    """Return the body fields of a message by their names in its layout."""
     fields = _header_fields(message.header)
     match message:
         case messages.AppendRequest():
--- a/src/leverjunction/consensus/engine.py
+++ b/src/leverjunction/consensus/engine.py
@@ -1,7 +1,8 @@
-"""Carries out the core's effects on a store, without threads or a clock.
+"""Executes the effects of the Raft core on a store, without threads or a clock.
 
-The group replica's driver thread and the simulator run this same engine: they pass in batches of
-events and the time, and get messages and answers through callbacks. A batch shares one sync.
+The driver thread of a group replica and the simulator run the same engine. They pass in batches
+of events and the current time, and receive messages and results through callbacks. All changes
+of a batch are made durable by one sync.
 """
 
 from __future__ import annotations
@@ -54,26 +55,27 @@
 
 APPLY_ENTRIES_PER_STEP = 100
 APPLY_BYTES_PER_STEP = 512 * 1024
-"""Bounds of one step of application: a leader that is busy for longer than its lease loses it."""
+"""Limits of one ``apply_committed`` call: a leader that is busy for longer than its lease loses
+its leadership."""
 
 Outbox = Callable[[str, Message], None]
-"""Takes a message for an address; called in the order in which messages may leave."""
+"""Sends a message to an address; called in the order in which messages may be sent."""
 
 Answer = Callable[[int, bytes | Failure], None]
-"""Takes the result of a proposal or read by its request id."""
+"""Receives the result of the proposal or read with the given request id."""
 
 
 @dataclass
 class EngineCallbacks:
-    """Where the engine's output goes.
+    """Callbacks that receive the engine's output.
 
     Attributes:
-        outbox: Messages to other replicas.
-        answer: Results of proposals and reads.
+        outbox: Sends messages to other replicas.
+        answer: Receives results of proposals and reads.
         changed_role: Called after this replica became leader or stepped down.
-        repaired: Called when a repair is done and committed.
-        majority_lost: Called when too many voters are lost for any election to end.
-        listener: Told after commands were applied or a snapshot was installed.
+        repaired: Called when the replacement of a lost replica is committed.
+        majority_lost: Called when too many voters are lost for any election to succeed.
+        listener: Called after commands were applied or a snapshot was installed.
     """
 
     outbox: Outbox
@@ -85,7 +87,7 @@
 
 
 class ReplicaEngine:
-    """One replica: core, store and state machine. Not thread-safe; one driver calls it."""
+    """One replica: core, store and state machine. Not thread-safe: a single driver calls it."""
 
     def __init__(
         self,
@@ -97,16 +99,16 @@
         callbacks: EngineCallbacks,
         core_type: type[RaftCore] = RaftCore,
     ) -> None:
-        """Load the store and start as follower, learner or blank.
+        """Load the store and start as a follower, a learner or a blank replica.
 
         Args:
             config: Settings of the replica.
-            machine: Applied to committed entries, on the store's connection.
+            machine: State machine that applies committed entries on the store's connection.
             store: Opened store.
             random: Source of timeouts and nonces.
             now_s: Monotonic time, in seconds.
-            callbacks: Where output goes.
-            core_type: The core; a testbed may pass one with a rule broken.
+            callbacks: Receive the engine's output.
+            core_type: Class of the core; a testbed may pass one that breaks a protocol rule.
 
         Raises:
             StoreCorruptError: The store's data does not match its checksums.
@@ -120,26 +122,30 @@
         self.applied_index = self.core.applied_index
         self._now_s = now_s
         self._requests = RequestTable(callbacks.answer)
-        self._notice = ChangeNotice(config.group, callbacks.listener)
+        self._change_notifier = ChangeNotice(config.group, callbacks.listener)
         self._snapshot_sender = SnapshotSender(
             store.connection, config.snapshot_chunk_bytes, random
         )
-        self._stage = SnapshotStage(store.connection)
-        self._due: deque[Effect] = deque()
-        self._running = False
-        self._held: list[Send] = []
+        self._snapshot_stage = SnapshotStage(store.connection)
+        self._pending_effects: deque[Effect] = deque()
+        self._executing = False
+        self._held_sends: list[Send] = []
         self._unsynced = False
         self._hard_state_unsynced = False
 
     def step(self, events: Sequence[Event], now_s: float) -> None:
-        """Handle a batch of events and make its changes durable by one sync.
+        """Handle a batch of events and make its changes durable with one sync.
 
-        Messages that must wait for the sync leave at the end. Call ``apply_committed`` next.
+        Messages that depend on the sync are sent after it. Call ``apply_committed`` next.
+
+        Args:
+            events: Events in order of arrival.
+            now_s: Monotonic time, in seconds.
         """
         self._now_s = now_s
         self.core.begin_step(now_s)
-        # Answers first: they may renew the lease that the other events are judged by.
-        for event in sorted(events, key=_is_no_answer):
+        # Peers' replies come first: they may renew the lease that decides about the other events.
+        for event in sorted(events, key=_cannot_renew_lease):
             self._execute_all(self.core.handle(event, now_s))
         self._execute_all(self.core.handle(Flush(), now_s))
         self._resend_snapshot()
@@ -149,13 +155,13 @@
         self._send_held()
 
     def apply_committed(self) -> bool:
-        """Apply some committed entries, answer what waited for them and tell the listener.
+        """Apply a bounded number of committed entries, answer their callers, notify the listener.
 
-        Their transaction stays open and is committed with the next batch: what is applied can
-        be applied again from the log.
+        The transaction stays open and is committed with the next batch: after a crash the entries
+        are applied again from the log.
 
         Returns:
-            True when more committed entries wait.
+            True when further committed entries are waiting to be applied.
         """
         first = self.applied_index + 1
         if self.core.commit_index >= first:
@@ -166,38 +172,38 @@
             self.store.put_applied(self.applied_index)
             self._execute_all(self.core.handle(Applied(self.applied_index), self._now_s))
         self._answer_reads()
-        self._notice.tell()
+        self._change_notifier.tell()
         return self.core.commit_index > self.applied_index
 
     def commit_idle(self) -> None:
-        """Commit an open transaction that no batch has come to commit."""
+        """Commit the transaction that ``apply_committed`` left open, when no batch follows."""
         if self.store.connection.in_transaction:
             self._sync()
 
     def query_local(self, query: bytes) -> bytes:
-        """Answer a read from the applied state."""
+        """Run a query on the applied state, which may be stale."""
         return self._machine.query(self.store.connection, query)
 
     def _execute_all(self, effects: Sequence[Effect]) -> None:
-        """Carry effects out, in the order in which the core gave them.
+        """Execute effects in the order in which the core returned them.
 
-        Some make the engine hand the core another event. What follows from that waits for what
-        was given before: it may name entries that are still to be written.
+        Executing an effect may pass another event to the core. The effects of that event are
+        queued behind the earlier ones, because they may refer to entries not yet written.
         """
-        self._due.extend(effects)
-        if self._running:
+        self._pending_effects.extend(effects)
+        if self._executing:
             return
-        self._running = True
-        while self._due:
-            self._carry_out(self._due.popleft())
-        self._running = False
+        self._executing = True
+        while self._pending_effects:
+            self._execute(self._pending_effects.popleft())
+        self._executing = False
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Send():
                 self._send_or_hold(effect)
             case SendEntries():
-                self._send_or_hold(self._filled(effect))
+                self._send_or_hold(self._with_entries(effect))
             case AppendEntries():
                 self.store.append(effect.entries)
                 self._unsynced = True
@@ -221,13 +227,13 @@
             case CompactLog():
                 self.store.compact(effect.base, effect.configuration)
             case StoreChunk():
-                self._store_chunk(effect.chunk)
+                self._store_snapshot_chunk(effect.chunk)
             case Commit():
                 pass  # apply_committed reads the commit index from the core.
             case _:
-                self._carry_out_rare(effect)
+                self._execute_rare(effect)
 
-    def _carry_out_rare(self, effect: Effect) -> None:
+    def _execute_rare(self, effect: Effect) -> None:
         match effect:
             case BecameLeader():
                 self._callbacks.changed_role(effect)
@@ -241,20 +247,20 @@
                 self._callbacks.majority_lost(effect)
             case StartSnapshot():
                 self._snapshot_sender.start(effect.replica_id, effect.address, self._now_s)
-                self._send_chunk()
+                self._send_snapshot_chunk()
             case SnapshotAnswered():
                 self._snapshot_answered(effect)
 
     def _send_or_hold(self, effect: Send) -> None:
-        """Let a message go at once if it may, else keep it until the sync."""
+        """Send a message now if it need not wait for a sync, else hold it until after the sync."""
         early = not effect.after_sync and not self._hard_state_unsynced
         if early or not self._unsynced:
             self._callbacks.outbox(effect.address, effect.message)
         else:
-            self._held.append(effect)
+            self._held_sends.append(effect)
 
-    def _filled(self, effect: SendEntries) -> Send:
-        """Return the message with the entries that it names."""
+    def _with_entries(self, effect: SendEntries) -> Send:
+        """Return the append request with its entries read from the store."""
         request = effect.request
         filled = AppendRequest(
             header=request.header,
@@ -271,24 +277,24 @@
         self._hard_state_unsynced = False
 
     def _send_held(self) -> None:
-        held, self._held = self._held, []
+        held, self._held_sends = self._held_sends, []
         for effect in held:
             self._callbacks.outbox(effect.address, effect.message)
 
     def _apply(self, entry: LogEntry) -> None:
-        """Apply one entry; its answer goes to the proposer if it waits here."""
+        """Apply one entry and answer its proposer, if the caller is waiting on this replica."""
         reply = b""
         if entry.kind is EntryKind.COMMAND:
             reply = self._apply_command(entry)
-            self._notice.note_applied()
+            self._change_notifier.note_applied()
         self.applied_index = entry.index
         self._requests.applied(entry.index, entry.term, reply)
 
     def _apply_command(self, entry: LogEntry) -> bytes:
-        """Apply a command; one that the state machine cannot take changes nothing anywhere.
+        """Apply a command; one that the state machine rejects changes nothing on any replica.
 
-        A fault of the database or the machine (no space, damage) is not the command's and is
-        raised: replicas would differ if it were answered as a result.
+        A fault of the database or the host (disk full, damaged file) is raised: it occurs on this
+        replica only, so treating it as a rejected command would make the replicas diverge.
         """
         context = ApplyContext(index=entry.index, term=entry.term, wall_ms=entry.wall_ms)
         connection = self.store.connection
@@ -300,14 +306,14 @@
             if is_environment_error(error):
                 raise
             logger.error(
-                "group {}: entry {} of term {} changes nothing, the state machine raised {!r}",
+                "group {}: entry {} of term {} was rolled back: the state machine raised {!r}",
                 self.config.group,
                 entry.index,
                 entry.term,
                 error,
             )
             connection.execute("ROLLBACK TO entry")
-            reply = encode_reply(_rejected(error))
+            reply = encode_reply(_apply_failure(error))
         connection.execute("RELEASE entry")
         return reply
 
@@ -316,51 +322,51 @@
             self._callbacks.answer(request_id, self.query_local(query))
 
     def add_read(self, request_id: int, query: bytes) -> None:
-        """Keep a read's query until the core lets it be answered."""
+        """Store the query of a read until the core reports that it may be answered."""
         self._requests.add_read(request_id, query)
 
     def forget(self, request_id: int) -> None:
-        """Drop a request whose caller has given up."""
+        """Drop a request whose caller timed out."""
         self._requests.forget(request_id)
 
-    def _store_chunk(self, chunk: SnapshotChunk) -> None:
+    def _store_snapshot_chunk(self, chunk: SnapshotChunk) -> None:
         self.store.begin()
         if chunk.number == 0:
-            self._stage.begin()
-        self._stage.store(chunk.data)
+            self._snapshot_stage.begin()
+        self._snapshot_stage.store(chunk.data)
         self._unsynced = True
         if chunk.final is not None:
-            self._install(chunk)
+            self._install_snapshot(chunk)
 
-    def _install(self, chunk: SnapshotChunk) -> None:
-        """Swap the received tables in, together with the log's new start."""
+    def _install_snapshot(self, chunk: SnapshotChunk) -> None:
+        """Replace the tables and the log with the received snapshot, in one transaction."""
         assert chunk.final is not None
-        self._stage.install()
+        self._snapshot_stage.install()
         self._machine.create_tables(self.store.connection)
         self.store.reset_log(chunk.header.founding_id, chunk.final, chunk.configuration)
         self._sync()
         self.applied_index = chunk.final.index
-        self._notice.note_replaced()
-        self._requests.skipped_to(chunk.final.index)
+        self._change_notifier.note_replaced()
+        self._requests.snapshot_installed(chunk.final.index)
         event = SnapshotInstalled(
             position=chunk.final, configuration=chunk.configuration, chunk=chunk
         )
         self._execute_all(self.core.handle(event, self._now_s))
 
-    def _send_chunk(self) -> None:
+    def _send_snapshot_chunk(self) -> None:
         chunk = self._snapshot_sender.next_chunk(self.core, self.applied_index, self._now_s)
         self._callbacks.outbox(self._snapshot_sender.address, chunk)
 
     def _snapshot_answered(self, effect: SnapshotAnswered) -> None:
         outcome = self._snapshot_sender.handle_answer(effect)
         if outcome.send_next:
-            self._send_chunk()
+            self._send_snapshot_chunk()
         if outcome.ended is not None:
             self._snapshot_sender.stop()
             self._execute_all(self.core.handle(outcome.ended, self._now_s))
 
     def _resend_snapshot(self) -> None:
-        """Repeat a chunk that was not answered, or give the transfer up."""
+        """Resend an unanswered chunk, or abort the transfer when the receiver stays silent."""
         chunk = self._snapshot_sender.overdue_chunk(self._now_s)
         if chunk is not None:
             self._callbacks.outbox(self._snapshot_sender.address, chunk)
@@ -370,11 +376,11 @@
             self._execute_all(self.core.handle(ended, self._now_s))
 
 
-def _is_no_answer(event: Event) -> bool:
+def _cannot_renew_lease(event: Event) -> bool:
     return not is_answer_to_leader(event)
 
 
-def _rejected(error: Exception) -> Failure:
+def _apply_failure(error: Exception) -> Failure:
     return Failure(
         kind=FailureKind.INTERNAL,
         reason=f"the state machine did not take the command: {error!r}",
--- a/src/leverjunction/consensus/group.py
+++ b/src/leverjunction/consensus/group.py
@@ -1,8 +1,9 @@
-"""One replica of one consensus group as a process runs it.
+"""One replica of a consensus group, run by a process.
 
-One driver thread owns the engine: it gathers what callers and peers bring while the last batch
-was synced, handles it as one batch with one sync, then applies. One sender thread a peer. A call
-from a peer waits until its messages are handled and carries the replies back.
+A driver thread owns the engine. It collects the requests and messages that arrived during the
+previous sync, handles them as one batch with one sync, and then applies committed entries. Each
+peer has a sender thread, and a second one once a large message is sent to it. A call from a peer
+blocks until its messages are handled and returns the replies.
 """
 
 from __future__ import annotations
@@ -34,14 +35,14 @@
     Tick,
     TransferLeadership,
 )
-from leverjunction.consensus.inbox import Inbox, PeerCall, Ticket
+from leverjunction.consensus.inbox import Inbox, PeerCall, PendingResult
 from leverjunction.consensus.messages import Message
 from leverjunction.consensus.notice import Listener, nobody_listens
 from leverjunction.consensus.status import status_of, stopped_status, unknown_status
 from leverjunction.consensus.store_faults import (
     StoreCorruptError,
     corrupt_failure,
-    failure_of,
+    stopped_failure,
 )
 from leverjunction.consensus.store_recovery import open_or_rejoin
 from leverjunction.consensus.transport import PeerSender, RaftTransport
@@ -55,7 +56,7 @@
 
 
 class GroupReplica:
-    """Implements ``ReplicatedGroup`` on an engine. Safe to call from any thread."""
+    """Implements ``ReplicatedGroup`` with an engine and a driver thread. Thread-safe."""
 
     def __init__(
         self,
@@ -68,18 +69,19 @@
         silent_since_s: float | None = None,
         listener: Listener = nobody_listens,
     ) -> None:
-        """Prepare a replica; ``start`` opens its file.
+        """Create a replica without opening its file; see ``start``.
 
         Args:
             config: Settings of the replica.
             machine: State machine of the group.
-            transport: Carries messages to peers.
+            transport: Sends messages to peers.
             clock: Source of time.
             random: Source of ids, timeouts and nonces; used by this replica only.
-            core_type: The core; a testbed may pass one with a rule broken.
-            silent_since_s: Monotonic time since which no replica of this file has answered a
-                peer, such as the start of this process; None: its own start.
-            listener: Told, under the replica's lock, that the tables have changed.
+            core_type: Class of the core; a testbed may pass one that breaks a protocol rule.
+            silent_since_s: Monotonic time, in seconds, since which no replica on this file has
+                answered a peer, such as the start of this process. None means the time at which
+                this replica starts.
+            listener: Called with the replica's lock held after the tables have changed.
         """
         self.config = config
         self._machine = machine
@@ -92,9 +94,9 @@
         self._lock = threading.Lock()
         self._inbox = Inbox()
         self._request_ids = itertools.count(1)
-        self._tickets: dict[int, Ticket] = {}
+        self._pending_results: dict[int, PendingResult] = {}
         self._senders: dict[str, PeerSender] = {}
-        self._calls_by_peer: dict[str, PeerCall] = {}
+        self._open_peer_calls: dict[str, PeerCall] = {}
         self._engine: ReplicaEngine | None = None
         self._thread: threading.Thread | None = None
         self._stop_requested = False
@@ -106,8 +108,8 @@
         """Open the replica's file and start its threads.
 
         Returns:
-            None; or the CORRUPT failure of a damaged file, in which case nothing was started and
-            every call answers with this failure.
+            None on success. For a damaged file, a CORRUPT failure: no thread is started, and
+            every call returns this failure.
         """
         self._fault = self._open()
         if self._fault is not None:
@@ -119,12 +121,12 @@
         return None
 
     def _open(self) -> Failure | None:
-        """Make the engine on the replica's file."""
+        """Open the replica's file and create the engine on it."""
         store = open_or_rejoin(self.config, self._random)
         if isinstance(store, Failure):
             return store
         callbacks = EngineCallbacks(
-            outbox=self._post,
+            outbox=self._send,
             answer=self._answer,
             changed_role=self._role_changed,
             repaired=self._repair_done,
@@ -142,17 +144,17 @@
                 self._core_type,
             )
         except StoreCorruptError as error:
-            store.abandon()
+            store.close_without_commit()
             return corrupt_failure(self.config.data_path, str(error))
         if self._silent_since_s is not None:
             self._engine.core.silent_since(self._silent_since_s)
         return None
 
     def stop(self) -> None:
-        """Hand leadership over if held, then stop the threads and close the file."""
+        """Transfer leadership if this replica leads, stop the threads and close the file."""
         if self._thread is None or self._engine is None:
             return
-        self._hand_over()
+        self._transfer_leadership()
         self._stop_requested = True
         self._inbox.wake()
         self._thread.join(STOP_TIMEOUT_S)
@@ -163,39 +165,44 @@
         with self._lock:
             if self._fault is None:
                 self._engine.store.close()
-            self._fault = self._fault or _stopping()
+            self._fault = self._fault or _stopping_failure()
         self._fail_all(self._fault)
 
     def propose(self, command: bytes, timeout_s: float) -> bytes | Failure:
         """Replicate a command and return its reply (see ``ReplicatedGroup``)."""
-        ticket, request_id = self._new_ticket()
+        pending_result, request_id = self._register_request()
         proposal = Propose(request_id=request_id, payload=command, wall_ms=self._clock.wall_ms())
         self._inbox.put_proposal(proposal)
-        return self._wait(ticket, request_id, timeout_s, Execution.UNKNOWN)
+        return self._wait(pending_result, request_id, timeout_s, Execution.UNKNOWN)
 
     def query(self, query: bytes, timeout_s: float) -> bytes | Failure:
-        """Answer a linearizable read (see ``ReplicatedGroup``)."""
-        ticket, request_id = self._new_ticket()
+        """Run a linearizable query (see ``ReplicatedGroup``)."""
+        pending_result, request_id = self._register_request()
         self._inbox.put_read(Read(request_id=request_id), query)
-        return self._wait(ticket, request_id, timeout_s, Execution.NOT_RUN)
+        return self._wait(pending_result, request_id, timeout_s, Execution.NOT_RUN)
 
     def query_local(self, query: bytes) -> bytes:
-        """Answer from this replica's applied state, which may lag.
+        """Run a query on this replica's applied state, which may be stale.
 
-        The reply carries a failure when the replica is not running: then it has no state.
+        The reply is an encoded failure when the replica is not running.
         """
         with self._lock:
             if self._engine is None or self._fault is not None:
-                return encode_reply(self._fault or _stopping())
+                return encode_reply(self._fault or _stopping_failure())
             return self._engine.query_local(query)
 
     def change_members(self, addresses: list[str], timeout_s: float) -> bytes | Failure:
-        """Set the addresses that shall hold the voters; the leader works towards it.
+        """Set the target addresses of the voters; the leader then changes the membership.
+
+        Args:
+            addresses: RPC addresses that should host the voters.
+            timeout_s: Longest time to wait for the target to be committed, in seconds.
 
         Returns:
-            Empty bytes once the target is committed (``status`` shows the progress); or a failure.
+            Empty bytes once the target is committed, or a failure. ``status`` shows the progress
+            of the membership change.
         """
-        ticket, request_id = self._new_ticket()
+        pending_result, request_id = self._register_request()
         self._inbox.put(
             ChangeTarget(
                 request_id=request_id,
@@ -203,10 +210,10 @@
                 wall_ms=self._clock.wall_ms(),
             )
         )
-        return self._wait(ticket, request_id, timeout_s, Execution.UNKNOWN)
+        return self._wait(pending_result, request_id, timeout_s, Execution.UNKNOWN)
 
     def receive(self, body: bytes) -> bytes:
-        """Handle a peer's call and return the encoded replies (empty when there are none)."""
+        """Handle the messages of a peer's call and return the encoded replies, empty if none."""
         batch = decode_messages(body)
         if isinstance(batch, Failure) or not batch or self._fault is not None:
             return b""
@@ -216,11 +223,11 @@
         return encode_messages(call.replies())
 
     def receive_snapshot(self, body: bytes) -> bytes:
-        """Handle a peer's snapshot chunk; they come by the same path as other messages."""
+        """Handle a peer's snapshot chunk in the same way as any other message."""
         return self.receive(body)
 
     def status(self) -> GroupStatus:
-        """Return what this replica knows of its group."""
+        """Return this replica's view of its group."""
         with self._lock:
             if self._engine is None:
                 return unknown_status(self.config)
@@ -228,34 +235,34 @@
             return status if self._fault is None else stopped_status(status)
 
     def fault(self) -> Failure | None:
-        """Return why this replica serves nothing, or None while it runs."""
+        """Return the failure that stopped this replica, or None while it runs."""
         return self._fault
 
     def repairs(self) -> list[RepairDone]:
-        """Return the repairs that this replica has seen committed, oldest first."""
+        """Return the repairs that were reported as committed on this replica, oldest first."""
         return list(self._repairs)
 
     def _drive(self) -> None:
-        """Run the engine until asked to stop (driver thread)."""
+        """Run the engine until ``stop`` is called (driver thread)."""
         try:
             more = False
             while not self._stop_requested:
                 more = self._drive_once(more)
         except Exception as error:
-            logger.exception("group {} stops serving", self.config.group)
-            self._fault = failure_of(self.config.data_path, error)
+            logger.exception("group {} stopped serving after an error", self.config.group)
+            self._fault = stopped_failure(self.config.data_path, error)
             self._fail_all(self._fault)
             with self._lock:
                 if self._engine is not None:
-                    self._engine.store.abandon()
+                    self._engine.store.close_without_commit()
 
     def _drive_once(self, more: bool) -> bool:
-        """Handle one batch; return whether committed entries still wait to be applied."""
+        """Handle one batch; return whether committed entries are still waiting to be applied."""
         engine = self._engine
         assert engine is not None
         deadline_s = engine.core.next_deadline_s()
-        pause_s = 0.0 if more else deadline_s - self._clock.monotonic_s()
-        batch = self._inbox.take(pause_s)
+        wait_s = 0.0 if more else deadline_s - self._clock.monotonic_s()
+        batch = self._inbox.take(wait_s)
         now_s = self._clock.monotonic_s()
         events: list[Event] = batch.events
         if now_s >= deadline_s:
@@ -263,29 +270,29 @@
         with self._lock:
             for request_id, query in batch.reads:
                 engine.add_read(request_id, query)
-            self._calls_by_peer = {call.address: call for call in batch.calls}
+            self._open_peer_calls = {call.address: call for call in batch.calls}
             if events:
                 engine.step(events, now_s)
                 metrics.BATCHES.labels(self.config.group).inc()
-            self._calls_by_peer = {}
+            self._open_peer_calls = {}
             for call in batch.calls:
                 call.done()
             more = engine.apply_committed()
-            if not batch.requests_work and not more:
+            if not batch.has_events and not more:
                 engine.commit_idle()
-            self._note_step(now_s, deadline_s)
+            self._record_step_time(now_s, deadline_s)
         metrics.APPLIED_INDEX.labels(self.config.group).set(engine.applied_index)
         return more
 
-    def _note_step(self, begun_s: float, deadline_s: float) -> None:
-        """Have the core know by how much this step, and a late start of it, held up what came."""
+    def _record_step_time(self, begun_s: float, deadline_s: float) -> None:
+        """Report to the core how long this step, and its late start, delayed incoming events."""
         assert self._engine is not None
         now_s = self._clock.monotonic_s()
         self._engine.core.slow_steps.note(now_s, now_s - min(begun_s, deadline_s))
 
-    def _post(self, address: str, message: Message) -> None:
-        """Send a message, in the answer to the peer's own call if one is being handled."""
-        call = self._calls_by_peer.get(address)
+    def _send(self, address: str, message: Message) -> None:
+        """Send a message, as part of the reply if a call from that peer is being handled."""
+        call = self._open_peer_calls.get(address)
         if call is not None:
             call.add(message)
             return
@@ -303,43 +310,43 @@
     def _peer_gone(self, event: PeerGone) -> None:
         self._inbox.put(event)
 
-    def _new_ticket(self) -> tuple[Ticket, int]:
+    def _register_request(self) -> tuple[PendingResult, int]:
         request_id = next(self._request_ids)
-        ticket = Ticket()
-        self._tickets[request_id] = ticket
-        return ticket, request_id
+        pending_result = PendingResult()
+        self._pending_results[request_id] = pending_result
+        return pending_result, request_id
 
     def _answer(self, request_id: int, result: bytes | Failure) -> None:
-        ticket = self._tickets.pop(request_id, None)
-        if ticket is not None:
-            ticket.resolve(result)
+        pending_result = self._pending_results.pop(request_id, None)
+        if pending_result is not None:
+            pending_result.resolve(result)
 
     def _wait(
-        self, ticket: Ticket, request_id: int, timeout_s: float, execution: Execution
+        self, pending_result: PendingResult, request_id: int, timeout_s: float, execution: Execution
     ) -> bytes | Failure:
         if self._fault is not None:
             self._answer(request_id, self._fault)
-        result = ticket.wait(timeout_s)
+        result = pending_result.wait(timeout_s)
         if result is not None:
             return result
-        self._tickets.pop(request_id, None)
+        self._pending_results.pop(request_id, None)
         engine = self._engine
         if engine is not None:
             with self._lock:
                 engine.forget(request_id)
-        return _timed_out(timeout_s, execution)
+        return _timeout_failure(timeout_s, execution)
 
     def _fail_all(self, failure: Failure) -> None:
-        for request_id in list(self._tickets):
+        for request_id in list(self._pending_results):
             self._answer(request_id, failure)
 
     def _role_changed(self, effect: BecameLeader | SteppedDown) -> None:
         leads = isinstance(effect, BecameLeader)
-        metrics.LEADS.labels(self.config.group).set(1 if leads else 0)
+        metrics.IS_LEADER.labels(self.config.group).set(1 if leads else 0)
         if isinstance(effect, SteppedDown):
-            logger.info("group {} lost the lead: {}", self.config.group, effect.reason)
+            logger.info("group {} lost leadership: {}", self.config.group, effect.reason)
         else:
-            logger.info("group {} leads term {}", self.config.group, effect.term)
+            logger.info("group {} became leader in term {}", self.config.group, effect.term)
         with self._leadership_changed:
             self._leadership_changed.notify_all()
 
@@ -347,7 +354,7 @@
         metrics.REPAIRS.labels(self.config.group).inc()
         self._repairs.append(repair)
         logger.info(
-            "group {} repaired: replica {} at {} replaces {}",
+            "group {}: replica {} at {} replaced lost replica {}",
             self.config.group,
             repair.new_id,
             repair.address,
@@ -356,15 +363,15 @@
 
     def _majority_lost(self, event: MajorityLost) -> None:
         logger.error(
-            "group {} has lost the disks of a majority: other replicas live at {}. It elects no "
-            "leader and serves nothing until an operator starts it over: see "
-            "docs/operators/durable-state.md, 'A quorum is lost'",
+            "group {} has lost the disks of a majority of its voters: new replicas answer at {}. "
+            "It cannot elect a leader and serves no requests until an operator founds it again; "
+            "see docs/operators/durable-state.md, 'A quorum is lost'",
             self.config.group,
             ", ".join(event.lost),
         )
 
-    def _hand_over(self) -> None:
-        """Before a planned stop, let another voter lead, so that callers see no gap."""
+    def _transfer_leadership(self) -> None:
+        """Transfer leadership to another voter, so that a planned stop causes no leaderless gap."""
         engine = self._engine
         assert engine is not None
         if engine.core.role is not Role.LEADER or len(engine.core.configuration.voter_ids()) < 2:
@@ -377,14 +384,14 @@
 
 
 def start_replica(replica: GroupReplica) -> Failure | None:
-    """Start a replica; a disk that refuses to be read or written is a fault like any other."""
+    """Start a replica; return a failure if its file cannot be opened, read or written."""
     try:
         return replica.start()
     except (OSError, sqlite3.Error) as error:
-        return failure_of(replica.config.data_path, error)
+        return stopped_failure(replica.config.data_path, error)
 
 
-def _timed_out(timeout_s: float, execution: Execution) -> Failure:
+def _timeout_failure(timeout_s: float, execution: Execution) -> Failure:
     return Failure(
         kind=FailureKind.TIMEOUT,
         reason=f"no quorum answered within {timeout_s:g} s",
@@ -393,10 +400,10 @@
     )
 
 
-def _stopping() -> Failure:
+def _stopping_failure() -> Failure:
     return Failure(
         kind=FailureKind.STOPPING,
-        reason="this process is stopping; ask another",
+        reason="this process is stopping; send the request to another process",
         step=Step.STOPPING,
         execution=Execution.UNKNOWN,
     )
--- a/src/leverjunction/consensus/inbox.py
+++ b/src/leverjunction/consensus/inbox.py
@@ -1,4 +1,4 @@
-"""What callers and peers have brought since the driver's last batch, and how they wait."""
+"""Queue of requests and messages for a replica's driver, and handles on which callers wait."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from leverjunction.consensus.messages import Message
 from leverjunction.errors import Failure
 
-LONGEST_PAUSE_S = 1.0
-BATCH_PROPOSED_BYTES = 4 * 1024 * 1024
-"""Bound of the proposals in one batch, so that its sync stays far below a leader's lease."""
+MAX_WAIT_S = 1.0
+MAX_BATCH_PROPOSAL_BYTES = 4 * 1024 * 1024
+"""Limit of the proposals in one batch, which keeps its sync far shorter than a leader's lease. The
+last proposal of a batch may exceed it."""
 
 
-class Ticket:
-    """A caller's place to wait for one result."""
+class PendingResult:
+    """The result of one request, on which its caller waits."""
 
     def __init__(self) -> None:
         self._resolved = threading.Event()
@@ -29,13 +30,13 @@
         self._resolved.set()
 
     def wait(self, timeout_s: float) -> bytes | Failure | None:
-        """Return the result, or None after ``timeout_s``."""
+        """Return the result, or None when it is not set within ``timeout_s`` seconds."""
         self._resolved.wait(timeout_s)
         return self._result
 
 
 class PeerCall:
-    """A peer's call that waits for the replies to its messages."""
+    """A call from a peer, which waits for the replies to its messages."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -47,26 +48,26 @@
         self._replies.append(message)
 
     def done(self) -> None:
-        """Let the call return (driver thread)."""
+        """Mark all messages as handled, so that the call returns (driver thread)."""
         self._done.set()
 
     def wait(self, timeout_s: float) -> None:
-        """Wait until the messages are handled."""
+        """Wait up to ``timeout_s`` seconds until the messages are handled."""
         self._done.wait(timeout_s)
 
     def replies(self) -> list[Message]:
-        """Return the replies, none while the messages are still being handled."""
+        """Return the replies, or an empty list while the messages are still being handled."""
         return self._replies if self._done.is_set() else []
 
 
 @dataclass
 class InboxBatch:
-    """All that came in since the last batch.
+    """Events, reads and calls that arrived since the previous batch.
 
     Attributes:
         events: Events for the core, in order of arrival.
-        reads: Request id and query of each read among them.
-        calls: Peers' calls whose messages are among them.
+        reads: Request id and query of each read in ``events``.
+        calls: Calls from peers whose messages are in ``events``.
     """
 
     events: list[Event] = field(default_factory=list)
@@ -74,13 +75,13 @@
     calls: list[PeerCall] = field(default_factory=list)
 
     @property
-    def requests_work(self) -> bool:
-        """True when something came in, so the next batch is probably close."""
+    def has_events(self) -> bool:
+        """True when the batch contains events; another batch is then likely to follow soon."""
         return bool(self.events)
 
 
 class Inbox:
-    """Thread-safe queue that the driver empties as a whole."""
+    """Thread-safe queue from which the driver takes all events and a limited size of proposals."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -93,13 +94,13 @@
         self.put_all([event])
 
     def put_proposal(self, proposal: Propose) -> None:
-        """Add a proposal; it may wait for a later batch than what comes after it."""
+        """Add a proposal; it may be taken in a later batch than events that are added after it."""
         with self._changed:
             self._proposals.append(proposal)
             self._changed.notify()
 
     def put_all(self, events: Sequence[Event]) -> None:
-        """Add events that belong together."""
+        """Add several events that are taken in the same batch."""
         with self._changed:
             self._batch.events.extend(events)
             self._changed.notify()
@@ -119,17 +120,17 @@
             self._changed.notify()
 
     def wake(self) -> None:
-        """Let ``take`` return at once."""
+        """Make the current or next call of ``take`` return without waiting."""
         with self._changed:
             self._woken = True
             self._changed.notify()
 
-    def take(self, pause_s: float) -> InboxBatch:
-        """Wait up to ``pause_s`` for something to come in; return it, proposals up to a bound."""
+    def take(self, wait_s: float) -> InboxBatch:
+        """Wait up to ``wait_s`` seconds for input and return it, with proposals up to the limit."""
         with self._changed:
             idle = not self._batch.events and not self._proposals and not self._woken
-            if idle and pause_s > 0:
-                self._changed.wait(min(pause_s, LONGEST_PAUSE_S))
+            if idle and wait_s > 0:
+                self._changed.wait(min(wait_s, MAX_WAIT_S))
             batch, self._batch = self._batch, InboxBatch()
             batch.events.extend(self._take_proposals())
             self._woken = False
@@ -138,7 +139,7 @@
     def _take_proposals(self) -> list[Propose]:
         taken: list[Propose] = []
         taken_bytes = 0
-        while self._proposals and taken_bytes < BATCH_PROPOSED_BYTES:
+        while self._proposals and taken_bytes < MAX_BATCH_PROPOSAL_BYTES:
             taken.append(self._proposals.popleft())
             taken_bytes += len(taken[-1].payload)
         return taken
--- a/src/leverjunction/consensus/metrics.py
+++ b/src/leverjunction/consensus/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the consensus groups of this process."""
+"""Metrics of the consensus groups of this process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 APPLIED_INDEX = Gauge(
     "leverjunction_consensus_applied_index", "Highest log index applied here", ["group"]
 )
-LEADS = Gauge("leverjunction_consensus_leads", "1 while this replica leads its group", ["group"])
+IS_LEADER = Gauge(
+    "leverjunction_consensus_leads", "1 while this replica leads its group", ["group"]
+)
 REPAIRS = Counter(
     "leverjunction_consensus_repairs_total",
     "Lost replicas replaced, as seen by this replica",
--- a/src/leverjunction/consensus/repair_reports.py
+++ b/src/leverjunction/consensus/repair_reports.py
@@ -1,9 +1,10 @@
-"""Repairs that are committed and not yet reported: pure, asked and told by the core.
+"""Repairs that are committed and not yet reported. Pure logic without I/O, called by the core.
 
-A replica that crashes before it has applied a repair durably learns once more that it is committed,
-perhaps after the repaired machine lost its disk again. Its report would then be taken for that of
-the second loss, and the next machine be touched while two of three disks are gone. So a repair is
-reported only once the replica that it names has answered from its address.
+A repair replaces a replica that lost its disk with a new one at the same address. A replica that
+crashes before it durably applied a repair learns a second time that the repair is committed,
+possibly after the repaired machine lost its disk again. That late report would be mistaken for the
+end of the second repair, and the next machine could be taken down while two of three disks are
+lost. A repair is therefore reported only after the new replica has answered from its address.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class RepairReports:
-    """Holds each repair back until the new replica answers or turns out to be lost again."""
+    """Delays each report until the new replica answers; drops it if that replica is lost again."""
 
     __slots__ = ("_asked_in_term", "_by_address")
 
@@ -22,12 +23,12 @@
         self._asked_in_term = 0
 
     def committed(self, repair: RepairDone, term: int) -> None:
-        """Take in a repair whose configuration is committed; ``term`` is the current one."""
+        """Add a repair whose configuration is committed; ``term`` is the current term."""
         self._by_address[repair.address] = repair
         self._asked_in_term = term
 
     def addresses(self, configuration: Configuration) -> list[str]:
-        """Return the addresses to ask, without those whose new replica was dropped meanwhile."""
+        """Return the addresses to query; drop repairs whose new replica is no longer a member."""
         members = {member.replica_id for member in configuration.members}
         self._by_address = {
             address: repair
@@ -37,9 +38,10 @@
         return list(self._by_address)
 
     def answered(self, address: str, replica_id: str, term: int) -> RepairDone | None:
-        """Return the repair to report, if the replica that answers is the one that it names.
+        """Return the repair to report if the answering replica is the new replica of a repair.
 
-        An answer of an earlier term is older than the question and says nothing.
+        If another replica answers from the address, the repair is dropped. An answer with a term
+        before that of the query is ignored.
         """
         repair = self._by_address.get(address)
         if repair is None:
--- a/src/leverjunction/consensus/schema.py
+++ b/src/leverjunction/consensus/schema.py
@@ -1,4 +1,4 @@
-"""What the state machines of all groups do alike."""
+"""Helpers shared by the state machines of all groups."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def create_missing_tables(connection: sqlite3.Connection, script: str) -> None:
-    """Run the statements of a script, each inside the transaction that may be open.
+    """Run the statements of a script without committing an open transaction.
 
-    ``executescript`` would commit it.
+    ``executescript`` would commit it. A statement must not contain a semicolon.
     """
     for statement in script.split(";"):
         if statement.strip():
@@ -20,5 +20,5 @@
 
 
 def decode_failure(group: str, error: msgspec.MsgspecError, step: Step) -> Failure:
-    """Return the failure of a command or query that is none of a group's."""
+    """Return the failure of a command or query that does not decode as one of the group's."""
     return Failure(kind=FailureKind.CORRUPT, reason=f"not for group {group}: {error}", step=step)
--- a/src/leverjunction/consensus/snapshot.py
+++ b/src/leverjunction/consensus/snapshot.py
@@ -1,12 +1,13 @@
 """Snapshots of the state machine's tables, streamed as rows while the tables keep changing.
 
-The sender walks the ``sm_`` tables page by page. Temporary triggers note which rows change
-meanwhile; after the walk these rows are sent again, and the last part is cut between two applied
-entries, so the whole stands for exactly one position. Nothing is copied aside and writes go on.
-The receiver fills ``stage_`` tables and swaps them in by one transaction.
-
-Rules for state machines: ordinary tables named ``sm_*``, no AUTOINCREMENT, views or triggers;
-``create_tables`` makes missing indexes too.
+The sender scans the ``sm_`` tables in parts. Temporary triggers record the keys of rows that change
+during the scan, and these rows are sent again after it. The last part is read between two applied
+entries, so the complete snapshot corresponds to exactly one log position. The tables are not
+copied on the sender, and writes continue during the transfer. The receiver fills ``stage_`` tables
+and replaces its own tables with them in one transaction.
+
+Requirements on state machines: ordinary tables named ``sm_*``, without AUTOINCREMENT, views or
+triggers, and a ``create_tables`` that also creates missing indexes.
 """
 
 from __future__ import annotations
@@ -23,22 +24,22 @@
 STAGE_PREFIX = "stage_"
 CHANGED_ROWS_PER_PART = 2_000
 MAX_CATCH_UP_PARTS = 64
-"""Parts of changed rows before the last one is cut, however much has changed by then."""
+"""Parts of changed rows after which the last part is sent, however many changed rows remain."""
 
 Value = Any
-"""What SQLite stores: int, float, str, bytes or None (msgspec has no union of these)."""
+"""A value stored by SQLite: int, float, str, bytes or None. msgspec cannot decode their union."""
 Row = tuple[Value, ...]
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, array_like=True):
-    """Rows of one table.
+    """Changes to the rows of one table.
 
     Attributes:
         table: Name of the table.
-        columns: Columns of ``rows``; the key comes first.
-        key_columns: How many of them are the key.
+        columns: Columns of ``rows``, key columns first.
+        key_columns: Number of key columns.
         rows: Rows to insert or replace.
-        deleted: Keys of rows that are gone.
+        deleted: Keys of deleted rows.
     """
 
     table: str
@@ -52,13 +53,14 @@
 
 
 @dataclass(frozen=True)
-class TableShape:
-    """Key and columns of a table.
+class TableSchema:
+    """Name, key and columns of a table.
 
     Attributes:
         name: Name of the table.
-        key: Columns that name a row: the rowid, its alias, or the primary key without rowid.
-        columns: Key columns first, then the others.
+        key: Columns that identify a row: the rowid, its INTEGER PRIMARY KEY alias, or the primary
+            key of a WITHOUT ROWID table.
+        columns: All columns, key columns first.
     """
 
     name: str
@@ -66,34 +68,34 @@
     columns: tuple[str, ...]
 
     def key_list(self, prefix: str = "") -> str:
-        """Return the key columns as SQL, each with ``prefix``."""
+        """Return the key columns as a SQL list, each preceded by ``prefix``."""
         return ", ".join(f"{prefix}{column}" for column in self.key)
 
     def key_marks(self) -> str:
-        """Return one placeholder a key column."""
+        """Return a SQL list with one placeholder for each key column."""
         return ", ".join("?" for _ in self.key)
 
 
-def table_shapes(connection: sqlite3.Connection) -> list[TableShape]:
-    """Return the shapes of all tables of the state machine, by name."""
+def table_schemas(connection: sqlite3.Connection) -> list[TableSchema]:
+    """Return the schemas of the state machine's tables, sorted by name."""
     listed = connection.execute("PRAGMA table_list").fetchall()
-    shapes = [
-        _shape(connection, name, bool(without_rowid))
-        for schema, name, kind, _, without_rowid, _ in listed
-        if schema == "main" and kind == "table" and name.startswith(TABLE_PREFIX)
+    schemas = [
+        _read_schema(connection, name, bool(without_rowid))
+        for database, name, kind, _, without_rowid, _ in listed
+        if database == "main" and kind == "table" and name.startswith(TABLE_PREFIX)
     ]
-    return sorted(shapes, key=lambda shape: shape.name)
+    return sorted(schemas, key=lambda schema: schema.name)
 
 
-def _shape(connection: sqlite3.Connection, name: str, without_rowid: bool) -> TableShape:
+def _read_schema(connection: sqlite3.Connection, name: str, without_rowid: bool) -> TableSchema:
     info = connection.execute(f'PRAGMA table_info("{name}")').fetchall()
     columns = [f'"{row[1]}"' for row in info]
     primary = [row for row in sorted(info, key=lambda row: row[5]) if row[5] > 0]
     is_alias = len(primary) == 1 and str(primary[0][2]).upper() == "INTEGER"
-    own_key = [f'"{row[1]}"' for row in primary]
-    key = own_key if without_rowid or is_alias else ["rowid"]
+    primary_key = [f'"{row[1]}"' for row in primary]
+    key = primary_key if without_rowid or is_alias else ["rowid"]
     rest = [column for column in columns if column not in key]
-    return TableShape(name=name, key=tuple(key), columns=(*key, *rest))
+    return TableSchema(name=name, key=tuple(key), columns=(*key, *rest))
 
 
 def _row_bytes(row: Row) -> int:
@@ -101,30 +103,30 @@
 
 
 class SnapshotSource:
-    """Sender's side of one transfer. At most one at a time on a connection."""
+    """Sending side of a transfer. A connection supports one source at a time."""
 
     def __init__(self, connection: sqlite3.Connection, part_bytes: int) -> None:
         self._connection = connection
         self._part_bytes = part_bytes
-        self._shapes = table_shapes(connection)
+        self._schemas = table_schemas(connection)
         self._catch_up_parts = 0
-        for number, shape in enumerate(self._shapes):
-            self._watch(number, shape)
-        self._walk = self._walk_tables()
+        for number, schema in enumerate(self._schemas):
+            self._create_triggers(number, schema)
+        self._scan = self._scan_tables()
 
     def close(self) -> None:
-        """Stop noting changed rows."""
-        for number in range(len(self._shapes)):
+        """Stop recording changed rows."""
+        for number in range(len(self._schemas)):
             for operation in ("insert", "update", "delete"):
                 self._connection.execute(f"DROP TRIGGER IF EXISTS temp.note_{operation}_{number}")
             self._connection.execute(f"DROP TABLE IF EXISTS temp.changed_{number}")
 
     def next_part(self) -> tuple[bytes, bool]:
-        """Return the next part and whether it is the last.
+        """Return the next encoded part and whether it is the last one.
 
-        The last part makes the snapshot equal to the tables as they are at this call.
+        With the last part, the snapshot equals the tables at the time of this call.
         """
-        part = next(self._walk, None)
+        part = next(self._scan, None)
         if part is not None:
             return msgspec.msgpack.encode((part,)), False
         self._catch_up_parts += 1
@@ -133,61 +135,64 @@
             or self._catch_up_parts >= MAX_CATCH_UP_PARTS
         )
         limit = -1 if is_last else CHANGED_ROWS_PER_PART
-        parts = [self._changed_part(number, limit) for number in range(len(self._shapes))]
+        parts = [self._changed_part(number, limit) for number in range(len(self._schemas))]
         return msgspec.msgpack.encode(parts), is_last
 
-    def _watch(self, number: int, shape: TableShape) -> None:
-        keys = ", ".join(f"k{position}" for position in range(len(shape.key)))
+    def _create_triggers(self, number: int, schema: TableSchema) -> None:
+        keys = ", ".join(f"k{position}" for position in range(len(schema.key)))
         self._connection.execute(f"DROP TABLE IF EXISTS temp.changed_{number}")
         self._connection.execute(
             f"CREATE TEMP TABLE changed_{number} ({keys}, PRIMARY KEY ({keys})) WITHOUT ROWID"
         )
-        for operation, sides in (
+        for operation, row_aliases in (
             ("insert", ("NEW",)),
             ("update", ("OLD", "NEW")),
             ("delete", ("OLD",)),
         ):
-            notes = " ".join(self._note(number, shape, side) for side in sides)
+            statements = " ".join(
+                self._record_key_sql(number, schema, row_alias) for row_alias in row_aliases
+            )
             self._connection.execute(f"DROP TRIGGER IF EXISTS temp.note_{operation}_{number}")
             self._connection.execute(
                 f"CREATE TEMP TRIGGER note_{operation}_{number} AFTER {operation.upper()}"
-                f' ON main."{shape.name}" BEGIN {notes} END'
+                f' ON main."{schema.name}" BEGIN {statements} END'
             )
 
     @staticmethod
-    def _note(number: int, shape: TableShape, side: str) -> str:
-        """Return the statement that notes a key once.
+    def _record_key_sql(number: int, schema: TableSchema, row_alias: str) -> str:
+        """Return the trigger statement that records the key of a changed row once.
 
-        NOT EXISTS instead of OR IGNORE: the conflict rule of the firing statement would win.
+        It uses NOT EXISTS, because inside a trigger the conflict clause of the outer statement
+        overrides OR IGNORE.
         """
         same = " AND ".join(
-            f"k{position} IS {side}.{column}" for position, column in enumerate(shape.key)
+            f"k{position} IS {row_alias}.{column}" for position, column in enumerate(schema.key)
         )
         return (
-            f"INSERT INTO changed_{number} SELECT {shape.key_list(side + '.')}"
+            f"INSERT INTO changed_{number} SELECT {schema.key_list(row_alias + '.')}"
             f" WHERE NOT EXISTS (SELECT 1 FROM changed_{number} WHERE {same});"
         )
 
-    def _walk_tables(self) -> Iterator[SnapshotPart]:
-        for shape in self._shapes:
+    def _scan_tables(self) -> Iterator[SnapshotPart]:
+        for schema in self._schemas:
             last_key: Row | None = None
             while True:
-                rows = self._page(shape, last_key)
+                rows = self._read_rows(schema, last_key)
                 if not rows:
                     break
-                last_key = rows[-1][: len(shape.key)]
+                last_key = rows[-1][: len(schema.key)]
                 yield SnapshotPart(
-                    table=shape.name,
-                    columns=shape.columns,
-                    key_columns=len(shape.key),
+                    table=schema.name,
+                    columns=schema.columns,
+                    key_columns=len(schema.key),
                     rows=tuple(rows),
                 )
 
-    def _page(self, shape: TableShape, after: Row | None) -> list[Row]:
-        where = f"WHERE ({shape.key_list()}) > ({shape.key_marks()})" if after is not None else ""
+    def _read_rows(self, schema: TableSchema, after: Row | None) -> list[Row]:
+        where = f"WHERE ({schema.key_list()}) > ({schema.key_marks()})" if after is not None else ""
         cursor = self._connection.execute(
-            f'SELECT {", ".join(shape.columns)} FROM "{shape.name}" {where}'
-            f" ORDER BY {shape.key_list()}",
+            f'SELECT {", ".join(schema.columns)} FROM "{schema.name}" {where}'
+            f" ORDER BY {schema.key_list()}",
             after or (),
         )
         rows: list[Row] = []
@@ -203,20 +208,20 @@
     def _changed_count(self) -> int:
         counts = [
             self._connection.execute(f"SELECT count(*) FROM temp.changed_{number}").fetchone()[0]
-            for number in range(len(self._shapes))
+            for number in range(len(self._schemas))
         ]
         return sum(counts)
 
     def _changed_part(self, number: int, limit: int) -> SnapshotPart:
-        """Take noted keys and return the rows that they name now, or that they are gone."""
-        shape = self._shapes[number]
-        same = " AND ".join(f"k{position} IS ?" for position in range(len(shape.key)))
-        named = " AND ".join(f"{column} IS ?" for column in shape.key)
+        """Remove up to ``limit`` recorded keys; return their rows, and the keys without a row."""
+        schema = self._schemas[number]
+        same = " AND ".join(f"k{position} IS ?" for position in range(len(schema.key)))
+        named = " AND ".join(f"{column} IS ?" for column in schema.key)
         keys = self._connection.execute(
             f"SELECT * FROM temp.changed_{number} LIMIT ?", (limit,)
         ).fetchall()
         self._connection.executemany(f"DELETE FROM temp.changed_{number} WHERE {same}", keys)
-        select = f'SELECT {", ".join(shape.columns)} FROM "{shape.name}" WHERE {named}'
+        select = f'SELECT {", ".join(schema.columns)} FROM "{schema.name}" WHERE {named}'
         rows: list[Row] = []
         deleted: list[Row] = []
         for key in keys:
@@ -226,25 +231,25 @@
             else:
                 rows.append(row)
         return SnapshotPart(
-            table=shape.name,
-            columns=shape.columns,
-            key_columns=len(shape.key),
+            table=schema.name,
+            columns=schema.columns,
+            key_columns=len(schema.key),
             rows=tuple(rows),
             deleted=tuple(deleted),
         )
 
 
 class SnapshotStage:
-    """Receiver's side: fills ``stage_`` tables, then swaps them in.
+    """Receiving side of a transfer: fills ``stage_`` tables, then installs them.
 
-    All calls happen inside the caller's transaction.
+    All methods run inside the caller's transaction.
     """
 
     def __init__(self, connection: sqlite3.Connection) -> None:
         self._connection = connection
 
     def begin(self) -> None:
-        """Make empty stage tables of the same shape as the state machine's."""
+        """Create empty stage tables with the schemas of the state machine's tables."""
         self.discard()
         for name, sql in self._tables(TABLE_PREFIX):
             staged = re.sub(
@@ -253,12 +258,12 @@
             self._connection.execute(staged)
 
     def discard(self) -> None:
-        """Drop what an unfinished transfer has left."""
+        """Drop the stage tables of an unfinished transfer."""
         for name, _ in self._tables(STAGE_PREFIX):
             self._connection.execute(f'DROP TABLE "{name}"')
 
     def store(self, data: bytes) -> None:
-        """Put the rows of an encoded part into the stage tables."""
+        """Write the rows of an encoded part to the stage tables."""
         for part in _PARTS_DECODER.decode(data):
             self._store_part(part)
 
@@ -266,7 +271,8 @@
         table = f'"{STAGE_PREFIX}{part.table}"'
         named = " AND ".join(f"{column} IS ?" for column in part.columns[: part.key_columns])
         self._connection.executemany(f"DELETE FROM {table} WHERE {named}", part.deleted)
-        # REPLACE may remove a row whose unique value has moved on; its newer state still follows.
+        # REPLACE may delete another row whose unique value this row now has; a later part sends the
+        # current state of that row.
         marks = ", ".join("?" for _ in part.columns)
         self._connection.executemany(
             f"INSERT OR REPLACE INTO {table} ({', '.join(part.columns)}) VALUES ({marks})",
@@ -274,7 +280,7 @@
         )
 
     def install(self) -> None:
-        """Put the stage tables in the place of the state machine's; indexes come afterwards."""
+        """Replace the state machine's tables with the stage tables; the caller adds the indexes."""
         for name, _ in self._tables(TABLE_PREFIX):
             self._connection.execute(f'DROP TABLE "{name}"')
             self._connection.execute(f'ALTER TABLE "{STAGE_PREFIX}{name}" RENAME TO "{name}"')
--- a/src/leverjunction/consensus/snapshot_sender.py
+++ b/src/leverjunction/consensus/snapshot_sender.py
@@ -1,4 +1,4 @@
-"""The leader's side of a snapshot transfer: one chunk at a time, repeated when unanswered."""
+"""Leader side of a snapshot transfer: sends one chunk at a time and resends unanswered chunks."""
 
 from __future__ import annotations
 
@@ -12,22 +12,27 @@
 from leverjunction.consensus.snapshot import SnapshotSource
 from leverjunction.consensus.types import Configuration, LogPosition
 
-RESEND_AFTER_S = 1.0
-GIVE_UP_AFTER_S = 10.0
+RESEND_INTERVAL_S = 1.0
+RECEIVER_TIMEOUT_S = 10.0
 STREAM_ID_BITS = 64
-NONE_WANTED = -1
+NO_CHUNK_WANTED = -1
 
 
 @dataclass(frozen=True)
 class AnswerAction:
-    """What follows from a receiver's answer: the next chunk, the end, or neither."""
+    """Next step after a receiver's answer: send another chunk, end the transfer, or neither.
+
+    Attributes:
+        send_next: True when the next chunk is to be sent.
+        ended: Event to pass to the core when the transfer has ended.
+    """
 
     send_next: bool = False
     ended: SnapshotDelivered | None = None
 
 
 class SnapshotSender:
-    """Streams the tables to one peer. The engine drives it."""
+    """Sends a snapshot of the tables to one peer. Called by the engine only."""
 
     def __init__(self, connection: sqlite3.Connection, chunk_bytes: int, random: Random) -> None:
         self._connection = connection
@@ -43,7 +48,7 @@
         self.address = ""
 
     def start(self, replica_id: str, address: str, now_s: float) -> None:
-        """Begin a transfer, ending any other."""
+        """Start a transfer and stop the previous one, if any."""
         self.stop()
         self.replica_id = replica_id
         self.address = address
@@ -52,7 +57,7 @@
         self._source = SnapshotSource(self._connection, self._chunk_bytes)
 
     def stop(self) -> None:
-        """End the transfer, if one is under way."""
+        """Stop the transfer, if one is in progress."""
         if self._source is not None:
             self._source.close()
         self._source = None
@@ -60,7 +65,7 @@
         self.replica_id = ""
 
     def next_chunk(self, core: RaftCore, applied_index: int, now_s: float) -> SnapshotChunk:
-        """Cut the next chunk, from the tables as they are with ``applied_index`` applied."""
+        """Return the next chunk, read from the tables in their state at ``applied_index``."""
         assert self._source is not None
         term = core.log.term_at(applied_index)
         assert term is not None
@@ -83,31 +88,31 @@
         return self._chunk
 
     def handle_answer(self, answer: SnapshotAnswered) -> AnswerAction:
-        """Handle the receiver's answer."""
+        """Handle the receiver's answer to a chunk; ignore answers to other transfers."""
         chunk = self._chunk
         if chunk is None or answer.stream_id != self._stream_id:
             return AnswerAction()
         if answer.replica_id != self.replica_id:
             return AnswerAction()
         self._answered_s = self._sent_s
-        if answer.next_number == NONE_WANTED:
+        if answer.next_number == NO_CHUNK_WANTED:
             return AnswerAction(ended=SnapshotDelivered(self.replica_id, answer.matched_index))
         if answer.next_number == chunk.number + 1 and chunk.final is None:
             return AnswerAction(send_next=True)
         if answer.next_number < chunk.number:
-            # The receiver restarted and lost what it had staged.
+            # The receiver restarted and lost its stage tables.
             return AnswerAction(ended=SnapshotDelivered(self.replica_id, None))
         return AnswerAction()
 
     def overdue_chunk(self, now_s: float) -> SnapshotChunk | None:
-        """Return the unanswered chunk when it is time to send it again."""
-        if self._chunk is None or now_s - self._sent_s < RESEND_AFTER_S:
+        """Return the unanswered chunk when it is due to be resent, else None."""
+        if self._chunk is None or now_s - self._sent_s < RESEND_INTERVAL_S:
             return None
         self._sent_s = now_s
         return self._chunk
 
     def expired(self, now_s: float) -> SnapshotDelivered | None:
-        """Return the end of a transfer whose receiver has been silent for too long."""
-        if self._source is None or now_s - self._answered_s < GIVE_UP_AFTER_S:
+        """Return the failed end of a transfer whose receiver timed out, else None."""
+        if self._source is None or now_s - self._answered_s < RECEIVER_TIMEOUT_S:
             return None
         return SnapshotDelivered(self.replica_id, None)
--- a/src/leverjunction/consensus/store.py
+++ b/src/leverjunction/consensus/store.py
@@ -1,8 +1,8 @@
-"""The durable state of one replica: log, election state and tables in one SQLite file.
+"""The durable state of one replica: log, hard state and tables in one SQLite file.
 
-``locking_mode=EXCLUSIVE`` is set before ``journal_mode=WAL``, so SQLite uses no shared memory.
-``synchronous=FULL`` makes each commit durable. All changes since the last commit are one
-transaction, so many proposals share one sync and an entry's application is committed together
+``locking_mode=EXCLUSIVE`` is set before ``journal_mode=WAL``, so that SQLite uses no shared
+memory. ``synchronous=FULL`` makes each commit durable. All changes since the last commit form one
+transaction, so many proposals share one sync, and the effect of an entry is committed together
 with the applied index.
 """
 
@@ -50,7 +50,7 @@
     "SELECT idx, term, kind, wall_ms, checksum, payload FROM raft_log"
     " WHERE idx BETWEEN ? AND ? ORDER BY idx"
 )
-# Not INSERT OR REPLACE: a row that stays in place leaves the pages of the key's index alone.
+# Not INSERT OR REPLACE: updating a row in place does not write the pages of the key's index.
 _PUT_META = """
 INSERT INTO raft_meta VALUES (?, ?, ?)
 ON CONFLICT DO UPDATE SET value = excluded.value, checksum = excluded.checksum
@@ -70,9 +70,9 @@
 
 
 class Store:
-    """Log, election state and the state machine's tables on one connection.
+    """Log, hard state and the state machine's tables on one connection.
 
-    The engine calls it, under the group's lock. Nothing is durable before ``commit``.
+    The engine calls it while the replica's lock is held. Changes are durable only after ``commit``.
     """
 
     def __init__(
@@ -88,22 +88,22 @@
         self._page_checksums = page_checksums
         self._cache = TailCache(tail_cache_bytes)
         connection.executescript(_SCHEMA)
-        if self._get("replica_id") is None:
+        if self._get_meta("replica_id") is None:
             self.begin()
-            self._put("replica_id", f"{random.getrandbits(REPLICA_ID_BITS):032x}".encode())
+            self._put_meta("replica_id", f"{random.getrandbits(REPLICA_ID_BITS):032x}".encode())
             self._put_sequence(0)
             connection.execute("COMMIT")
         if page_checksums is not None:
             page_checksums.record_commit()
-        self.commit_sequence = int(self._get("commit_sequence") or b"0")
+        self.commit_sequence = int(self._get_meta("commit_sequence") or b"0")
 
     def begin(self) -> None:
-        """Open the transaction that the next changes belong to, if none is open."""
+        """Begin a transaction for the following changes unless one is open."""
         if not self.connection.in_transaction:
             self.connection.execute("BEGIN IMMEDIATE")
 
     def commit(self) -> None:
-        """Make all changes since the last commit durable (one sync)."""
+        """Make all changes since the last commit durable with one sync."""
         if not self.connection.in_transaction:
             return
         self.commit_sequence += 1
@@ -117,26 +117,26 @@
                 self._checkpoint(self._page_checksums)
 
     def _checkpoint(self, page_checksums: PageChecksums) -> None:
-        """Move the write-ahead log into the file, whose pages' sums are durable by then."""
+        """Sync the page checksums, then move the write-ahead log into the database file."""
         page_checksums.sync()
         self.connection.execute("PRAGMA wal_checkpoint(PASSIVE)")
 
     def discard_uncommitted(self) -> None:
-        """Forget what was not committed, as a crash does; for simulated crashes."""
+        """Discard uncommitted changes, as a crash would; used to simulate crashes."""
         if self.connection.in_transaction:
             self.connection.execute("ROLLBACK")
         self._cache.clear()
-        self.commit_sequence = int(self._get("commit_sequence") or b"0")
+        self.commit_sequence = int(self._get_meta("commit_sequence") or b"0")
 
     def close(self) -> None:
         """Commit and close the file."""
         self.commit()
-        self.abandon()
+        self.close_without_commit()
 
-    def abandon(self) -> None:
-        """Close the file without a commit, after a fault."""
+    def close_without_commit(self) -> None:
+        """Close the file without committing the open transaction; used after a fault."""
         if self._page_checksums is not None:
-            # SQLite checkpoints when a connection closes.
+            # SQLite checkpoints when a connection closes, so the checksums must be durable first.
             self._page_checksums.record_commit()
             self._page_checksums.sync()
         self.connection.close()
@@ -146,12 +146,12 @@
             self._guard.close()
 
     def load(self) -> DurableState:
-        """Read and check everything that the core needs.
+        """Read and verify the state that the core starts from.
 
         Raises:
             StoreCorruptError: A checksum does not match, or the log has a gap.
         """
-        base = msgspec.json.decode(self._get("base") or b"{}", type=LogPosition)
+        base = msgspec.json.decode(self._get_meta("base") or b"{}", type=LogPosition)
         term_starts: list[LogPosition] = []
         sizes: list[int] = []
         configurations: list[tuple[int, Configuration]] = []
@@ -166,37 +166,37 @@
             sizes.append(len(entry.payload))
             last_index = entry.index
         return DurableState(
-            replica_id=(self._get("replica_id") or b"").decode(),
-            founding_id=(self._get("founding_id") or b"").decode(),
-            hard_state=msgspec.json.decode(self._get("hard_state") or b"{}", type=HardState),
+            replica_id=(self._get_meta("replica_id") or b"").decode(),
+            founding_id=(self._get_meta("founding_id") or b"").decode(),
+            hard_state=msgspec.json.decode(self._get_meta("hard_state") or b"{}", type=HardState),
             base=base,
-            base_configuration=decode_configuration(self._get("base_configuration") or b"{}"),
+            base_configuration=decode_configuration(self._get_meta("base_configuration") or b"{}"),
             term_starts=tuple(term_starts),
             last_index=last_index,
             entry_bytes=tuple(sizes),
             configurations=tuple(configurations),
-            applied_index=int(self._get("applied_index") or b"0"),
-            barred_from_founding=self._get("barred_from_founding") is not None,
+            applied_index=int(self._get_meta("applied_index") or b"0"),
+            barred_from_founding=self._get_meta("barred_from_founding") is not None,
         )
 
     def put_founding(self, founding_id: str, configuration: Configuration) -> None:
-        """Store the founding record."""
+        """Store the founding id and the configuration of the group's first voters."""
         self.begin()
-        self._put("founding_id", founding_id.encode())
-        self._put("base_configuration", encode_configuration(configuration))
+        self._put_meta("founding_id", founding_id.encode())
+        self._put_meta("base_configuration", encode_configuration(configuration))
 
     def put_hard_state(self, hard_state: HardState) -> None:
-        """Store term and vote."""
+        """Store the current term and the vote."""
         self.begin()
-        self._put("hard_state", msgspec.json.encode(hard_state))
+        self._put_meta("hard_state", msgspec.json.encode(hard_state))
 
     def bar_from_founding(self) -> None:
-        """Mark data that replaces a corrupt file."""
+        """Mark a blank store that replaces a corrupt file, so that it never founds a group."""
         self.begin()
-        self._put("barred_from_founding", b"1")
+        self._put_meta("barred_from_founding", b"1")
 
     def append(self, entries: Sequence[LogEntry]) -> None:
-        """Add entries at the end of the log."""
+        """Append entries to the log."""
         self.begin()
         rows = [
             (
@@ -215,33 +215,33 @@
         self._cache.append(entries)
 
     def truncate(self, from_index: int) -> None:
-        """Remove the entries from ``from_index`` on."""
+        """Remove the entries at and after ``from_index``."""
         self.begin()
         self.connection.execute("DELETE FROM raft_log WHERE idx >= ?", (from_index,))
         self._cache.truncate(from_index)
 
     def compact(self, base: LogPosition, configuration: Configuration) -> None:
-        """Remove the entries up to ``base``."""
+        """Remove the entries up to and including ``base``, where ``configuration`` is in force."""
         self.begin()
         self.connection.execute("DELETE FROM raft_log WHERE idx <= ?", (base.index,))
-        self._put("base", msgspec.json.encode(base))
-        self._put("base_configuration", encode_configuration(configuration))
+        self._put_meta("base", msgspec.json.encode(base))
+        self._put_meta("base_configuration", encode_configuration(configuration))
 
     def reset_log(self, founding_id: str, base: LogPosition, configuration: Configuration) -> None:
-        """Start the log anew at an installed snapshot; its tables are in the same transaction."""
+        """Restart the log at an installed snapshot, in the transaction that replaced the tables."""
         self.put_founding(founding_id, configuration)
         self.connection.execute("DELETE FROM raft_log")
-        self._put("base", msgspec.json.encode(base))
+        self._put_meta("base", msgspec.json.encode(base))
         self.put_applied(base.index)
         self._cache.clear()
 
     def put_applied(self, index: int) -> None:
-        """Record that the tables hold the effect of every entry up to ``index``."""
+        """Record that the tables contain the effects of all entries up to ``index``."""
         self.begin()
-        self._put("applied_index", str(index).encode())
+        self._put_meta("applied_index", str(index).encode())
 
     def entries(self, first_index: int, last_index: int) -> list[LogEntry]:
-        """Return a range of entries, from memory or else read and checked from the file.
+        """Return a range of entries, from the cache or else read from the file and verified.
 
         Raises:
             StoreCorruptError: A checksum does not match, or an entry is missing.
@@ -251,7 +251,7 @@
             return cached
         found = list(self._read_entries(first_index, last_index))
         if len(found) != last_index - first_index + 1:
-            raise StoreCorruptError(f"log entries {first_index} to {last_index} are not all there")
+            raise StoreCorruptError(f"log entries {first_index} to {last_index} are incomplete")
         return found
 
     def _read_entries(self, first_index: int, last_index: int) -> Iterable[LogEntry]:
@@ -263,13 +263,13 @@
                 index=index, term=term, kind=EntryKind(kind), wall_ms=wall_ms, payload=payload
             )
 
-    def _put(self, key: str, value: bytes) -> None:
+    def _put_meta(self, key: str, value: bytes) -> None:
         self.connection.execute(_PUT_META, (key, value, _checksum(key.encode(), value)))
 
     def _put_sequence(self, sequence: int) -> None:
-        self._put("commit_sequence", str(sequence).encode())
+        self._put_meta("commit_sequence", str(sequence).encode())
 
-    def _get(self, key: str) -> bytes | None:
+    def _get_meta(self, key: str) -> bytes | None:
         row = self.connection.execute(
             "SELECT value, checksum FROM raft_meta WHERE key = ?", (key,)
         ).fetchone()
@@ -282,14 +282,14 @@
 
 
 def open_store(path: str, random: Random) -> Store | Failure:
-    """Open or create a replica's file and check it.
+    """Open or create a replica's file and verify it.
 
     Args:
         path: The file, or ``:memory:``.
         random: Source of the replica id when the file is new.
 
     Returns:
-        The store; or a CORRUPT failure that says what is wrong and what an operator can do.
+        The store, or a CORRUPT failure that names the damage and what an operator can do.
     """
     if path == MEMORY_PATH:
         return Store(_connect(path), random, None)
@@ -299,19 +299,19 @@
         damage = page_checksums.find_damage()
         if damage:
             return corrupt_failure(path, damage)
-        _recover(path, page_checksums)
+        _recover_wal(path, page_checksums)
         store = Store(_connect(path), random, guard, page_checksums=page_checksums)
         damage = _find_damage(store, guard)
     except (sqlite3.DatabaseError, StoreCorruptError, msgspec.MsgspecError) as error:
         return corrupt_failure(path, str(error))
     if damage:
-        store.abandon()
+        store.close_without_commit()
         return corrupt_failure(path, damage)
     return store
 
 
-def _recover(path: str, page_checksums: PageChecksums) -> None:
-    """Let SQLite move what a stopped process has left in the write-ahead log into the file."""
+def _recover_wal(path: str, page_checksums: PageChecksums) -> None:
+    """Let SQLite move the write-ahead log left by an ended process into the database file."""
     page_checksums.begin_recovery()
     connection = _connect(path)
     connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -326,22 +326,23 @@
     connection.execute("PRAGMA journal_mode=WAL")
     connection.execute("PRAGMA synchronous=FULL")
     connection.execute("PRAGMA cell_size_check=ON")
-    # Delete triggers must also fire for rows that REPLACE removes (see consensus.snapshot).
+    # Makes delete triggers fire for rows that REPLACE removes; consensus.snapshot needs them.
     connection.execute("PRAGMA recursive_triggers=ON")
-    # Some builds (Debian's) write zeros over each freed page: as much as the removed log held.
+    # Some builds (Debian's) overwrite each freed page with zeros by default: removing log entries
+    # would write as many bytes as they held.
     connection.execute("PRAGMA secure_delete=FAST")
     connection.execute("PRAGMA temp_store=MEMORY")
-    # The store itself checkpoints, once the sums of the pages are durable.
+    # The store checkpoints by itself, after the page checksums are durable.
     connection.execute("PRAGMA wal_autocheckpoint=0")
     return connection
 
 
 def _find_damage(store: Store, guard: CommitGuard | None) -> str:
-    """Return what is wrong with the file, empty when nothing is."""
-    (verdict,) = store.connection.execute("PRAGMA quick_check(1)").fetchone()
-    if verdict != "ok":
-        return str(verdict)
-    known = guard.last_recorded() if guard is not None else 0
-    if known > store.commit_sequence:
-        return f"commit {known} was synced but the file ends at commit {store.commit_sequence}"
+    """Return a description of the damage, or an empty string if the file is intact."""
+    (check_result,) = store.connection.execute("PRAGMA quick_check(1)").fetchone()
+    if check_result != "ok":
+        return str(check_result)
+    recorded = guard.last_recorded() if guard is not None else 0
+    if recorded > store.commit_sequence:
+        return f"commit {recorded} was synced but the file ends at commit {store.commit_sequence}"
     return ""
--- a/src/leverjunction/consensus/store_faults.py
+++ b/src/leverjunction/consensus/store_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a replica's stored data, and what they mean to an operator."""
+"""Faults of a replica's stored data, and the failures that report them to operators."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def is_environment_error(error: Exception) -> bool:
-    """Return whether an error is the machine's or its file's, whatever was asked of it.
+    """Return whether an error comes from the host or the database file and not from a command.
 
-    Damage is the bare class ``DatabaseError``; what a command can bring about, such as a key that
-    is there twice, are its other subclasses.
+    SQLite reports a damaged file with the class ``DatabaseError`` itself. Errors that a command can
+    cause, such as a duplicate key, are subclasses of it that are not listed here.
     """
     of_the_machine = (sqlite3.OperationalError, sqlite3.InternalError, MemoryError, OSError)
     return isinstance(error, (*of_the_machine, StoreCorruptError)) or (
@@ -24,7 +24,7 @@
 
 
 def corrupt_failure(path: str, reason: str) -> Failure:
-    """Return the failure for damaged data, with the operator's way out."""
+    """Return the failure for damaged data, with instructions for the operator."""
     return Failure(
         kind=FailureKind.CORRUPT,
         reason=(
@@ -35,19 +35,20 @@
     )
 
 
-def failure_of(path: str, error: Exception) -> Failure:
-    """Return the failure of a replica that an error has stopped.
+def stopped_failure(path: str, error: Exception) -> Failure:
+    """Return the failure of a replica that was stopped by an error.
 
-    Only damage asks for the file to be moved away. After any other error, such as a full disk,
-    the data is good: moving it away on several machines would lose what was acknowledged.
+    Only for damaged data does the failure tell the operator to move the file away. After any other
+    error, such as a full disk, the data is intact, and moving it away on several machines would
+    lose acknowledged commands.
     """
-    # OperationalError and the like derive from DatabaseError; damage is the bare class.
+    # SQLite reports damage with DatabaseError itself; OperationalError and others are subclasses.
     if isinstance(error, StoreCorruptError) or type(error) is sqlite3.DatabaseError:
         return corrupt_failure(path, str(error))
     return Failure(
         kind=FailureKind.INTERNAL,
         reason=(
-            f"{path}: stopped serving by {error!r}. The data was left as it is, keep it: mend "
+            f"{path}: stopped serving after {error!r}. The data is unchanged. Keep the file, fix "
             "the cause (such as a full disk) and start the process again"
         ),
         step=Step.STORING,
--- a/src/leverjunction/consensus/store_recovery.py
+++ b/src/leverjunction/consensus/store_recovery.py
@@ -1,4 +1,4 @@
-"""Opening a replica's file, with the choice between refusing damage and rejoining blank."""
+"""Opens a replica's file; if it is damaged, refuses it or replaces it with a blank one."""
 
 from __future__ import annotations
 
@@ -20,15 +20,19 @@
     """Open the replica's file.
 
     Returns:
-        The store; or the failure of a damaged file. With ``rejoin_when_corrupt`` the damaged
-        file is moved aside and a blank one takes its place; it never helps to found a group.
+        The store, or the failure of a damaged file. With ``rejoin_when_corrupt``, a damaged file
+        is renamed and replaced with a blank one, which is barred from founding a group.
     """
     if config.data_path != MEMORY_PATH:
         Path(config.data_path).parent.mkdir(parents=True, exist_ok=True)
     opened = open_store(config.data_path, random)
     if not isinstance(opened, Failure) or not config.rejoin_when_corrupt:
         return opened
-    logger.warning("group {} rejoins blank: {}", config.group, opened.reason)
+    logger.warning(
+        "group {} replaces its damaged file and rejoins as a blank replica: {}",
+        config.group,
+        opened.reason,
+    )
     _move_aside(Path(config.data_path))
     blank = open_store(config.data_path, random)
     if not isinstance(blank, Failure):
@@ -38,7 +42,7 @@
 
 
 def _move_aside(path: Path) -> None:
-    """Rename the damaged file and its companions, keeping earlier ones."""
+    """Rename the damaged file and its companion files, without overwriting earlier ones."""
     number = 1
     while path.with_name(f"{path.name}.corrupt-{number}").exists():
         number += 1
--- a/src/leverjunction/consensus/transport.py
+++ b/src/leverjunction/consensus/transport.py
@@ -1,4 +1,4 @@
-"""How a group replica reaches its peers, and the threads that send to one of them."""
+"""Transport interface between group replicas, and the threads that send to a peer."""
 
 from __future__ import annotations
 
@@ -23,67 +23,77 @@
 MAX_QUEUED_MESSAGES = 256
 MAX_MESSAGES_PER_CALL = 64
 LARGE_BYTES = 64 * 1024
-"""From this size on a message takes a lane of its own: some 60 ms at 1 MB/s, of a lease of 360."""
+"""Messages of this size or more use a thread of their own: over a link of 1 MB/s they take about
+60 ms or longer, of a leader lease of 360 ms."""
 
 
 class RaftTransport(Protocol):
-    """Carries encoded messages; a lost, late or repeated one does no harm."""
+    """Delivers encoded messages. Messages may be lost, delayed or duplicated."""
 
     def send(self, peer_address: str, group: str, body: bytes) -> bytes | Failure | None:
-        """Call a peer's ``GroupReplica.receive`` and return the body of its answer.
+        """Call a peer's ``GroupReplica.receive`` and return the body of its reply.
 
-        Blocks the calling lane only. An empty answer or None is fine too: the peer
-        then sends its replies by calls of its own. A failure of kind ``NOT_LISTENING`` says that
-        the peer's process has ended.
+        The call may block, which delays only the sender thread that makes it.
+
+        Args:
+            peer_address: RPC address of the peer.
+            group: Name of the group.
+            body: Encoded messages.
+
+        Returns:
+            Encoded replies. With an empty body or None, the peer sends its replies in calls of
+            its own. A failure of kind ``NOT_LISTENING`` means that the peer's process has ended.
         """
         ...
 
 
-class Lane:
-    """One thread that calls one peer; what queues up meanwhile goes in the next call.
+class SenderThread:
+    """A thread that sends queued messages to one peer; each call carries all that are waiting.
+
+    A call carries at most ``MAX_MESSAGES_PER_CALL`` messages and ends after a large one.
 
     Args:
         name: Name of the thread.
-        send: Makes a call.
+        send: Makes one call with a batch of messages.
     """
 
     def __init__(self, name: str, send: Callable[[list[Message]], None]) -> None:
         self._send = send
         self._queue: deque[Message] = deque(maxlen=MAX_QUEUED_MESSAGES)
         self._changed = threading.Condition()
-        self._under_way = False
+        self._sending = False
         self._stopping = False
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
 
     def put(self, message: Message) -> None:
-        """Queue a message; the oldest one is dropped when the peer does not keep up."""
+        """Queue a message; a full queue drops its oldest message."""
         with self._changed:
             self._queue.append(message)
             self._changed.notify()
 
-    def replace(self, message: Message, is_same: Callable[[Message], bool]) -> None:
-        """Queue a message in the place of those that it makes needless."""
+    def replace(self, message: Message, is_superseded: Callable[[Message], bool]) -> None:
+        """Queue a message and remove the queued messages for which ``is_superseded`` is true."""
         with self._changed:
-            kept = [queued for queued in self._queue if not is_same(queued)]
+            kept = [queued for queued in self._queue if not is_superseded(queued)]
             self._queue.clear()
             self._queue.extend([*kept, message])
             self._changed.notify()
 
-    def drop(self, is_needless: Callable[[Message], bool]) -> None:
-        """Take messages out of the queue."""
+    def drop(self, is_obsolete: Callable[[Message], bool]) -> None:
+        """Remove the queued messages for which ``is_obsolete`` is true."""
         with self._changed:
-            kept = [queued for queued in self._queue if not is_needless(queued)]
+            kept = [queued for queued in self._queue if not is_obsolete(queued)]
             self._queue.clear()
             self._queue.extend(kept)
 
     def is_busy(self) -> bool:
-        """Return whether a message is on its way or waits to be."""
+        """Return whether a message is queued or being sent."""
         with self._changed:
-            return self._under_way or bool(self._queue)
+            return self._sending or bool(self._queue)
 
     def stop(self) -> None:
-        """Ask the thread to end after the call under way."""
+        """Ask the thread to end once its queue is empty."""
         with self._changed:
             self._stopping = True
             self._changed.notify()
@@ -100,9 +110,9 @@
             self._send(batch)
 
     def _take(self) -> list[Message]:
-        """Wait for messages; return none when the thread is to end."""
+        """Wait for messages and return a batch; return an empty list when the thread should end."""
         with self._changed:
-            self._under_way = False
+            self._sending = False
             while not self._queue and not self._stopping:
                 self._changed.wait()
             if self._stopping and not self._queue:
@@ -113,16 +123,16 @@
                 batch.append(message)
                 if _is_large(message):
                     break
-            self._under_way = True
+            self._sending = True
             return batch
 
 
 class PeerSender:
-    """Sends to one peer.
+    """Sends messages to one peer.
 
-    Large messages have a lane of their own. In one lane heartbeats waited behind an entry of
-    0.8 MB; over a link of 1 MB/s each leader lost its lease before its first entry had arrived,
-    and none was ever committed.
+    Large messages are sent by a thread of their own. When heartbeats waited behind an entry of
+    0.8 MB on a link of 1 MB/s, each leader lost its lease before its first entry arrived, and no
+    entry was ever committed.
     """
 
     def __init__(
@@ -131,86 +141,95 @@
         group: str,
         address: str,
         deliver: Callable[[list[Message]], None],
-        gone: Callable[[PeerGone], None],
+        on_peer_down: Callable[[PeerGone], None],
     ) -> None:
-        """Start the thread of small messages; that of large ones starts with the first.
+        """Start the thread for small messages; the other one starts with the first large message.
 
         Args:
-            transport: Carries the calls.
+            transport: Makes the calls.
             group: Name of the group.
             address: RPC address of the peer.
-            deliver: Takes the messages that a call's answer carries.
-            gone: Told when the peer's process has ended.
+            deliver: Receives the messages contained in the reply to a call.
+            on_peer_down: Called when the peer's process has ended.
         """
         self._transport = transport
         self._group = group
         self._address = address
         self._deliver = deliver
-        self._gone = gone
-        self._small = Lane(f"raft-{group}-to-{address}", self._send)
-        self._large: Lane | None = None
+        self._on_peer_down = on_peer_down
+        self._small_thread = SenderThread(f"raft-{group}-to-{address}", self._send)
+        self._large_thread: SenderThread | None = None
 
     def put(self, message: Message) -> None:
-        """Queue a message; the oldest one is dropped when the peer does not keep up."""
-        large = self._large
+        """Queue a message; a full queue drops its oldest message."""
+        large = self._large_thread
         is_behind = large is not None and large.is_busy()
         if isinstance(message, AppendRequest) and message.entries:
             if is_behind or _is_large(message):
                 self._put_entries(message)
                 return
         elif isinstance(message, AppendRequest) and is_behind:
-            # It would overtake the entries, and be answered as if they were lost.
-            self._small.put(ContactRequest(header=message.header, sequence=message.sequence))
+            # A heartbeat that overtakes the entries would be rejected as if they were lost.
+            self._small_thread.put(ContactRequest(header=message.header, sequence=message.sequence))
             return
         elif _is_large(message):
-            self._large_lane().put(message)
+            self._get_large_thread().put(message)
             return
-        self._small.put(message)
+        self._small_thread.put(message)
 
     def stop(self) -> None:
-        """Ask the threads to end after the calls under way."""
-        for lane in self._lanes():
-            lane.stop()
+        """Ask the threads to end once their queues are empty."""
+        for thread in self._threads():
+            thread.stop()
 
     def join(self, timeout_s: float) -> None:
         """Wait for the threads to end."""
-        for lane in self._lanes():
-            lane.join(timeout_s)
-
-    def _lanes(self) -> list[Lane]:
-        return [self._small] if self._large is None else [self._small, self._large]
-
-    def _large_lane(self) -> Lane:
-        if self._large is None:
-            self._large = Lane(f"raft-{self._group}-large-to-{self._address}", self._send)
-        return self._large
+        for thread in self._threads():
+            thread.join(timeout_s)
+
+    def _threads(self) -> list[SenderThread]:
+        return (
+            [self._small_thread]
+            if self._large_thread is None
+            else [self._small_thread, self._large_thread]
+        )
+
+    def _get_large_thread(self) -> SenderThread:
+        if self._large_thread is None:
+            self._large_thread = SenderThread(
+                f"raft-{self._group}-large-to-{self._address}", self._send
+            )
+        return self._large_thread
 
     def _put_entries(self, message: AppendRequest) -> None:
-        """Queue entries, in place of an older request for the same: it may come each heartbeat."""
-        self._large_lane().replace(message, lambda queued: _covers(message, queued))
+        """Queue entries, replacing queued requests whose entries this request contains.
+
+        A leader may resend the same entries with each heartbeat.
+        """
+        self._get_large_thread().replace(message, lambda queued: _covers(message, queued))
 
     def _send(self, batch: list[Message]) -> None:
         try:
             reply = self._transport.send(self._address, self._group, encode_messages(batch))
         except Exception:
-            # A lost message does no harm; a sender that ended would cut the peer off for good.
-            logger.exception("group {}: a message to {} is lost", self._group, self._address)
+            # Messages may be lost, but an ended thread would never send to this peer again.
+            logger.exception("group {}: failed to send messages to {}", self._group, self._address)
             return
         if isinstance(reply, Failure) and reply.kind is FailureKind.NOT_LISTENING:
-            self._gone(PeerGone(address=self._address, term=batch[-1].header.term))
+            self._on_peer_down(PeerGone(address=self._address, term=batch[-1].header.term))
         if not isinstance(reply, bytes) or not reply:
             return
         answers = decode_messages(reply)
         if isinstance(answers, Failure):
             return
         for answer in answers:
-            self._drop_held(answer)
+            self._drop_acknowledged(answer)
         self._deliver(answers)
 
-    def _drop_held(self, answer: Message) -> None:
-        """Send no entries again that the peer has just said to hold."""
-        if isinstance(answer, AppendReply) and answer.accepted and self._large is not None:
-            self._large.drop(lambda queued: _is_held(answer, queued))
+    def _drop_acknowledged(self, answer: Message) -> None:
+        """Drop queued requests whose entries the peer has just acknowledged."""
+        if isinstance(answer, AppendReply) and answer.accepted and self._large_thread is not None:
+            self._large_thread.drop(lambda queued: _is_acknowledged(answer, queued))
 
 
 def _is_large(message: Message) -> bool:
@@ -224,7 +243,7 @@
 
 
 def _covers(message: AppendRequest, queued: Message) -> bool:
-    """Return whether a request holds all entries of one that is queued for the same replica."""
+    """Return whether a request contains all entries of a queued one for the same replica."""
     return (
         isinstance(queued, AppendRequest)
         and queued.header.to_id == message.header.to_id
@@ -234,8 +253,8 @@
     )
 
 
-def _is_held(answer: AppendReply, queued: Message) -> bool:
-    """Return whether a replica has just said that it holds the entries of a queued request."""
+def _is_acknowledged(answer: AppendReply, queued: Message) -> bool:
+    """Return whether a replica's answer acknowledges the entries of a queued request."""
     return (
         isinstance(queued, AppendRequest)
         and queued.header.to_id == answer.header.from_id
--- a/tests/unit/replica_tables.py
+++ b/tests/unit/replica_tables.py
@@ -5,7 +5,7 @@
 import sqlite3
 from typing import Any
 
-from leverjunction.consensus.snapshot import table_shapes
+from leverjunction.consensus.snapshot import table_schemas
 
 Rows = dict[str, list[tuple[Any, ...]]]
 """Rows by table, in order."""
@@ -16,8 +16,8 @@
 def tables_of(connection: sqlite3.Connection) -> Rows:
     """Return what is in the ``sm_`` tables; numbers that SQLite gave to rows don't count."""
     return {
-        shape.name: _rows(connection, shape.name, [c for c in shape.columns if c != ROWID])
-        for shape in table_shapes(connection)
+        schema.name: _rows(connection, schema.name, [c for c in schema.columns if c != ROWID])
+        for schema in table_schemas(connection)
     }
 
 
--- a/tests/unit/test_consensus_batches.py
+++ b/tests/unit/test_consensus_batches.py
@@ -35,7 +35,7 @@
         taken += [event.request_id for event in proposals]
         assert (Tick() in events) is (len(sizes) == 1)
     assert taken == list(range(COMMANDS))
-    assert max(sizes) < inbox_module.BATCH_PROPOSED_BYTES + 2 * COMMAND_BYTES
+    assert max(sizes) < inbox_module.MAX_BATCH_PROPOSAL_BYTES + 2 * COMMAND_BYTES
 
 
 def test_committed_entries_are_applied_in_bounded_steps() -> None:
--- a/tests/unit/test_consensus_corruption.py
+++ b/tests/unit/test_consensus_corruption.py
@@ -13,7 +13,7 @@
 from leverjunction.consensus import store as store_module
 from leverjunction.consensus.status import status_of
 from leverjunction.consensus.store import Store, open_store
-from leverjunction.consensus.store_faults import failure_of
+from leverjunction.consensus.store_faults import stopped_failure
 from leverjunction.consensus.types import (
     Configuration,
     EntryKind,
@@ -166,16 +166,20 @@
 @pytest.mark.parametrize(
     ("error", "kind", "advice"),
     [
-        (sqlite3.OperationalError("database or disk is full"), FailureKind.INTERNAL, "keep it"),
-        (sqlite3.OperationalError("disk I/O error"), FailureKind.INTERNAL, "keep it"),
+        (
+            sqlite3.OperationalError("database or disk is full"),
+            FailureKind.INTERNAL,
+            "Keep the file",
+        ),
+        (sqlite3.OperationalError("disk I/O error"), FailureKind.INTERNAL, "Keep the file"),
         (sqlite3.DatabaseError("malformed"), FailureKind.CORRUPT, "Move the file away"),
-        (AssertionError("a committed entry"), FailureKind.INTERNAL, "keep it"),
+        (AssertionError("a committed entry"), FailureKind.INTERNAL, "Keep the file"),
     ],
 )
 def test_only_damage_asks_for_the_file_to_be_moved_away(
     error: Exception, kind: FailureKind, advice: str
 ) -> None:
-    failure = failure_of("f.db", error)
+    failure = stopped_failure("f.db", error)
     assert failure.kind is kind
     assert advice in failure.reason
 
