--- a/src/leverjunction/consensus/group.py
+++ b/src/leverjunction/consensus/group.py
@@ -299,7 +299,7 @@
         sender = self._senders.get(address)
         if sender is None:
             sender = PeerSender(
-                self._transport, self.config.group, address, self._deliver, self._peer_gone
+                self._transport, self.config.group, address, self._deliver, self._peer_down
             )
             self._senders[address] = sender
         sender.put(message)
@@ -307,7 +307,7 @@
     def _deliver(self, batch: list[Message]) -> None:
         self._inbox.put_all([Received(message) for message in batch])
 
-    def _peer_gone(self, event: PeerGone) -> None:
+    def _peer_down(self, event: PeerGone) -> None:
         self._inbox.put(event)
 
     def _register_request(self) -> tuple[PendingResult, int]:
--- a/tests/unit/test_consensus_leader_gone.py
+++ b/tests/unit/test_consensus_leader_gone.py
@@ -371,7 +371,7 @@
         term = others[0].status().term
         cluster.cut.add(leader)
         for replica in others:
-            replica._peer_gone(PeerGone(address=leader, term=term))
+            replica._peer_down(PeerGone(address=leader, term=term))
         cluster.propose(b"two")
         assert others[0].status().term > term
     finally:
