--- a/tests/unit/consensus_support.py
+++ b/tests/unit/consensus_support.py
@@ -70,7 +70,7 @@
         self.folder = folder
         self.settings = settings
         self.replicas: dict[str, GroupReplica] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self._starts = 0
         self._lock = threading.Lock()
 
@@ -124,7 +124,7 @@
     def leader(self) -> GroupReplica:
         def find() -> GroupReplica | None:
             for address, replica in list(self.replicas.items()):
-                if address not in self.cut and replica.status().role == "leader":
+                if address not in self.partitioned and replica.status().role == "leader":
                     return replica
             return None
 
@@ -153,7 +153,7 @@
 
     def send(self, peer_address: str, group: str, body: bytes) -> bytes | Failure:
         replica = self._cluster.replicas.get(peer_address)
-        if replica is None or {peer_address, self._own_address} & self._cluster.cut:
+        if replica is None or {peer_address, self._own_address} & self._cluster.partitioned:
             time.sleep(POLL_S)
             return Failure(kind=FailureKind.UNREACHABLE, reason="cut", step=Step.CONNECTING)
         return replica.receive(body)
--- a/tests/unit/lots_simulation.py
+++ b/tests/unit/lots_simulation.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from tests.unit.consensus_simulation import Faults, Node, Simulation
-from tests.unit.replica_tables import Rows, tables_of
+from tests.unit.replica_tables import Rows, read_tables
 
 from leverjunction.consensus.api import ApplyContext, StateMachine
 from leverjunction.consensus.events import ChangeTarget, Read, RepairDone
@@ -373,7 +373,7 @@
         for address in sorted(self.target):
             connection = self.nodes[address].connection
             assert connection is not None
-            assert tables_of(connection) == expected, f"{address} differs from the log"
+            assert read_tables(connection) == expected, f"{address} differs from the log"
         committed = {command for _, command in self.log.values()}
         assert self.acked <= committed, "an acknowledged command is lost"
         self._check_lots(expected)
@@ -384,7 +384,7 @@
         machine.create_tables(connection)
         for index in sorted(self.log):
             machine.apply(connection, *self.log[index])
-        tables = tables_of(connection)
+        tables = read_tables(connection)
         connection.close()
         return tables
 
--- a/tests/unit/replica_tables.py
+++ b/tests/unit/replica_tables.py
@@ -13,7 +13,7 @@
 ROWID = "rowid"
 
 
-def tables_of(connection: sqlite3.Connection) -> Rows:
+def read_tables(connection: sqlite3.Connection) -> Rows:
     """Return what is in the ``sm_`` tables; numbers that SQLite gave to rows don't count."""
     return {
         schema.name: _rows(connection, schema.name, [c for c in schema.columns if c != ROWID])
--- a/tests/unit/test_consensus_group.py
+++ b/tests/unit/test_consensus_group.py
@@ -18,7 +18,7 @@
     cluster = Cluster(tmp_path, getattr(request, "param", 3))
     cluster.start_all()
     yield cluster
-    cluster.cut.clear()
+    cluster.partitioned.clear()
     cluster.stop_all()
 
 
@@ -84,12 +84,12 @@
 def test_a_cut_off_leader_refuses_and_another_leads(cluster: Cluster) -> None:
     cluster.propose(b"a=1")
     old = cluster.leader()
-    cluster.cut.add(old.config.address)
+    cluster.partitioned.add(old.config.address)
     cluster.propose(b"a=2")
     wait_for(lambda: old.status().role != "leader")
     refusal = old.query(b"a", 0.5)
     assert isinstance(refusal, Failure)
-    cluster.cut.clear()
+    cluster.partitioned.clear()
     wait_for(lambda: old.query_local(b"a") == b"2")
 
 
--- a/tests/unit/test_consensus_leader_gone.py
+++ b/tests/unit/test_consensus_leader_gone.py
@@ -369,7 +369,7 @@
         leader = cluster.leader().config.address
         others = [cluster.replicas[item] for item in cluster.addresses if item != leader]
         term = others[0].status().term
-        cluster.cut.add(leader)
+        cluster.partitioned.add(leader)
         for replica in others:
             replica._peer_down(PeerGone(address=leader, term=term))
         cluster.propose(b"two")
@@ -387,7 +387,7 @@
             item for item in cluster.addresses if item != cluster.leader().config.address
         )
         cluster.stop(address)
-        cluster.cut.update(cluster.addresses)
+        cluster.partitioned.update(cluster.addresses)
         started_s = SystemClock().monotonic_s() - 0.3
         assert cluster.start(address, silent_since_s=started_s) is None
         engine = cluster.replicas[address]._engine
--- a/tests/unit/test_consensus_listener.py
+++ b/tests/unit/test_consensus_listener.py
@@ -17,7 +17,7 @@
 import pytest
 from tests.unit.consensus_simulation import Simulation
 from tests.unit.consensus_support import LogMachine
-from tests.unit.replica_tables import Rows, tables_of
+from tests.unit.replica_tables import Rows, read_tables
 
 from leverjunction.consensus.api import ApplyContext, StateMachine
 from leverjunction.errors import Failure
@@ -90,7 +90,7 @@
     def tables(self) -> dict[str, Rows]:
         """Return each replica's tables."""
         return {
-            node.address: tables_of(node.connection)
+            node.address: read_tables(node.connection)
             for node in self.nodes.values()
             if node.connection is not None
         }
