--- a/tests/unit/consensus_support.py
+++ b/tests/unit/consensus_support.py
@@ -1,4 +1,4 @@
-"""A small state machine and an in-process cluster for the tests of the consensus groups."""
+"""A simple state machine and an in-process cluster for tests of the consensus groups."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class LogMachine:
-    """Keeps every applied command in order; a command ``key=value`` also sets a key."""
+    """Records each applied command in order; a command ``key=value`` also sets a key.
+
+    A command for the key ``bad`` raises.
+    """
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
         connection.execute(
@@ -54,11 +57,11 @@
 
 
 class Cluster:
-    """Group replicas joined by direct calls; links can be cut and disks wiped.
+    """Group replicas connected by direct calls; replicas can be partitioned and disks wiped.
 
     Attributes:
-        unknown: Of each command, how many attempts ended without its outcome being known. Each of
-            these may have been applied, beside the last one.
+        unknown: Number of attempts with an unknown outcome, by command. Each of them may have been
+            applied, in addition to the successful one.
     """
 
     def __init__(
@@ -80,7 +83,7 @@
     def start(
         self, address: str, silent_since_s: float | None = None, **settings: object
     ) -> Failure | None:
-        """Start a replica; ``settings`` go before those of the cluster."""
+        """Start a replica; ``settings`` take precedence over those of the cluster."""
         self._starts += 1
         config = GroupConfig(
             group="root",
@@ -131,7 +134,7 @@
         return wait_for(find)
 
     def propose(self, command: bytes) -> bytes:
-        """Propose a command until it is applied, as callers do: an unknown outcome is no end."""
+        """Propose a command until its reply arrives; retry it when its outcome is unknown."""
 
         def attempt() -> bytes | None:
             result = self.leader().propose(command, 2.0)
@@ -145,7 +148,7 @@
 
 
 class Link:
-    """One replica's transport."""
+    """Transport of one replica, which calls the other replicas of the cluster directly."""
 
     def __init__(self, cluster: Cluster, own_address: str) -> None:
         self._cluster = cluster
@@ -155,12 +158,12 @@
         replica = self._cluster.replicas.get(peer_address)
         if replica is None or {peer_address, self._own_address} & self._cluster.partitioned:
             time.sleep(POLL_S)
-            return Failure(kind=FailureKind.UNREACHABLE, reason="cut", step=Step.CONNECTING)
+            return Failure(kind=FailureKind.UNREACHABLE, reason="partitioned", step=Step.CONNECTING)
         return replica.receive(body)
 
 
 def wait_for(find: Callable[[], T | None]) -> T:
-    """Poll until ``find`` gives a true value."""
+    """Call ``find`` until it returns a truthy value, and return that value."""
     deadline_s = time.monotonic() + WAIT_S
     while time.monotonic() < deadline_s:
         found = find()
--- a/tests/unit/replica_tables.py
+++ b/tests/unit/replica_tables.py
@@ -1,4 +1,4 @@
-"""The rows of a state machine's tables, to compare replicas."""
+"""Reads the rows of a state machine's tables, to compare replicas."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from leverjunction.consensus.snapshot import table_schemas
 
 Rows = dict[str, list[tuple[Any, ...]]]
-"""Rows by table, in order."""
+"""Sorted rows by table."""
 
 ROWID = "rowid"
 
 
 def read_tables(connection: sqlite3.Connection) -> Rows:
-    """Return what is in the ``sm_`` tables; numbers that SQLite gave to rows don't count."""
+    """Return the rows of all ``sm_`` tables, without the rowids that SQLite assigned."""
     return {
         schema.name: _rows(connection, schema.name, [c for c in schema.columns if c != ROWID])
         for schema in table_schemas(connection)
--- a/tests/unit/test_consensus_batches.py
+++ b/tests/unit/test_consensus_batches.py
@@ -1,4 +1,4 @@
-"""The driver's work is cut into short steps, so that a busy leader still hears its peers."""
+"""The driver works in steps of limited size, so that a busy leader still handles messages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return b"k%d=" % number + b"x" * COMMAND_BYTES
 
 
-def test_a_batch_holds_a_bounded_size_of_proposals_in_their_order() -> None:
+def test_a_batch_contains_proposals_of_limited_size_in_their_order() -> None:
     inbox = Inbox()
     for number in range(COMMANDS):
         inbox.put_proposal(Propose(request_id=number, payload=command(number), wall_ms=0))
@@ -38,7 +38,7 @@
     assert max(sizes) < inbox_module.MAX_BATCH_PROPOSAL_BYTES + 2 * COMMAND_BYTES
 
 
-def test_committed_entries_are_applied_in_bounded_steps() -> None:
+def test_committed_entries_are_applied_in_steps_of_limited_size() -> None:
     store = open_store(":memory:", Random(1))
     assert isinstance(store, Store)
     answers: list[int] = []
--- a/tests/unit/test_consensus_bench.py
+++ b/tests/unit/test_consensus_bench.py
@@ -1,4 +1,4 @@
-"""The consensus bench runs whole with real processes, and its figures fit together."""
+"""The consensus benchmark runs with real processes and reports consistent figures."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 pytestmark = pytest.mark.fleet
 
-BODY_SHARE = 0.5
-"""Least share of the state's size that a repair sends and stores; log, indexes and free pages
-are not sent."""
+MIN_STATE_FRACTION = 0.5
+"""Least fraction of the state's size that a repair must send and store; log, indexes and free
+pages are not sent."""
 
 
 @pytest.mark.parametrize(("replicas", "change_leader"), [(3, False), (5, True)])
@@ -35,12 +35,12 @@
     file = tmp_path / "repair.json"
     repair(replicas, megabytes=3, foreground_s=0.5, change_leader=change_leader, json=str(file))
     report = msgspec.json.decode(file.read_bytes(), type=RepairReport)
-    assert report.sent_mb > 3 * BODY_SHARE
-    assert report.repaired_mb > 3 * BODY_SHARE
+    assert report.sent_mb > 3 * MIN_STATE_FRACTION
+    assert report.repaired_mb > 3 * MIN_STATE_FRACTION
     assert report.during.count > 0
 
 
-def test_bytes_in_answers_to_a_peer_are_counted(tmp_path: Path) -> None:
+def test_bytes_in_replies_to_a_peer_are_counted(tmp_path: Path) -> None:
     peer, own = "127.0.0.1:1", "127.0.0.1:2"
     worker = Worker(own, [peer, own], tmp_path / "group.sqlite")
     assert worker.replica.start() is None
@@ -67,7 +67,7 @@
     assert report.all_s
 
 
-def test_a_replica_whose_process_cannot_listen_is_told_at_once(tmp_path: Path) -> None:
+def test_a_replica_that_cannot_listen_is_reported_at_once(tmp_path: Path) -> None:
     cluster = ReplicaCluster(3, tmp_path)
     host, _, port = cluster.addresses[1].rpartition(":")
     with socket.socket() as other:
@@ -77,6 +77,6 @@
             pass
 
 
-def test_clusters_have_addresses_of_their_own() -> None:
+def test_clusters_use_distinct_addresses() -> None:
     first, second = (ReplicaCluster(5, Path()).addresses for _ in range(2))
     assert len({*first, *second}) == 10
--- a/tests/unit/test_consensus_codec.py
+++ b/tests/unit/test_consensus_codec.py
@@ -1,4 +1,4 @@
-"""Messages between replicas: whole ones come back as they were, damaged ones are refused."""
+"""Encoding of the messages between replicas: round trips, and rejection of damaged frames."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from leverjunction.consensus.types import Configuration, EntryKind, LogEntry, LogPosition, Member
 from leverjunction.errors import Failure
 
-DAMAGES = 4_000
+DAMAGED_FRAMES = 4_000
 HEADER = Header(founding_id="f", from_id="a", from_address="10.0.0.1:1", to_id="b", term=7)
 POSITION = LogPosition(term=6, index=41)
 CONFIGURATION = Configuration((Member("a", "10.0.0.1:1"), Member("b", "x", False)), ("x",))
@@ -60,25 +60,25 @@
 ]
 
 
-def test_messages_come_back_as_they_were() -> None:
+def test_decoded_messages_equal_the_encoded_ones() -> None:
     assert decode_messages(encode_messages(MESSAGES)) == MESSAGES
 
 
-def test_damaged_frames_are_refused_and_raise_nothing() -> None:
+def test_damaged_frames_are_rejected_without_an_exception() -> None:
     generator = random.Random(3)
-    whole = encode_messages(MESSAGES)
-    refused = 0
-    for _ in range(DAMAGES):
-        damaged = bytearray(whole)
+    encoded = encode_messages(MESSAGES)
+    rejected = 0
+    for _ in range(DAMAGED_FRAMES):
+        damaged = bytearray(encoded)
         for _ in range(generator.randrange(1, 4)):
             damaged[generator.randrange(len(damaged))] = generator.randrange(256)
         decoded = decode_messages(bytes(damaged[: generator.randrange(1, len(damaged) + 1)]))
-        refused += isinstance(decoded, Failure)
-    assert refused
+        rejected += isinstance(decoded, Failure)
+    assert rejected
 
 
 class FaultyTransport:
-    """Raises on the first call, then answers."""
+    """Raises on the first call and replies to later ones."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -90,7 +90,7 @@
         return encode_messages(MESSAGES[:1])
 
 
-def test_a_fault_of_the_transport_does_not_end_the_sender() -> None:
+def test_an_exception_of_the_transport_does_not_end_the_sender() -> None:
     delivered: list[list[Message]] = []
     arrived = threading.Event()
 
@@ -110,7 +110,7 @@
     assert delivered[0] == MESSAGES[:1]
 
 
-def test_large_entries_are_not_held_after_they_are_sent() -> None:
+def test_encoding_and_decoding_leave_no_garbage_that_holds_large_entries() -> None:
     entries = tuple(
         LogEntry(index=n, term=1, kind=EntryKind.COMMAND, wall_ms=0, payload=b"%d" % n * 100_000)
         for n in range(10, 30)
--- a/tests/unit/test_consensus_corruption.py
+++ b/tests/unit/test_consensus_corruption.py
@@ -1,4 +1,7 @@
-"""Damaged, cut off and missing files: a replica refuses or rejoins blank, and never serves them."""
+"""Damaged, truncated and missing files: a replica never serves them.
+
+It refuses to start or, if so configured, rejoins the group as a blank replica.
+"""
 
 from __future__ import annotations
 
@@ -24,17 +27,17 @@
 from leverjunction.errors import Failure, FailureKind
 
 KEYS = 60
-VALUE_PART = 40
-MOMENT_S = 0.001
-COMPACT_EVERY = 10
+VALUE_REPEATS = 40
+EPSILON_S = 0.001
+COMPACTION_INTERVAL = 10
 
 
 def value(number: int) -> bytes:
-    return b"v%d" % number * VALUE_PART
+    return b"v%d" % number * VALUE_REPEATS
 
 
 def copy_files(source: Path, target: Path) -> Path:
-    """Copy a replica's files as they are, as a killed process leaves them."""
+    """Copy the files of a running replica, in the state in which a killed process leaves them."""
     target.mkdir()
     for path in source.parent.glob(f"{source.name}*"):
         shutil.copy(path, target / path.name)
@@ -43,7 +46,10 @@
 
 @pytest.fixture(params=["stopped", "killed"])
 def database(tmp_path: Path, request: pytest.FixtureRequest) -> Path:
-    """Return a sole replica's file: in the killed one the write-ahead log is still there."""
+    """Return the file of a group of one replica.
+
+    A stopped replica has moved the write-ahead log into the file, a killed one has not.
+    """
     cluster = Cluster(tmp_path / "group", 1)
     cluster.start_all()
     for number in range(KEYS):
@@ -58,7 +64,7 @@
 
 
 def start(database: Path, **settings: object) -> tuple[Cluster, Failure | None]:
-    """Start a sole replica on a file; its name is the one that the cluster expects."""
+    """Start a group of one replica on a file that has the name which ``Cluster`` expects."""
     cluster = Cluster(database.parent, 1, **settings)
     return cluster, cluster.start(cluster.addresses[0])
 
@@ -73,7 +79,7 @@
     cluster.stop_all()
 
 
-def test_whole_files_are_served_again_and_again(database: Path) -> None:
+def test_intact_files_are_served_after_each_restart(database: Path) -> None:
     assert_serves_all(database)
     assert_serves_all(database)
 
@@ -92,7 +98,7 @@
     damaged.write_bytes(content)
     cluster, failure = start(database)
     if failure is None:
-        # Only content that no commit needs may differ, such as a log frame written anew since.
+        # The bit was in content that no commit needs, such as a log frame that was superseded.
         cluster.stop_all()
         assert_serves_all(database)
     else:
@@ -100,32 +106,32 @@
         assert "nothing is served from it" in failure.reason
 
 
-def cut_off(database: Path, kept_share: float) -> None:
-    """Shorten the file that holds the newest commits."""
+def truncate(database: Path, kept_fraction: float) -> None:
+    """Truncate the file that contains the newest commits."""
     log = database.with_name(database.name + "-wal")
     path = log if log.exists() and log.stat().st_size else database
     with path.open("r+b") as file:
-        file.truncate(int(path.stat().st_size * kept_share))
+        file.truncate(int(path.stat().st_size * kept_fraction))
 
 
-@pytest.mark.parametrize("kept_share", [0.0, 0.3, 0.9])
-def test_a_file_that_is_cut_off_is_refused(database: Path, kept_share: float) -> None:
-    cut_off(database, kept_share)
+@pytest.mark.parametrize("kept_fraction", [0.0, 0.3, 0.9])
+def test_a_truncated_file_is_refused(database: Path, kept_fraction: float) -> None:
+    truncate(database, kept_fraction)
     _, failure = start(database)
     assert failure is not None
     assert failure.kind is FailureKind.CORRUPT
 
 
 def test_a_refused_replica_stays_refused(database: Path) -> None:
-    cut_off(database, 0.3)
+    truncate(database, 0.3)
     for _ in range(3):
         cluster, failure = start(database)
         assert failure is not None
         assert cluster.replicas[cluster.addresses[0]].query_local(b"k1") != value(1)
 
 
-def test_a_damaged_replica_rejoins_blank_and_founds_nothing(database: Path) -> None:
-    cut_off(database, 0.3)
+def test_a_damaged_replica_rejoins_blank_and_founds_no_group(database: Path) -> None:
+    truncate(database, 0.3)
     cluster, failure = start(database, rejoin_when_corrupt=True)
     assert failure is None
     replica = cluster.replicas[cluster.addresses[0]]
@@ -139,7 +145,7 @@
 
 
 @pytest.mark.parametrize("compacts", [False, True])
-def test_files_of_a_killed_process_are_good_at_any_moment(
+def test_files_of_a_process_killed_after_any_commit_are_intact(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, compacts: bool
 ) -> None:
     monkeypatch.setattr(store_module, "WAL_CHECKPOINT_PAGES", 20)
@@ -151,16 +157,16 @@
             index=index, term=1, kind=EntryKind.COMMAND, wall_ms=0, payload=value(index) * 60
         )
         opened.append([entry])
-        if compacts and index % COMPACT_EVERY == 0:
-            # The pages of the removed entries become free and are used again.
-            base = LogPosition(term=1, index=index - COMPACT_EVERY // 2)
+        if compacts and index % COMPACTION_INTERVAL == 0:
+            # Compaction frees the pages of the removed entries, and later entries reuse them.
+            base = LogPosition(term=1, index=index - COMPACTION_INTERVAL // 2)
             opened.compact(base, Configuration())
         opened.commit()
         copied = copy_files(source, tmp_path / str(index))
-        again = open_store(str(copied), random.Random(2))
-        assert isinstance(again, Store), again
-        assert again.load().last_index == index
-        again.close()
+        reopened = open_store(str(copied), random.Random(2))
+        assert isinstance(reopened, Store), reopened
+        assert reopened.load().last_index == index
+        reopened.close()
 
 
 @pytest.mark.parametrize(
@@ -176,7 +182,7 @@
         (AssertionError("a committed entry"), FailureKind.INTERNAL, "Keep the file"),
     ],
 )
-def test_only_damage_asks_for_the_file_to_be_moved_away(
+def test_only_damage_tells_the_operator_to_move_the_file_away(
     error: Exception, kind: FailureKind, advice: str
 ) -> None:
     failure = stopped_failure("f.db", error)
@@ -184,20 +190,20 @@
     assert advice in failure.reason
 
 
-def test_a_leader_that_was_frozen_does_not_call_itself_leader(tmp_path: Path) -> None:
+def test_a_leader_frozen_past_its_lease_does_not_report_itself_as_leader(tmp_path: Path) -> None:
     cluster = Cluster(tmp_path, 3)
     cluster.start_all()
     cluster.propose(b"a=1")
 
     def roles_around_the_lease_end() -> tuple[str, str] | None:
         replica = cluster.leader()
-        # With the lock held the driver stands still, as in a process that has just woken.
+        # Holding the lock pauses the driver, as in a process that has just been resumed.
         with replica._lock:
             engine = replica._engine
             if engine is None or engine.core.role is not Role.LEADER:
                 return None
             lease_end_s = engine.core.quorum_contact_s() + engine.core.lease_s
-            moments_s = (lease_end_s - MOMENT_S, lease_end_s + MOMENT_S)
+            moments_s = (lease_end_s - EPSILON_S, lease_end_s + EPSILON_S)
             before, after = (status_of(engine, moment_s).role for moment_s in moments_s)
             return before, after
 
--- a/tests/unit/test_consensus_group.py
+++ b/tests/unit/test_consensus_group.py
@@ -1,4 +1,4 @@
-"""Group replicas with real files and threads over an in-process transport."""
+"""Tests of group replicas with real files and threads over an in-process transport."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert cluster.leader().query(b"a", 5.0) == b"2"
 
 
-def test_a_follower_names_the_leader(cluster: Cluster) -> None:
+def test_a_follower_refuses_requests_and_names_the_leader(cluster: Cluster) -> None:
     cluster.propose(b"a=1")
     leader = cluster.leader().status()
     follower = next(r for r in cluster.replicas.values() if r.status().role == "follower")
@@ -68,10 +68,11 @@
         cluster.stop(address)
     cluster.start_all()
     wait_for(lambda: cluster.leader().query(b"k19", 2.0) == b"19")
-    # In a run of all tests the interpreter stood still for longer than the lease in the middle of
-    # the commands: "lost the lead: no quorum was heard within the lease". The caller was told that
-    # the outcome of k14=14 was not known, sent it again, and it stood twice. That is what the
-    # group promises; what it was not told of must stand once, and nothing may be moved or lost.
+    # If the interpreter pauses for longer than the lease while commands are proposed, the leader
+    # steps down ("no quorum was heard within the lease"). In one such run the outcome of k14=14
+    # was reported as unknown, the caller retried it, and it was applied twice, which the group
+    # allows. A command with a known outcome must be applied once, and no command may be lost or
+    # reordered.
     applied = cluster.leader().query(b"*", 5.0).split(b",")
     runs = [(command, len(list(same))) for command, same in itertools.groupby(applied)]
     assert [command for command, _ in runs] == [b"k%d=%d" % (n, n) for n in range(20)]
@@ -81,7 +82,7 @@
     )
 
 
-def test_a_cut_off_leader_refuses_and_another_leads(cluster: Cluster) -> None:
+def test_a_partitioned_leader_refuses_requests_and_another_replica_leads(cluster: Cluster) -> None:
     cluster.propose(b"a=1")
     old = cluster.leader()
     cluster.partitioned.add(old.config.address)
@@ -113,8 +114,8 @@
     cluster.stop_all()
 
 
-def test_new_voters_found_no_second_group_while_an_old_one_answers(tmp_path: Path) -> None:
-    """All first members of the changed configuration are blank, but the group exists."""
+def test_new_voters_found_no_second_group_while_an_old_voter_answers(tmp_path: Path) -> None:
+    """All members that the new settings name are blank, but the group already exists."""
     cluster = Cluster(tmp_path, 3)
     cluster.start_all()
     cluster.propose(b"a=1")
--- a/tests/unit/test_consensus_large_entries.py
+++ b/tests/unit/test_consensus_large_entries.py
@@ -1,17 +1,12 @@
-"""A leader keeps its group while large entries go out over links of limited speed.
+"""A leader keeps its leadership while it sends large entries over links of limited bandwidth.
 
-A store lost its lease while jobs of 200 items came, 0.8 MB each. What a leader sends to a peer goes
-out by one thread, call after call, so heartbeats wait behind the entry; at 2 MB/s that is longer
-than the lease of 0.36 s, and than the silence after which a follower campaigns. At that speed no
-such entry was ever committed, each leader was deposed while it was on its way:
+Guards against heartbeats that wait behind a large entry. When one thread sent all messages to a
+peer, an entry of 0.8 MB (a job of 200 items) delayed heartbeats at 2 MB/s for longer than the
+lease of 0.36 s and the election timeout of the followers. Each leader lost its lease while the
+entry was in transit, with a new term every 0.6 s, and no such entry was ever committed.
 
-    05:06:01.225 group root lost the lead: no quorum was heard within the lease
-    05:06:01.687 group root leads term 3
-    05:06:02.068 group root lost the lead: no quorum was heard within the lease
-    05:06:02.390 group root leads term 4      (and so on, a term each 0.6 s)
-
-A new leader also sent the entry again with each heartbeat, one copy behind the other. And a call
-had half a second for its whole body, so over a slow link it never got through.
+Two further faults had the same effect: a new leader queued another copy of the entry with each
+heartbeat, and a call had a timeout of 0.5 s for its whole body, too short for a slow link.
 """
 
 from __future__ import annotations
@@ -25,14 +20,18 @@
 
 from leverjunction.errors import Failure
 
-TERMS = {"heartbeat_interval_s": 0.15, "election_timeout_min_s": 0.4, "election_timeout_max_s": 0.8}
+ELECTION_SETTINGS = {
+    "heartbeat_interval_s": 0.15,
+    "election_timeout_min_s": 0.4,
+    "election_timeout_max_s": 0.8,
+}
 ENTRY_BYTES = 800_000
 ENTRIES = 12
 PAUSE_S = 0.5
 
 
 class PacedLink(Link):
-    """A transport whose calls take the time of their bytes."""
+    """A transport with limited bandwidth: a call takes as long as its bytes need."""
 
     bytes_per_s = 0.0
 
@@ -44,7 +43,7 @@
 @pytest.fixture(params=[8_000_000.0, 2_000_000.0, 1_000_000.0], ids=["8 MB/s", "2", "1"])
 def cluster(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[Cluster]:
     link = type("PacedLink", (PacedLink,), {"bytes_per_s": request.param})
-    cluster = Cluster(tmp_path, 3, link_type=link, **TERMS)
+    cluster = Cluster(tmp_path, 3, link_type=link, **ELECTION_SETTINGS)
     cluster.start_all()
     yield cluster
     cluster.stop_all()
@@ -52,9 +51,9 @@
 
 def test_large_entries_do_not_cost_the_lead(cluster: Cluster) -> None:
     cluster.propose(b"first=1")
-    led = cluster.leader().status()
+    before = cluster.leader().status()
     for number in range(ENTRIES):
         cluster.propose(b"k%d=" % number + b"x" * ENTRY_BYTES)
         time.sleep(PAUSE_S)
-    leads = cluster.leader().status()
-    assert (leads.replica_id, leads.term) == (led.replica_id, led.term)
+    after = cluster.leader().status()
+    assert (after.replica_id, after.term) == (before.replica_id, before.term)
--- a/tests/unit/test_consensus_listener.py
+++ b/tests/unit/test_consensus_listener.py
@@ -1,13 +1,11 @@
-"""What listens to a replica never decides which commands count on it.
-
-Symptom: one replica of a group lacks a committed command for good, the others have it; if it leads
-later, accepted items are not in its tables, so that it never runs them, while others list them.
-Sequence: a command is committed; a replica applies it, and its listener raises inside of that, as
-when the loop that it wakes is being closed; the replica undoes the command and goes on, alone.
-Cause: the state machine called its listener while it applied, so an error of the listener passed
-for one of the command. Settled by the tables after one command on three replicas: rows on the
-leader, none on the two whose listeners raised; where the leader's own listener raised, the answer
-was "the state machine did not take the command: RuntimeError('Event loop is closed')".
+"""A listener that raises has no effect on the commands that a replica applies.
+
+Guards against replicas that diverge. The state machine used to call its listener from ``apply``,
+so an exception of the listener, such as "Event loop is closed" during a shutdown, was taken for an
+error of the command. That replica alone undid the committed command: of three replicas, the two
+whose listeners raised had no rows. If such a replica became leader, it never ran items that had
+been accepted. If the leader's own listener raised, the caller received "the state machine did not
+take the command".
 """
 
 from __future__ import annotations
@@ -51,15 +49,15 @@
 ]
 
 
-class ListenedGroup(Simulation):
-    """A group without faults and with short logs; the listeners of some replicas raise."""
+class GroupWithListeners(Simulation):
+    """A simulated group without faults and with short logs, in which some listeners raise."""
 
     kept_entries = 2
 
     def __init__(self, machine_type: MachineType, size: int, raising: set[str]) -> None:
         self._machine_type = machine_type
         self.raising = raising
-        self.told: list[tuple[str, bool]] = []
+        self.notifications: list[tuple[str, bool]] = []
         super().__init__(1, size)
         self.faults.drop = self.faults.repeat = self.faults.crash_in_sync = 0.0
         self.run(self.now_s + SETTLE_S)
@@ -68,7 +66,7 @@
         return self._machine_type()
 
     def listen(self, address: str, replaced: bool) -> None:
-        self.told.append((address, replaced))
+        self.notifications.append((address, replaced))
         if address in self.raising:
             raise RuntimeError("Event loop is closed")
 
@@ -76,10 +74,10 @@
         for node in self.nodes.values():
             if node.engine is not None and node.engine.core.role.value == "leader":
                 return node.address
-        raise AssertionError("nobody leads")
+        raise AssertionError("the group has no leader")
 
-    def ask(self, command: bytes) -> bytes | Failure:
-        """Propose a command on the leader and return its answer."""
+    def propose_and_wait(self, command: bytes) -> bytes | Failure:
+        """Propose a command on the leader and return its reply."""
         answers: list[bytes | Failure] = []
         address = self.leader()
         request_id = self._expect(address, answers.append)
@@ -88,7 +86,7 @@
         return answers[0]
 
     def tables(self) -> dict[str, Rows]:
-        """Return each replica's tables."""
+        """Return the rows of each running replica's tables by address."""
         return {
             node.address: read_tables(node.connection)
             for node in self.nodes.values()
@@ -97,76 +95,76 @@
 
 
 @pytest.mark.parametrize(("machine_type", "command", "reply_type"), CASES)
-def test_a_command_counts_though_the_leaders_listener_raises(
+def test_a_command_is_applied_although_the_leaders_listener_raises(
     machine_type: MachineType, command: bytes, reply_type: type
 ) -> None:
-    group = ListenedGroup(machine_type, 1, {"n0"})
-    reply = group.ask(command)
+    group = GroupWithListeners(machine_type, 1, {"n0"})
+    reply = group.propose_and_wait(command)
     assert isinstance(reply, bytes)
     assert isinstance(decode_reply(reply, reply_type), reply_type)
     assert any(group.tables()["n0"].values())
-    assert ("n0", False) in group.told
+    assert ("n0", False) in group.notifications
 
 
 @pytest.mark.parametrize(("machine_type", "command", "reply_type"), CASES)
-def test_replicas_are_equal_though_the_listener_of_one_raises(
+def test_replicas_stay_equal_although_the_followers_listeners_raise(
     machine_type: MachineType, command: bytes, reply_type: type
 ) -> None:
-    group = ListenedGroup(machine_type, 3, {"n0", "n1", "n2"})
+    group = GroupWithListeners(machine_type, 3, {"n0", "n1", "n2"})
     group.raising.remove(group.leader())
-    reply = group.ask(command)
+    reply = group.propose_and_wait(command)
     assert isinstance(reply, bytes)
     assert isinstance(decode_reply(reply, reply_type), reply_type)
     first, *others = group.tables().values()
     assert any(first.values())
     assert others == [first, first]
-    assert {address for address, _ in group.told} == set(group.addresses)
+    assert {address for address, _ in group.notifications} == set(group.addresses)
 
 
 @pytest.mark.parametrize(("machine_type", "command", "reply_type"), CASES)
-def test_each_replica_tells_once_of_a_batch(
+def test_each_replica_notifies_its_listener_once_per_batch(
     machine_type: MachineType, command: bytes, reply_type: type
 ) -> None:
-    group = ListenedGroup(machine_type, 3, set())
-    assert group.told == []
-    group.ask(command)
-    assert sorted(group.told) == [(address, False) for address in group.addresses]
+    group = GroupWithListeners(machine_type, 3, set())
+    assert group.notifications == []
+    group.propose_and_wait(command)
+    assert sorted(group.notifications) == [(address, False) for address in group.addresses]
 
 
-def test_a_notice_that_failed_is_repeated() -> None:
-    group = ListenedGroup(RegistryStateMachine, 1, {"n0"})
-    group.ask(MEMBER)
-    assert len(group.told) > 1
+def test_a_failed_notification_is_repeated() -> None:
+    group = GroupWithListeners(RegistryStateMachine, 1, {"n0"})
+    group.propose_and_wait(MEMBER)
+    assert len(group.notifications) > 1
     group.raising.clear()
     group.run(group.now_s + SETTLE_S)
-    told = len(group.told)
+    count = len(group.notifications)
     group.run(group.now_s + SETTLE_S)
-    assert len(group.told) == told
+    assert len(group.notifications) == count
 
 
-def test_a_snapshot_is_told() -> None:
-    group = ListenedGroup(LotsStateMachine, 3, set())
-    group.ask(LOT)
+def test_the_listener_is_notified_of_an_installed_snapshot() -> None:
+    group = GroupWithListeners(LotsStateMachine, 3, set())
+    group.propose_and_wait(LOT)
     follower = next(address for address in group.addresses if address != group.leader())
     group.crash(follower)
     group.nodes[follower].connection = None
     for _ in range(5):
-        group.ask(LOT)
-    group.told.clear()
+        group.propose_and_wait(LOT)
+    group.notifications.clear()
     group.start(follower)
     group.run(group.now_s + 10 * SETTLE_S)
-    assert (follower, True) in group.told
+    assert (follower, True) in group.notifications
     assert group.tables()[follower] == group.tables()[group.leader()]
 
 
 class RaisingMachine(LogMachine):
-    """Its tables are damaged on this machine."""
+    """A state machine whose database file is damaged on this host."""
 
     def apply(self, connection: sqlite3.Connection, context: ApplyContext, command: bytes) -> bytes:
         raise sqlite3.DatabaseError("database disk image is malformed")
 
 
-def test_damage_that_is_met_while_applying_ends_the_replica_and_undoes_no_command() -> None:
-    group = ListenedGroup(RaisingMachine, 1, set())
+def test_damage_found_while_applying_stops_the_replica_and_undoes_no_command() -> None:
+    group = GroupWithListeners(RaisingMachine, 1, set())
     with pytest.raises(sqlite3.DatabaseError, match="malformed"):
-        group.ask(b"a=1")
+        group.propose_and_wait(b"a=1")
--- a/tests/unit/test_consensus_slow_syncs.py
+++ b/tests/unit/test_consensus_slow_syncs.py
@@ -1,12 +1,11 @@
-"""A group whose disks take some tenths of a second for each sync goes on working.
+"""A group keeps committing commands when each sync takes some tenths of a second.
 
-Symptom: accepted batch items that nothing works on, each of those under way with one run that had
-ended. Sequence: syncs begin to take 0.2 s and more at all stores, as on a disk that many processes
-share. Cause: a replica's one thread waits for its own sync, so leader and followers hear each other
-later than the fixed lease of 0.36 s; each leader is deposed before it has heard a quorum once, and
-the next one too. Settled by: "lost the lead: no quorum was heard within the lease" after each
-"leads term"; with syncs of 0.15 s 87 commands taken in 12 s, with 0.2 s 7, with 0.3 s none, and
-10 to 17 terms. With three real stores at 0.3 s nothing ran for 41 s.
+Guards against leaders that lose their lease because syncs take 0.2 s or more, as on a disk that
+many processes share. The driver thread of a replica waits for its own sync, so replicas handle
+each other's messages late. With a fixed lease of 0.36 s, each leader stepped down before it heard
+from a quorum, and accepted batch items were not run. In 12 s the group committed 87 commands with
+syncs of 0.15 s, 7 with 0.2 s and none with 0.3 s, and went through 10 to 17 terms. Three real
+stores with syncs of 0.3 s ran nothing for 41 s.
 """
 
 from __future__ import annotations
@@ -22,41 +21,45 @@
 from leverjunction.consensus.store import Store
 from leverjunction.errors import Failure
 
-TERMS = {"heartbeat_interval_s": 0.15, "election_timeout_min_s": 0.4, "election_timeout_max_s": 0.8}
-PLAY_S = 12.0
+ELECTION_SETTINGS = {
+    "heartbeat_interval_s": 0.15,
+    "election_timeout_min_s": 0.4,
+    "election_timeout_max_s": 0.8,
+}
+RUN_S = 12.0
 PROPOSE_TIMEOUT_S = 3.0
 PROPOSERS = 3
-LEAST_TAKEN = 8
-"""Two commands of each proposer and more: one takes about four syncs."""
+MIN_COMMITTED = 8
+"""More than two commands of each proposer; a command takes about four syncs."""
 
-MOST_TERMS = 4
-"""Until the replicas have seen how slow their syncs are."""
+MAX_TERMS = 4
+"""Elections until the replicas have measured how slow their syncs are."""
 
 
 @pytest.fixture
 def cluster(tmp_path: Path) -> Iterator[Cluster]:
-    made = Cluster(tmp_path, 3, **TERMS)
-    made.start_all()
-    made.propose(b"first=1")
-    yield made
-    made.stop_all()
+    started = Cluster(tmp_path, 3, **ELECTION_SETTINGS)
+    started.start_all()
+    started.propose(b"first=1")
+    yield started
+    started.stop_all()
 
 
 @pytest.mark.parametrize("sync_s", [0.15, 0.3])
-def test_a_group_with_slow_syncs_goes_on_working(
+def test_a_group_with_slow_syncs_keeps_committing(
     cluster: Cluster, monkeypatch: pytest.MonkeyPatch, sync_s: float
 ) -> None:
     commit = Store.commit
 
-    def slow(store: Store) -> None:
+    def slow_commit(store: Store) -> None:
         if store.connection.in_transaction:
             time.sleep(sync_s)
         commit(store)
 
-    monkeypatch.setattr(Store, "commit", slow)
+    monkeypatch.setattr(Store, "commit", slow_commit)
     term = cluster.leader().status().term
-    taken: list[bytes] = []
-    until_s = time.monotonic() + PLAY_S
+    committed: list[bytes] = []
+    until_s = time.monotonic() + RUN_S
 
     def propose(name: int) -> None:
         number = 0
@@ -66,7 +69,7 @@
                 if replica.status().role == "leader":
                     reply = replica.propose(b"k%d=%d" % (name, number), PROPOSE_TIMEOUT_S)
                     if not isinstance(reply, Failure):
-                        taken.append(reply)
+                        committed.append(reply)
             time.sleep(0.02)
 
     proposers = [threading.Thread(target=propose, args=(name,)) for name in range(PROPOSERS)]
@@ -75,5 +78,5 @@
     for thread in proposers:
         thread.join()
     terms = max(replica.status().term for replica in cluster.replicas.values()) - term
-    assert len(taken) >= LEAST_TAKEN
-    assert terms <= MOST_TERMS
+    assert len(committed) >= MIN_COMMITTED
+    assert terms <= MAX_TERMS
--- a/tests/unit/test_consensus_stalled_sync.py
+++ b/tests/unit/test_consensus_stalled_sync.py
@@ -1,6 +1,6 @@
-"""One disk that stalls for seconds: what it costs a group of three, and what it does not.
+"""Effects of a disk that stalls for seconds on a group of three replicas.
 
-The time of each sync is the test's, so that the disk of the machine has no part in it.
+Syncs are simulated with fixed durations, so that the speed of the host's disk does not matter.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 import pytest
 from tests.unit.consensus_support import Cluster
 from tests.unit.test_consensus_large_entries import (
+    ELECTION_SETTINGS,
     ENTRIES,
     ENTRY_BYTES,
     PAUSE_S,
-    TERMS,
     PacedLink,
 )
 
@@ -26,18 +26,18 @@
 
 SYNC_S = 0.005
 STALL_S = 3.0
-ANSWERED_S = 1.0
-"""Longest wait of a command while a majority of disks is well: a sync and two messages."""
+COMMIT_TIMEOUT_S = 1.0
+"""Longest time to commit a command while a majority of disks works: a sync and two messages."""
 
-LED_AGAIN_S = 2.0
-"""A lease, an election timeout and its spread: 0.36, 0.8 and 0.8 s."""
+REELECTION_S = 2.0
+"""Longest time to a new leader: a lease, an election timeout and its spread (0.36, 0.8, 0.8 s)."""
 
 
 class Disks:
-    """Disks of a cluster, on which each sync takes what is said here.
+    """Simulated disks of a cluster, with a set duration for each sync.
 
     Attributes:
-        stalls_s: Of a store's file, how long its next sync takes.
+        stalls_s: Duration of the next sync of a store, in seconds, by the path of its file.
     """
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
@@ -45,20 +45,20 @@
         connect, commit = store_module._connect, Store.commit
         paths: dict[sqlite3.Connection, str] = {}
 
-        def connected(path: str) -> sqlite3.Connection:
+        def connect_without_sync(path: str) -> sqlite3.Connection:
             connection = connect(path)
             connection.execute("PRAGMA synchronous=OFF")
             paths[connection] = path
             return connection
 
-        def synced(store: Store) -> None:
+        def simulated_commit(store: Store) -> None:
             if store.connection.in_transaction:
                 path = paths.get(store.connection, "")
                 time.sleep(self.stalls_s.pop(path, SYNC_S))
             commit(store)
 
-        patch.setattr(store_module, "_connect", connected)
-        patch.setattr(Store, "commit", synced)
+        patch.setattr(store_module, "_connect", connect_without_sync)
+        patch.setattr(Store, "commit", simulated_commit)
 
 
 @pytest.fixture
@@ -68,22 +68,22 @@
 
 @pytest.fixture
 def cluster(tmp_path: Path, disks: Disks) -> Iterator[Cluster]:
-    made = Cluster(tmp_path, 3, **TERMS)
-    made.start_all()
-    made.propose(b"first=1")
-    yield made
-    made.stop_all()
+    started = Cluster(tmp_path, 3, **ELECTION_SETTINGS)
+    started.start_all()
+    started.propose(b"first=1")
+    yield started
+    started.stop_all()
 
 
 def address_of(cluster: Cluster, replica: GroupReplica) -> str:
     return next(address for address, one in cluster.replicas.items() if one is replica)
 
 
-def test_a_followers_stalled_disk_costs_neither_the_lead_nor_time(
+def test_a_followers_stalled_disk_delays_no_command_and_causes_no_election(
     cluster: Cluster, disks: Disks
 ) -> None:
     leader = cluster.leader()
-    led = leader.status()
+    before = leader.status()
     follower = next(one for one in cluster.addresses if cluster.replicas[one] is not leader)
     disks.stalls_s[str(cluster.path(follower))] = STALL_S
     until_s = time.monotonic() + STALL_S
@@ -91,17 +91,15 @@
     while time.monotonic() < until_s:
         began_s = time.monotonic()
         number += 1
-        assert leader.propose(b"k=%d" % number, ANSWERED_S) == b"applied k=%d" % number
-        assert time.monotonic() - began_s < ANSWERED_S
+        assert leader.propose(b"k=%d" % number, COMMIT_TIMEOUT_S) == b"applied k=%d" % number
+        assert time.monotonic() - began_s < COMMIT_TIMEOUT_S
         time.sleep(0.1)
-    leads = cluster.leader().status()
-    assert (leads.replica_id, leads.term) == (led.replica_id, led.term)
+    after = cluster.leader().status()
+    assert (after.replica_id, after.term) == (before.replica_id, before.term)
 
 
-def test_a_leaders_stalled_disk_costs_an_election_and_no_more(
-    cluster: Cluster, disks: Disks
-) -> None:
-    """The others lead on without it: waiting for its disk would take longer than an election."""
+def test_a_leaders_stalled_disk_causes_a_single_election(cluster: Cluster, disks: Disks) -> None:
+    """The followers elect a new leader: waiting for the disk would take longer than an election."""
     leader = cluster.leader()
     stalled = address_of(cluster, leader)
     others = [cluster.replicas[one] for one in cluster.addresses if one != stalled]
@@ -109,11 +107,11 @@
     began_s = time.monotonic()
     leader.propose(b"k=1", SYNC_S)
     while not any(one.status().role == "leader" for one in others):
-        assert time.monotonic() - began_s < LED_AGAIN_S
+        assert time.monotonic() - began_s < REELECTION_S
         time.sleep(0.01)
     new = next(one for one in others if one.status().role == "leader")
-    assert new.propose(b"k=2", ANSWERED_S) == b"applied k=2"
-    time.sleep(max(0.0, began_s + STALL_S + LED_AGAIN_S - time.monotonic()))
+    assert new.propose(b"k=2", COMMIT_TIMEOUT_S) == b"applied k=2"
+    time.sleep(max(0.0, began_s + STALL_S + REELECTION_S - time.monotonic()))
     assert [one.status().role for one in cluster.replicas.values()].count("leader") == 1
     assert cluster.leader().status().term == new.status().term
 
@@ -123,15 +121,15 @@
     tmp_path: Path, disks: Disks, bytes_per_s: float
 ) -> None:
     link = type("PacedLink", (PacedLink,), {"bytes_per_s": bytes_per_s})
-    cluster = Cluster(tmp_path, 3, link_type=link, **TERMS)
+    cluster = Cluster(tmp_path, 3, link_type=link, **ELECTION_SETTINGS)
     cluster.start_all()
     try:
         cluster.propose(b"first=1")
-        led = cluster.leader().status()
+        before = cluster.leader().status()
         for number in range(ENTRIES):
             cluster.propose(b"k%d=" % number + b"x" * ENTRY_BYTES)
             time.sleep(PAUSE_S)
-        leads = cluster.leader().status()
-        assert (leads.replica_id, leads.term) == (led.replica_id, led.term)
+        after = cluster.leader().status()
+        assert (after.replica_id, after.term) == (before.replica_id, before.term)
     finally:
         cluster.stop_all()
--- a/tests/unit/test_written_bytes.py
+++ b/tests/unit/test_written_bytes.py
@@ -1,4 +1,4 @@
-"""What a replica writes for its items is counted whole, and by its cause."""
+"""Tests of the measurement of the bytes that a replica writes per batch item, by cause."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 PAGES_PER_ENTRY = 25
 
 
-def test_causes_add_up_to_what_the_log_took(tmp_path: Path) -> None:
+def test_bytes_by_cause_add_up_to_the_bytes_of_the_log(tmp_path: Path) -> None:
     report = measure(tmp_path / "group.sqlite", jobs=2, items_per_job=64, lease_items=16)
     assert report.items == 128
     total = sum(cause.bytes_per_item for cause in report.causes)
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("index", ["sm_jobs_deadline", "sqlite_autoindex_raft_meta_1"])
-def test_a_lease_leaves_indexes_alone_whose_keys_it_does_not_change(
+def test_a_lease_does_not_write_indexes_whose_keys_it_does_not_change(
     tmp_path: Path, index: str
 ) -> None:
     report = measure(tmp_path / "group.sqlite", jobs=1, items_per_job=256, lease_items=16)
@@ -59,5 +59,5 @@
 
 
 def _pages(report: WrittenReport, name: str) -> float:
-    """Return the pages for a commit that belong to a table or index."""
+    """Return the number of pages per commit that belong to a table or index."""
     return sum(cause.pages_per_commit for cause in report.causes if cause.name == name)
