--- a/src/leverjunction/consensus/api.py
+++ b/src/leverjunction/consensus/api.py
@@ -16,8 +16,8 @@
     Attributes:
         index: Log index of the entry.
         term: Term of the leader that appended the entry.
-        wall_ms: Wall clock of the leader when it appended the entry, in milliseconds. It is part
-            of the entry, so every replica sees the same value.
+        wall_ms: Wall clock of the leader when the command was proposed, in milliseconds. It is
+            part of the entry, so every replica sees the same value.
     """
 
     index: int
@@ -99,7 +99,15 @@
         ...
 
     def query(self, query: bytes, timeout_s: float) -> bytes | Failure:
-        """Run a linearizable query on the leader; NOT_LEADER, NO_QUORUM or TIMEOUT on failure."""
+        """Run a linearizable query; only the leader answers it.
+
+        Args:
+            query: Encoded query.
+            timeout_s: Longest time to wait for the reply, in seconds.
+
+        Returns:
+            The state machine's encoded reply, or a NOT_LEADER, NO_QUORUM or TIMEOUT failure.
+        """
         ...
 
     def query_local(self, query: bytes) -> bytes:
--- a/src/leverjunction/consensus/page_checksums.py
+++ b/src/leverjunction/consensus/page_checksums.py
@@ -22,7 +22,7 @@
 
 PAGES_SUFFIX = ".pages"
 PAGE_BYTES = 4_096
-UNKNOWN = 0
+UNKNOWN_CHECKSUM = 0
 """Stored in place of a checksum for a page that no commit has written or that is being
 recovered."""
 
@@ -48,7 +48,8 @@
 
 
 def _page_checksum(number: int, page: bytes | memoryview) -> int:
-    # The page number is the seed, so that a page written to the wrong place is detected.
+    # The page number is the seed, so that a page written to the wrong place is detected. A checksum
+    # of 0 is replaced with 1, because 0 is UNKNOWN_CHECKSUM.
     return xxhash.xxh3_64_intdigest(page, number) or 1
 
 
@@ -80,15 +81,15 @@
         wal_pages = self._wal_pages()
         count = 0
         for count, page in enumerate(self._database_pages(), 1):
-            expected = checksums[count - 1] if count <= len(checksums) else UNKNOWN
-            if count in wal_pages or expected == UNKNOWN:
+            expected = checksums[count - 1] if count <= len(checksums) else UNKNOWN_CHECKSUM
+            if count in wal_pages or expected == UNKNOWN_CHECKSUM:
                 self._unknown.add(count)
             elif expected != _page_checksum(count, page):
                 return f"page {count} does not match its checksum"
         missing = [
             number
             for number in range(count + 1, len(checksums) + 1)
-            if checksums[number - 1] != UNKNOWN and number not in wal_pages
+            if checksums[number - 1] != UNKNOWN_CHECKSUM and number not in wal_pages
         ]
         self._unknown |= wal_pages
         return f"page {missing[0]} is missing, the file is truncated" if missing else ""
@@ -98,7 +99,7 @@
 
         Call it before SQLite moves the write-ahead log into the file.
         """
-        self._put(dict.fromkeys(self._unknown, UNKNOWN))
+        self._put(dict.fromkeys(self._unknown, UNKNOWN_CHECKSUM))
         os.fsync(self._descriptor)
 
     def end_recovery(self) -> None:
--- a/src/leverjunction/consensus/snapshot.py
+++ b/src/leverjunction/consensus/snapshot.py
@@ -71,7 +71,7 @@
         """Return the key columns as a SQL list, each preceded by ``prefix``."""
         return ", ".join(f"{prefix}{column}" for column in self.key)
 
-    def key_marks(self) -> str:
+    def key_placeholders(self) -> str:
         """Return a SQL list with one placeholder for each key column."""
         return ", ".join("?" for _ in self.key)
 
@@ -165,12 +165,12 @@
         It uses NOT EXISTS, because inside a trigger the conflict clause of the outer statement
         overrides OR IGNORE.
         """
-        same = " AND ".join(
+        key_match = " AND ".join(
             f"k{position} IS {row_alias}.{column}" for position, column in enumerate(schema.key)
         )
         return (
             f"INSERT INTO changed_{number} SELECT {schema.key_list(row_alias + '.')}"
-            f" WHERE NOT EXISTS (SELECT 1 FROM changed_{number} WHERE {same});"
+            f" WHERE NOT EXISTS (SELECT 1 FROM changed_{number} WHERE {key_match});"
         )
 
     def _scan_tables(self) -> Iterator[SnapshotPart]:
@@ -189,7 +189,11 @@
                 )
 
     def _read_rows(self, schema: TableSchema, after: Row | None) -> list[Row]:
-        where = f"WHERE ({schema.key_list()}) > ({schema.key_marks()})" if after is not None else ""
+        where = (
+            f"WHERE ({schema.key_list()}) > ({schema.key_placeholders()})"
+            if after is not None
+            else ""
+        )
         cursor = self._connection.execute(
             f'SELECT {", ".join(schema.columns)} FROM "{schema.name}" {where}'
             f" ORDER BY {schema.key_list()}",
@@ -215,13 +219,13 @@
     def _changed_part(self, number: int, limit: int) -> SnapshotPart:
         """Remove up to ``limit`` recorded keys; return their rows, and the keys without a row."""
         schema = self._schemas[number]
-        same = " AND ".join(f"k{position} IS ?" for position in range(len(schema.key)))
-        named = " AND ".join(f"{column} IS ?" for column in schema.key)
+        key_match = " AND ".join(f"k{position} IS ?" for position in range(len(schema.key)))
+        row_match = " AND ".join(f"{column} IS ?" for column in schema.key)
         keys = self._connection.execute(
             f"SELECT * FROM temp.changed_{number} LIMIT ?", (limit,)
         ).fetchall()
-        self._connection.executemany(f"DELETE FROM temp.changed_{number} WHERE {same}", keys)
-        select = f'SELECT {", ".join(schema.columns)} FROM "{schema.name}" WHERE {named}'
+        self._connection.executemany(f"DELETE FROM temp.changed_{number} WHERE {key_match}", keys)
+        select = f'SELECT {", ".join(schema.columns)} FROM "{schema.name}" WHERE {row_match}'
         rows: list[Row] = []
         deleted: list[Row] = []
         for key in keys:
@@ -269,13 +273,13 @@
 
     def _store_part(self, part: SnapshotPart) -> None:
         table = f'"{STAGE_PREFIX}{part.table}"'
-        named = " AND ".join(f"{column} IS ?" for column in part.columns[: part.key_columns])
-        self._connection.executemany(f"DELETE FROM {table} WHERE {named}", part.deleted)
+        row_match = " AND ".join(f"{column} IS ?" for column in part.columns[: part.key_columns])
+        self._connection.executemany(f"DELETE FROM {table} WHERE {row_match}", part.deleted)
         # REPLACE may delete another row whose unique value this row now has; a later part sends the
         # current state of that row.
-        marks = ", ".join("?" for _ in part.columns)
+        placeholders = ", ".join("?" for _ in part.columns)
         self._connection.executemany(
-            f"INSERT OR REPLACE INTO {table} ({', '.join(part.columns)}) VALUES ({marks})",
+            f"INSERT OR REPLACE INTO {table} ({', '.join(part.columns)}) VALUES ({placeholders})",
             part.rows,
         )
 
--- a/src/leverjunction/consensus/store.py
+++ b/src/leverjunction/consensus/store.py
@@ -35,7 +35,7 @@
 REPLICA_ID_BITS = 128
 TAIL_CACHE_BYTES = 8 * 1024 * 1024
 WAL_CHECKPOINT_PAGES = 4_000
-SIGNED_64 = 1 << 63
+INT64_SIGN_BIT = 1 << 63
 
 _SCHEMA = """
 CREATE TABLE IF NOT EXISTS raft_meta (
@@ -62,7 +62,7 @@
     digest = xxhash.xxh3_64()
     for part in parts:
         digest.update(part)
-    return digest.intdigest() - SIGNED_64
+    return digest.intdigest() - INT64_SIGN_BIT
 
 
 def _entry_checksum(index: int, term: int, kind: int, wall_ms: int, payload: bytes) -> int:
@@ -156,7 +156,7 @@
         sizes: list[int] = []
         configurations: list[tuple[int, Configuration]] = []
         last_index = base.index
-        for entry in self._read_entries(base.index + 1, SIGNED_64 - 1):
+        for entry in self._read_entries(base.index + 1, INT64_SIGN_BIT - 1):
             if entry.index != last_index + 1:
                 raise StoreCorruptError(f"log entry {last_index + 1} is missing")
             if not term_starts or term_starts[-1].term != entry.term:
--- a/src/leverjunction/consensus/store_faults.py
+++ b/src/leverjunction/consensus/store_faults.py
@@ -17,8 +17,8 @@
     SQLite reports a damaged file with the class ``DatabaseError`` itself. Errors that a command can
     cause, such as a duplicate key, are subclasses of it that are not listed here.
     """
-    of_the_machine = (sqlite3.OperationalError, sqlite3.InternalError, MemoryError, OSError)
-    return isinstance(error, (*of_the_machine, StoreCorruptError)) or (
+    host_errors = (sqlite3.OperationalError, sqlite3.InternalError, MemoryError, OSError)
+    return isinstance(error, (*host_errors, StoreCorruptError)) or (
         type(error) is sqlite3.DatabaseError
     )
 
@@ -48,8 +48,8 @@
     return Failure(
         kind=FailureKind.INTERNAL,
         reason=(
-            f"{path}: stopped serving after {error!r}. The data is unchanged. Keep the file, fix "
-            "the cause (such as a full disk) and start the process again"
+            f"{path}: stopped serving after {error!r}. The data was left in place. Keep the file, "
+            "fix the cause (such as a full disk) and start the process again"
         ),
         step=Step.STORING,
     )
--- a/src/leverjunction/consensus/transport.py
+++ b/src/leverjunction/consensus/transport.py
@@ -99,7 +99,7 @@
             self._changed.notify()
 
     def join(self, timeout_s: float) -> None:
-        """Wait for the thread to end."""
+        """Wait up to ``timeout_s`` seconds for the thread to end."""
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
@@ -162,13 +162,13 @@
 
     def put(self, message: Message) -> None:
         """Queue a message; a full queue drops its oldest message."""
-        large = self._large_thread
-        is_behind = large is not None and large.is_busy()
+        large_thread = self._large_thread
+        large_pending = large_thread is not None and large_thread.is_busy()
         if isinstance(message, AppendRequest) and message.entries:
-            if is_behind or _is_large(message):
+            if large_pending or _is_large(message):
                 self._put_entries(message)
                 return
-        elif isinstance(message, AppendRequest) and is_behind:
+        elif isinstance(message, AppendRequest) and large_pending:
             # A heartbeat that overtakes the entries would be rejected as if they were lost.
             self._small_thread.put(ContactRequest(header=message.header, sequence=message.sequence))
             return
@@ -183,7 +183,7 @@
             thread.stop()
 
     def join(self, timeout_s: float) -> None:
-        """Wait for the threads to end."""
+        """Wait up to ``timeout_s`` seconds for each thread to end."""
         for thread in self._threads():
             thread.join(timeout_s)
 
