--- a/tests/unit/replica_tables.py
+++ b/tests/unit/replica_tables.py
@@ -1,23 +1,23 @@
-"""The rows of a state machine's tables, to compare replicas."""
+"""Reads the rows of a state machine's tables, to compare replicas."""
 
 from __future__ import annotations
 
 import sqlite3
 from typing import Any
 
-from leverjunction.consensus.snapshot import table_shapes
+from leverjunction.consensus.snapshot import table_schemas
 
 Rows = dict[str, list[tuple[Any, ...]]]
-"""Rows by table, in order."""
+"""Sorted rows by table."""
 
 ROWID = "rowid"
 
 
-def tables_of(connection: sqlite3.Connection) -> Rows:
-    """Return what is in the ``sm_`` tables; numbers that SQLite gave to rows don't count."""
+def read_tables(connection: sqlite3.Connection) -> Rows:
+    """Return the rows of all ``sm_`` tables, without the rowids that SQLite assigned."""
     return {
-        shape.name: _rows(connection, shape.name, [c for c in shape.columns if c != ROWID])
-        for shape in table_shapes(connection)
+        schema.name: _rows(connection, schema.name, [c for c in schema.columns if c != ROWID])
+        for schema in table_schemas(connection)
     }
 
 
