--- a/src/leverjunction/batch/lease_keeper.py
+++ b/src/leverjunction/batch/lease_timers.py
@@ -15,7 +15,7 @@
 """An expiry whose proposal may have failed is offered again after this long."""
 
 
-class LeaseKeeper:
+class LeaseTimers:
     """Pure: time is passed in. Called by the control process that leads the group."""
 
     def __init__(self, duration_s: float = LEASE_DURATION_S) -> None:
--- a/src/leverjunction/control/lease_expiry.py
+++ b/src/leverjunction/control/lease_expiry.py
@@ -1,7 +1,7 @@
 """Expiry of batch leases and deadlines on the leaders of the job groups.
 
 Each control process runs one ``LeaseExpiry`` for the job groups that it holds; it acts only for
-those that it leads. Leases are kept by the leader's monotonic clock (``batch.lease_keeper``).
+those that it leads. Leases are kept by the leader's monotonic clock (``batch.lease_timers``).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     GetBacklog,
     GrantLease,
 )
-from leverjunction.batch.lease_keeper import LeaseKeeper
+from leverjunction.batch.lease_timers import LeaseTimers
 from leverjunction.batch.leasing import LEASE_DURATION_S
 from leverjunction.clock import Clock
 from leverjunction.consensus.api import GroupStatus, ReplicatedGroup
@@ -57,7 +57,7 @@
 
     def __init__(self, duration_s: float) -> None:
         self.lock = threading.Lock()
-        self.keeper = LeaseKeeper(duration_s)
+        self.timers = LeaseTimers(duration_s)
         self.term = 0
         self.reconciled_s = 0.0
         self.deadlines_s = 0.0
@@ -101,7 +101,7 @@
         if command.startswith(_GRANT_PREFIX):
             lease_id = msgspec.json.decode(command, type=GrantLease).lease_id
             with led.lock:
-                led.keeper.granted(lease_id, now_s)
+                led.timers.granted(lease_id, now_s)
                 led.granted_lately.add(lease_id)
         elif command.startswith(_CANCEL_PREFIX):
             job_id = msgspec.json.decode(command, type=CancelJob).job_id
@@ -145,12 +145,12 @@
     ) -> HeldLeases:
         now_s = self._clock.monotonic_s()
         with led.lock:
-            unknown = led.keeper.renewed(held.lease_ids, now_s)
+            unknown = led.timers.renewed(held.lease_ids, now_s)
         if unknown:
             # A grant whose proposer timed out is in the applied state though nobody told of it.
             self._reconcile(replica, led)
             with led.lock:
-                unknown = led.keeper.renewed(unknown, now_s)
+                unknown = led.timers.renewed(unknown, now_s)
         return HeldLeases(held.owner, unknown)
 
     def _tick_group(self, group: str, replica: ReplicatedGroup, led: _LedGroup) -> None:
@@ -183,7 +183,7 @@
         now_s = self._clock.monotonic_s()
         open_leases = _open_leases(backlog)
         with led.lock:
-            led.keeper.became_leader(open_leases | led.granted_lately, now_s)
+            led.timers.became_leader(open_leases | led.granted_lately, now_s)
             for job_id in backlog.cancelled_jobs:
                 led.cancelled[job_id] = now_s + CANCELLED_TOLD_S
             led.due_ms = backlog.next_due_ms
@@ -201,7 +201,7 @@
         now_s = self._clock.monotonic_s()
         with led.lock:
             # Granted while the state was read: not in it yet, and open all the same.
-            led.keeper.retain(_open_leases(backlog) | led.granted_lately, now_s)
+            led.timers.retain(_open_leases(backlog) | led.granted_lately, now_s)
             led.due_ms = backlog.next_due_ms
             led.reconciled_s = now_s
 
@@ -209,14 +209,14 @@
         self, group: str, replica: ReplicatedGroup, led: _LedGroup, now_s: float
     ) -> None:
         with led.lock:
-            due = led.keeper.expired(now_s)
+            due = led.timers.expired(now_s)
         if not due:
             return
         outcome = _propose(replica, ExpireLeases(lease_ids=due), ExpiredLeases)
         if isinstance(outcome, Failure):
             return
         with led.lock:
-            led.keeper.ended(due)
+            led.timers.ended(due)
         logger.info("{}: {} leases expired, {} items returned", group, len(due), outcome.returned)
 
 
--- a/src/testbed/simulation/broken_state.py
+++ b/src/testbed/simulation/broken_state.py
@@ -15,7 +15,7 @@
 from leverjunction.batch.harvest_state import HarvestState
 from leverjunction.batch.harvester import Harvester
 from leverjunction.batch.item_run import RunEnd, RunResult
-from leverjunction.batch.lease_keeper import LeaseKeeper
+from leverjunction.batch.lease_timers import LeaseTimers
 from leverjunction.batch.orphan_sweep import OrphanSweep
 from leverjunction.batch.result_sender import ResultSender
 from leverjunction.consensus.core_base import CoreBase
@@ -209,7 +209,7 @@
 
 def never_expire_leases() -> list[Any]:
     """Return the patches."""
-    return [mock.patch.object(LeaseKeeper, "expired", lambda _self, _now_s: [])]
+    return [mock.patch.object(LeaseTimers, "expired", lambda _self, _now_s: [])]
 
 
 def run_on_after_cancel() -> list[Any]:
--- a/tests/unit/test_control_machine_source.py
+++ b/tests/unit/test_control_machine_source.py
@@ -100,7 +100,7 @@
 def test_the_leader_keeps_leases_as_long_as_holders_were_told() -> None:
     """Found by the simulator: 6 s here and 10 s at the holder let an item run at two gateways."""
     expiry = LeaseExpiry({"jobs-0": cast(ReplicatedGroup, None)}, SystemClock())
-    keeper = expiry._groups["jobs-0"].keeper
-    keeper.granted("lease", 0.0)
-    assert keeper.expired(LEASE_DURATION_S - 0.1) == []
-    assert keeper.expired(LEASE_DURATION_S + 0.1) == ["lease"]
+    timers = expiry._groups["jobs-0"].timers
+    timers.granted("lease", 0.0)
+    assert timers.expired(LEASE_DURATION_S - 0.1) == []
+    assert timers.expired(LEASE_DURATION_S + 0.1) == ["lease"]
