--- a/src/leverjunction/batch/harvester.py
+++ b/src/leverjunction/batch/harvester.py
@@ -168,9 +168,9 @@
         for run in dropped:
             self._cancel_threads.submit(self._cancel, run)
 
-    def pending_told(self, work: list[PendingWork]) -> None:
+    def update_pending(self, work: list[PendingWork]) -> None:
         """Take the hub's word of where work is pending: when to ask for leases."""
-        self._fetcher.pending_told(work)
+        self._fetcher.update_pending(work)
 
     def stats(self) -> HarvestStats:
         """Return what the harvester is doing now."""
--- a/src/leverjunction/batch/lease_fetcher.py
+++ b/src/leverjunction/batch/lease_fetcher.py
@@ -89,7 +89,7 @@
         """Take the names of the job groups."""
         self._groups = list(groups)
 
-    def pending_told(self, work: list[PendingWork]) -> None:
+    def update_pending(self, work: list[PendingWork]) -> None:
         """Take the hub's word of where work is pending."""
         with self._lock:
             is_news = self._polls.told(work)
--- a/src/leverjunction/batch/orphan_sweep.py
+++ b/src/leverjunction/batch/orphan_sweep.py
@@ -85,7 +85,7 @@
         self._missing_since_s: dict[str, float] = {}
         self._schedules: dict[str, _Schedule] = {}
 
-    def follow(
+    def update(
         self, owned: Iterable[RunnerState], gateways: Iterable[GatewayState], now_s: float
     ) -> None:
         """Take the runners that this gateway owns now, and the gateways that are live."""
@@ -103,13 +103,18 @@
             self._schedules[runner.runner_id] = schedule
 
     def take_due(self, now_s: float) -> list[RunnerState]:
-        """Return the runners to look at now; each look ends with ``answered`` or ``failed``."""
+        """Return the runners to look at now.
+
+        Each look ends with ``find_orphans`` or ``query_failed``.
+        """
         due = [schedule for schedule in self._schedules.values() if schedule.due_s <= now_s]
         for schedule in due:
             schedule.due_s = math.inf
         return [schedule.runner for schedule in due]
 
-    def answered(self, runner_id: str, requests: Iterable[HeldRequest], now_s: float) -> list[str]:
+    def find_orphans(
+        self, runner_id: str, requests: Iterable[HeldRequest], now_s: float
+    ) -> list[str]:
         """Take what a runner holds; returns the ids of the requests to cancel there."""
         schedule = self._schedules.get(runner_id)
         if schedule is None:
@@ -119,7 +124,7 @@
         schedule.answered += 1
         return [held.request_id for held in requests if self._is_orphan(held, now_s)]
 
-    def failed(self, runner_id: str, now_s: float) -> None:
+    def query_failed(self, runner_id: str, now_s: float) -> None:
         """A runner did not answer, or did not take a cancel: look again at the next chance."""
         schedule = self._schedules.get(runner_id)
         if schedule is not None:
--- a/src/leverjunction/gateway/exchange.py
+++ b/src/leverjunction/gateway/exchange.py
@@ -54,7 +54,7 @@
         """Drop leases that are no longer valid and work of cancelled jobs."""
         ...
 
-    def pending_told(self, work: list[PendingWork]) -> None:
+    def update_pending(self, work: list[PendingWork]) -> None:
         """Take the hub's word of where work is pending."""
         ...
 
@@ -236,7 +236,7 @@
         if reply.lost_lease_ids or reply.cancelled_jobs:
             self._leases.revoke(reply.lost_lease_ids, reply.cancelled_jobs)
         if reply.pending_work is not None:
-            self._leases.pending_told(reply.pending_work)
+            self._leases.update_pending(reply.pending_work)
         self._on_view(after)
 
     def _apply_settings(self, reply: ExchangeReply) -> None:
--- a/src/leverjunction/gateway/orphan_sweeper.py
+++ b/src/leverjunction/gateway/orphan_sweeper.py
@@ -65,7 +65,7 @@
             return
         now_s = self._clock.monotonic_s()
         with self._lock:
-            self._sweep.follow(owned, snapshot.gateways.values(), now_s)
+            self._sweep.update(owned, snapshot.gateways.values(), now_s)
             due = self._sweep.take_due(now_s)
         for runner in due:
             self._threads.submit(self._look, runner)
@@ -79,9 +79,9 @@
         now_s = self._clock.monotonic_s()
         with self._lock:
             if isinstance(held, Failure):
-                self._sweep.failed(runner.runner_id, now_s)
+                self._sweep.query_failed(runner.runner_id, now_s)
                 return
-            orphans = self._sweep.answered(runner.runner_id, held, now_s)
+            orphans = self._sweep.find_orphans(runner.runner_id, held, now_s)
         if orphans:
             self._cancel_all(runner, orphans)
 
@@ -91,6 +91,6 @@
             failure = self._engines.cancel(runner.address, request_id)
             if failure is not None:
                 with self._lock:
-                    self._sweep.failed(runner.runner_id, self._clock.monotonic_s())
+                    self._sweep.query_failed(runner.runner_id, self._clock.monotonic_s())
                 return
             self._counters.orphans_cancelled.inc()
--- a/tests/unit/test_batch_lease_fetcher.py
+++ b/tests/unit/test_batch_lease_fetcher.py
@@ -137,20 +137,20 @@
 
 def test_an_idle_fleet_is_hardly_polled_and_work_is_begun_at_the_hubs_word() -> None:
     fetching = Fetching(0, has_job=False)
-    fetching.fetcher.pending_told([PendingWork("jobs-0", [])])
+    fetching.fetcher.update_pending([PendingWork("jobs-0", [])])
     for _ in range(600):
         fetching.fetcher.fetch_once()
         fetching.clock.now_s += CHECK_INTERVAL_S
     assert fetching.control.queries <= 60.0 / (SAFETY_POLL_S / 2) + 1
     fetching.add_job()
-    fetching.fetcher.pending_told([PendingWork("jobs-0", ["llm"])])
+    fetching.fetcher.update_pending([PendingWork("jobs-0", ["llm"])])
     fetching.fetcher.fetch_once()
     assert [len(lease.items) for lease in fetching.leases] == [8]
 
 
 def test_work_of_which_the_word_was_lost_is_found() -> None:
     fetching = Fetching(0, has_job=False)
-    fetching.fetcher.pending_told([PendingWork("jobs-0", [])])
+    fetching.fetcher.update_pending([PendingWork("jobs-0", [])])
     fetching.fetcher.fetch_once()
     fetching.add_job()
     fetching.clock.now_s += SAFETY_POLL_S
--- a/tests/unit/test_batch_orphan_sweep.py
+++ b/tests/unit/test_batch_orphan_sweep.py
@@ -38,7 +38,7 @@
 
 def sweep_with(*others: GatewayState) -> OrphanSweep:
     sweep = OrphanSweep(ME, MY_INCARNATION)
-    sweep.follow([RUNNER], others, 0.0)
+    sweep.update([RUNNER], others, 0.0)
     return sweep
 
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("label", ["", "x", "g/1", "g/x/repeat", "g/1/often"])
 def test_a_label_of_another_kind_is_left_alone(label: str) -> None:
     assert RequestOwner.from_label(label) is None
-    assert sweep_with().answered("r1", [HeldRequest("x", label)], 0.0) == []
+    assert sweep_with().find_orphans("r1", [HeldRequest("x", label)], 0.0) == []
 
 
 @pytest.mark.parametrize(
@@ -71,23 +71,23 @@
 def test_whose_requests_are_cancelled_at_once(
     request_held: HeldRequest, is_cancelled: bool
 ) -> None:
-    cancelled = sweep_with(gateway("gateway-2", 7)).answered("r1", [request_held], 0.0)
+    cancelled = sweep_with(gateway("gateway-2", 7)).find_orphans("r1", [request_held], 0.0)
     assert cancelled == ([request_held.request_id] if is_cancelled else [])
 
 
 def test_what_may_not_repeat_stays_while_its_lease_may_be_renewed() -> None:
     sweep, once = sweep_with(), held("gone", 7, may_repeat=False)
-    assert sweep.answered("r1", [once], 1.0) == []
-    assert sweep.answered("r1", [once], LEASE_DURATION_S + 0.9) == []
-    assert sweep.answered("r1", [once], LEASE_DURATION_S + 1.0) == [once.request_id]
+    assert sweep.find_orphans("r1", [once], 1.0) == []
+    assert sweep.find_orphans("r1", [once], LEASE_DURATION_S + 0.9) == []
+    assert sweep.find_orphans("r1", [once], LEASE_DURATION_S + 1.0) == [once.request_id]
 
 
 def test_a_gateway_that_came_back_counts_as_missing_from_its_next_loss_on() -> None:
     sweep, once = sweep_with(), held("gateway-2", 7, may_repeat=False)
-    assert sweep.answered("r1", [once], 0.0) == []
-    sweep.follow([RUNNER], [gateway("gateway-2", 7)], 5.0)
-    sweep.follow([RUNNER], [], 9.0)
-    assert sweep.answered("r1", [once], LEASE_DURATION_S) == []
+    assert sweep.find_orphans("r1", [once], 0.0) == []
+    sweep.update([RUNNER], [gateway("gateway-2", 7)], 5.0)
+    sweep.update([RUNNER], [], 9.0)
+    assert sweep.find_orphans("r1", [once], LEASE_DURATION_S) == []
 
 
 def test_a_runner_taken_over_is_looked_at_until_no_dead_gateway_can_start_more() -> None:
@@ -95,7 +95,7 @@
     while now_s < 60.0:
         for runner in sweep.take_due(now_s):
             looks.append(now_s)
-            sweep.answered(runner.runner_id, [], now_s)
+            sweep.find_orphans(runner.runner_id, [], now_s)
         now_s += 1.0
     assert looks == [0.0, LATER_LOOKS_S[0], sum(LATER_LOOKS_S)]
     assert looks[-1] > LEASE_DURATION_S
@@ -114,8 +114,8 @@
     sweep = sweep_with(gateway("gateway-2", 7))
     for now_s in (0.0, 2.0, 12.0):
         assert sweep.take_due(now_s) == [RUNNER]
-        sweep.answered("r1", [], now_s)
-    sweep.follow([RUNNER], others, 20.0)
+        sweep.find_orphans("r1", [], now_s)
+    sweep.update([RUNNER], others, 20.0)
     assert bool(sweep.take_due(20.0)) is is_due
 
 
@@ -123,15 +123,15 @@
     sweep = sweep_with()
     assert sweep.take_due(0.0) == [RUNNER]
     assert sweep.take_due(1.0) == [], "one look at a time"
-    sweep.failed("r1", 1.0)
+    sweep.query_failed("r1", 1.0)
     assert sweep.take_due(1.0) == [RUNNER]
 
 
 def test_a_runner_of_another_gateway_is_not_looked_at() -> None:
     sweep = sweep_with()
-    sweep.follow([], [], 1.0)
+    sweep.update([], [], 1.0)
     assert sweep.take_due(1.0) == []
-    assert sweep.answered("r1", [held("gone", 7)], 1.0) == []
+    assert sweep.find_orphans("r1", [held("gone", 7)], 1.0) == []
 
 
 def test_an_engine_lists_what_has_an_owner_and_still_runs_or_waits() -> None:
