--- a/src/leverjunction/batch/harvest.py
+++ b/src/leverjunction/batch/harvest.py
@@ -1,20 +1,25 @@
-"""How many batch requests one runner may hold: all it can while idle, little beside online work.
-
-Pure: one controller a runner, fed with events (each with the time), asked for a decision. Used by
-the harvester in a gateway and by the simulator.
-
-The rules, and why:
-
-* *Idle* (no online request known): fill the runner, but only up to the step time that an arriving
-  online request may find running, since a step that has begun cannot be stopped.
-* *Busy*: the growth of the step that ``interference`` allows is split between decoding and
-  reading prompts. Filling decode slots up to the target would leave no room for prompts, and
-  then no item could start.
-* A prompt chunk makes single steps longer than the target when the target is small. Such steps
-  are kept so rare that they stay out of the 99th percentile.
-* *Park at once* on the first arrival, *refill only after* online has been gone for a moment:
-  reports lag, and parking at every arrival with a lag would restart the same items for ever. A
-  floor keeps ``batch_floor`` requests on the runner whatever happens.
+"""Controller of the number of batch requests on one runner.
+
+Harvesting means running batch requests on capacity that online requests leave unused. An idle
+runner is filled with batch requests; a runner with online requests keeps only a few.
+
+The controller does no I/O and reads no clock. The harvester of a gateway and the simulator create
+one per runner, report events to it together with their time, and ask it for decisions.
+
+Rules:
+
+* *Idle* (no known online request): fill the runner, but limit the step time, because an online
+  request that arrives must wait for the end of the running step.
+* *Busy*: ``interference`` limits how much batch work may lengthen a step. That allowance is split
+  between decoding and prefill. If decoding used all of it, no prompt could be read and no new
+  item could start.
+* With a small ``interference``, one prefill chunk alone makes a step longer than allowed. Such
+  steps are rationed so that they do not show in the 99th percentile of the step time.
+* *Parking* cancels a batch request and keeps its text, so that it can be continued later. Batch
+  requests are parked as soon as an online request arrives, and the runner is refilled only after
+  online requests have been absent for a moment. Load reports lag, so without that delay the same
+  items would be parked and restarted again and again.
+* ``batch_floor`` decoding requests stay on the runner in any case.
 """
 
 from __future__ import annotations
@@ -28,56 +33,75 @@
 from leverjunction.batch.step_time import StepTimeModel
 
 DECODE_SHARE = 0.5
-"""Share of the allowed growth for decoding batch sequences; the rest is for their prompts."""
+"""Share of the allowed step growth for decoding batch requests; the rest is for their prefill."""
 
-RARE_STEP_RATIO = 0.002
-"""Share of steps that may exceed the target for a prompt: a fifth of what the p99 shows, as online
-prompts themselves use up the rest."""
+MIN_LONG_STEP_RATIO = 0.002
+"""Share of steps that may exceed the target because of batch prefill.
 
-LONG_STEP_POWER = 4
-"""How steeply the ration grows as the target comes near the length of a prompt step: so that the
-share of longer steps stays out of the 99th percentile until the target is a third of one."""
+A p99 ignores 1% of the steps. Batch prefill may use a fifth of that; prompts of online requests
+use up the rest.
+"""
+
+LONG_STEP_EXPONENT = 4
+"""Exponent of the growth of the long-step share as the target approaches the prefill step time.
 
-REFILL_HOLD_S = 0.15
-"""Online must be gone this long before a refill: above a report's usual lag, far below 1 s."""
+With this exponent, long steps do not show in the p99 while the target is below a third of a
+prefill step.
+"""
+
+REFILL_DELAY_S = 0.15
+"""Time without online requests before the runner is refilled.
+
+It is longer than the usual lag of a load report and far shorter than 1 s.
+"""
 
 NOTICE_HOLD_S = 0.5
-"""A yield notice says nothing of the request's end: it holds until reports can show it."""
+"""How long a yield notice counts as an online request.
+
+A notice does not announce the end of its request, so it holds until load reports can show it.
+"""
 
 REPORT_LAG_S = 0.2
-"""Usual age of what a report tells, its way included."""
+"""Usual age of a load report's content on arrival, including the network delay."""
 
 REPORT_STALE_S = 2.0
-"""Without a report for this long the runner's state is unknown and nothing new starts."""
+"""Age of the last load report from which on the runner's state is unknown and nothing starts."""
 
 IDLE_GROWTH_BASE = 0.5
 IDLE_GROWTH_PER_INTERFERENCE = 5.0
-"""Idle steps may grow by base + factor * interference: what an arriving request may find."""
+"""Allowed relative growth of a step on an idle runner: base + factor * interference.
+
+This bounds how long an arriving online request waits for the running step.
+"""
 
 PREFILL_CHUNK_TOKENS = 128
-"""Prompt tokens that engines read in a step for batch work: what a start costs in steps."""
+"""Prompt tokens of batch requests that an engine processes per step."""
 
 DEFAULT_PROMPT_TOKENS = 768
-"""Assumed when the caller does not know the length of a prompt."""
+"""Prompt length assumed when the caller does not know it."""
+
+DEFAULT_PROMPT_STEPS = math.ceil(DEFAULT_PROMPT_TOKENS / PREFILL_CHUNK_TOKENS)
 
-USUAL_PROMPT_STEPS = math.ceil(DEFAULT_PROMPT_TOKENS / PREFILL_CHUNK_TOKENS)
+MAX_PREFILL_CREDIT_STEPS = 16.0
+"""Upper limit of the saved prefill credit: enough to start about one request."""
 
-MAX_CREDIT_STEPS = 16.0
-"""Steps beyond the target that may be saved up: about one start."""
+ONLINE_FORGET_AFTER_S = 1.0
+ONLINE_FORGET_AFTER_REPORTS = 3
+"""When announced online requests are considered gone without an announced end.
 
-FORGET_ONLINE_S = 1.0
-FORGET_ONLINE_REPORTS = 3
-"""Announced requests count as gone when so many reports, this long after, show none: the end of
-one may never be announced (a process was killed, a caller's thread died)."""
+That is after this many consecutive load reports without online requests, all received later than
+this time after the last arrival. The end of a request is never announced if its process was
+killed or the calling thread died.
+"""
 
 
 class HarvestTargets(msgspec.Struct, frozen=True, kw_only=True):
-    """The service's settings that bound batch on a runner.
+    """Settings of a service that limit batch work on its runners.
 
     Attributes:
-        interference: Allowed growth of the step time beside online work; 0.05 is 5%.
-        batch_floor: Batch requests kept even beside online work.
-        batch_max_running: Most batch requests on the runner at any time.
+        interference: Allowed growth of the step time while online requests run; 0.05 is 5%.
+        batch_floor: Batch requests that stay on the runner even while online requests run.
+        batch_max_running: Maximum number of batch requests on the runner.
     """
 
     interference: float
@@ -86,13 +110,13 @@
 
 
 class HarvestDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """What to do with one runner's batch work now.
+    """Changes to make now to the batch work on one runner.
 
     Attributes:
-        allowed: Batch requests that it may hold.
-        start: How many may be started now.
-        park: Requests to cancel now; their text is kept and they go on later.
-        reason: One sentence that says why.
+        allowed: Number of batch requests that the runner may hold.
+        start: Number of batch requests that may be started now.
+        park: Keys of the requests to cancel now; they are continued later with their text.
+        reason: Explanation for operators.
     """
 
     allowed: int
@@ -102,31 +126,36 @@
 
 
 @dataclass
-class _Held:
+class _HeldRequest:
     """A batch request on the runner.
 
-    ``prompt_read_s`` is when its prompt is estimated to have been read; ``is_rationed`` says that
-    its prompt steps beside online work are paid for.
+    Attributes:
+        started_s: When the request was sent, in monotonic seconds.
+        may_park: Whether the request may be cancelled and continued later.
+        prefill_end_s: Estimated end of its prefill, in monotonic seconds.
+        is_prefill_paid: Whether its prefill steps were deducted from the prefill credit.
+        parking: Whether parking has been decided.
     """
 
     started_s: float
     may_park: bool
-    prompt_read_s: float
-    is_rationed: bool
+    prefill_end_s: float
+    is_prefill_paid: bool
     parking: bool = False
 
 
 @dataclass
 class HarvestController:
-    """Controller of one runner. Not safe for threads; the caller serialises calls.
+    """Decides how many batch requests one runner holds. Not thread-safe.
 
     Args:
         targets: Settings in force; replace the attribute when they change.
+        step_time: Model of the runner's step time.
     """
 
     targets: HarvestTargets
     step_time: StepTimeModel = field(default_factory=StepTimeModel)
-    _held: dict[int, _Held] = field(default_factory=dict)
+    _held: dict[int, _HeldRequest] = field(default_factory=dict)
     _local_online: int = 0
     _last_arrival_s: float = -math.inf
     _empty_reports: int = 0
@@ -134,52 +163,52 @@
     _reported_s: float = -math.inf
     _notice_until_s: float = -math.inf
     _busy_until_s: float = -math.inf
-    _credit_steps: float = 0.0
-    _prompts_read_s: float = -math.inf
-    _credit_s: float = 0.0
+    _prefill_credit_steps: float = 0.0
+    _prefill_end_s: float = -math.inf
+    _credit_updated_s: float = 0.0
 
     @property
     def held(self) -> int:
-        """Batch requests on the runner that are not being parked."""
+        """Number of batch requests on the runner that are not being parked."""
         return sum(1 for held in self._held.values() if not held.parking)
 
     def online_arrived(self, now_s: float) -> None:
-        """An online request is about to be sent to the runner through this process."""
-        self._be_busy(now_s, now_s + REFILL_HOLD_S)
+        """Record that this process is about to send an online request to the runner."""
+        self._mark_busy(now_s, now_s + REFILL_DELAY_S)
         self._local_online += 1
         self._last_arrival_s = now_s
         self._empty_reports = 0
 
     def online_finished(self, now_s: float) -> None:
-        """An online request that was announced by ``online_arrived`` has ended."""
+        """Record the end of an online request that ``online_arrived`` announced."""
         self._local_online = max(0, self._local_online - 1)
-        self._busy_until_s = max(self._busy_until_s, now_s + REFILL_HOLD_S)
+        self._busy_until_s = max(self._busy_until_s, now_s + REFILL_DELAY_S)
 
     def notice_arrived(self, now_s: float) -> None:
-        """Another process has sent an online request to the runner (yield notice)."""
-        self._be_busy(now_s, now_s + NOTICE_HOLD_S)
+        """Record a yield notice: another process has sent an online request to the runner."""
+        self._mark_busy(now_s, now_s + NOTICE_HOLD_S)
         self._notice_until_s = now_s + NOTICE_HOLD_S
 
     def observe(self, report: LoadReport, now_s: float) -> None:
-        """Take a load report, which may lag behind the events above."""
+        """Process a load report, which may be older than events recorded before it."""
         batch = report.batch_running + report.batch_waiting
-        online = max(0, report.running + report.waiting - batch)
-        if online:
-            self._be_busy(now_s, now_s + REFILL_HOLD_S)
-        self._reported_online = online
+        online_count = max(0, report.running + report.waiting - batch)
+        if online_count:
+            self._mark_busy(now_s, now_s + REFILL_DELAY_S)
+        self._reported_online = online_count
         self._reported_s = now_s
-        if online:
+        if online_count:
             self._empty_reports = 0
-        elif now_s - self._last_arrival_s > FORGET_ONLINE_S:
+        elif now_s - self._last_arrival_s > ONLINE_FORGET_AFTER_S:
             self._empty_reports += 1
-            if self._empty_reports >= FORGET_ONLINE_REPORTS:
+            if self._empty_reports >= ONLINE_FORGET_AFTER_REPORTS:
                 self._local_online = 0
-        reading = self._reading(now_s)
+        prefilling = self._count_prefilling(now_s)
         self.step_time.observe(
-            max(0, report.running - min(reading, report.batch_running)),
+            max(0, report.running - min(prefilling, report.batch_running)),
             report.step_ms,
-            reads_prompt=reading > 0,
-            beside_online=self._reported_online > 0,
+            has_prefill=prefilling > 0,
+            with_online=self._reported_online > 0,
         )
 
     def started(
@@ -190,132 +219,142 @@
         may_park: bool = True,
         prompt_tokens: int = DEFAULT_PROMPT_TOKENS,
     ) -> None:
-        """A batch request was sent to the runner.
+        """Record that a batch request was sent to the runner.
 
         Args:
-            request: Key of the request, for ``ended`` and for parking.
-            now_s: Monotonic time.
-            may_park: False when it must not be cancelled.
-            prompt_tokens: Tokens that the runner has to read before it decodes.
+            request: Key of the request, used in ``ended`` and in ``HarvestDecision.park``.
+            now_s: Monotonic time in seconds.
+            may_park: Whether the request may be cancelled.
+            prompt_tokens: Tokens that the runner processes before it decodes.
         """
         steps = math.ceil(prompt_tokens / PREFILL_CHUNK_TOKENS)
-        step_ms = self.step_time.predict_ms(self.held, reads_prompt=True)
-        # Prompts are read one after another, a chunk in each step.
-        self._prompts_read_s = max(self._prompts_read_s, now_s) + steps * step_ms / 1000
+        step_ms = self.step_time.predict_ms(self.held, has_prefill=True)
+        # Prompts are processed one after another, one chunk per step.
+        self._prefill_end_s = max(self._prefill_end_s, now_s) + steps * step_ms / 1000
         is_busy = self.is_busy(now_s)
         if is_busy:
-            self._credit_steps -= steps
-        self._held[request] = _Held(
+            self._prefill_credit_steps -= steps
+        self._held[request] = _HeldRequest(
             started_s=now_s,
             may_park=may_park,
-            prompt_read_s=self._prompts_read_s,
-            is_rationed=is_busy,
+            prefill_end_s=self._prefill_end_s,
+            is_prefill_paid=is_busy,
         )
 
     def ended(self, request: int) -> None:
-        """A batch request has left the runner: finished, failed or parked."""
+        """Record that a batch request has left the runner: finished, failed or parked."""
         self._held.pop(request, None)
 
-    def online(self, now_s: float) -> int:
-        """Return how many online requests the runner is believed to have."""
+    def online_count(self, now_s: float) -> int:
+        """Return the estimated number of online requests on the runner."""
         noticed = 1 if now_s < self._notice_until_s else 0
         reported = self._reported_online if now_s - self._reported_s < REPORT_STALE_S else 0
         return max(self._local_online, noticed, reported)
 
     def idle_capacity(self) -> int:
-        """Return how many batch requests the runner may hold while no online work is there."""
+        """Return how many batch requests the runner may hold without online requests."""
         growth = IDLE_GROWTH_BASE + IDLE_GROWTH_PER_INTERFERENCE * self.targets.interference
-        room_ms = self.step_time.predict_ms(1) * (1.0 + growth) - self.step_time.predict_ms(0)
+        budget_ms = self.step_time.predict_ms(1) * (1.0 + growth) - self.step_time.predict_ms(0)
         return min(
             self.targets.batch_max_running,
-            max(1, math.floor(room_ms / self.step_time.per_sequence_ms)),
+            max(1, math.floor(budget_ms / self.step_time.per_sequence_ms)),
         )
 
     def seconds_without_report(self, now_s: float) -> float:
-        """Return how long the runner has not reported its load."""
+        """Return the time since the runner's last load report, in seconds."""
         return now_s - self._reported_s
 
     def is_busy(self, now_s: float) -> bool:
-        """Return whether online work is there, or was a moment ago."""
-        return self.online(now_s) > 0 or now_s < self._busy_until_s
+        """Return whether the runner has online requests, or had some a moment ago."""
+        return self.online_count(now_s) > 0 or now_s < self._busy_until_s
 
     def decide(self, now_s: float) -> HarvestDecision:
-        """Decide from all events so far; the caller carries the decision out at once."""
+        """Return the decision after all recorded events; the caller must apply it immediately."""
         if now_s - self._reported_s > REPORT_STALE_S:
             return HarvestDecision(
-                allowed=self.held, start=0, park=[], reason="no load report; nothing new starts"
+                allowed=self.held, start=0, park=[], reason="no recent load report: starts nothing"
             )
         if not self.is_busy(now_s):
             return self._decide_idle(now_s)
-        return self._decide_busy(now_s)
+        return self._decide_with_online(now_s)
 
-    def _be_busy(self, now_s: float, until_s: float) -> None:
-        """Count as busy until a time, or for longer if more says so.
+    def _mark_busy(self, now_s: float, until_s: float) -> None:
+        """Count the runner as busy at least until ``until_s``.
 
-        Idle time earns no prompt steps, also when nobody asked for a decision meanwhile.
+        Prefill credit is earned only while the runner is busy. On a change from idle to busy the
+        credit therefore starts from now, even if no decision was requested while it was idle.
         """
         if not self.is_busy(now_s):
-            self._credit_s = now_s
+            self._credit_updated_s = now_s
         self._busy_until_s = max(self._busy_until_s, until_s)
 
-    def _reading(self, now_s: float) -> int:
-        """Return how many batch prompts were still being read at the time of a usual report."""
-        then_s = now_s - REPORT_LAG_S
+    def _count_prefilling(self, now_s: float) -> int:
+        """Return how many batch requests were in prefill when the newest report was made.
+
+        The report is assumed to have the usual age.
+        """
+        report_time_s = now_s - REPORT_LAG_S
         return sum(
-            1 for held in self._held.values() if held.started_s <= then_s < held.prompt_read_s
+            1
+            for held in self._held.values()
+            if held.started_s <= report_time_s < held.prefill_end_s
         )
 
     def _decide_idle(self, now_s: float) -> HarvestDecision:
-        self._credit_s = now_s
+        self._credit_updated_s = now_s
         allowed = self.idle_capacity()
         return HarvestDecision(
             allowed=allowed,
             start=max(0, allowed - self.held),
             park=[],
-            reason=f"no online request: fills up to {allowed}, a step of "
+            reason=f"no online requests: up to {allowed} batch requests, predicted step "
             f"{self.step_time.predict_ms(allowed):.1f} ms",
         )
 
-    def _decide_busy(self, now_s: float) -> HarvestDecision:
-        online = self.online(now_s)
-        step_ms = self.step_time.predict_ms(max(1, online))
+    def _decide_with_online(self, now_s: float) -> HarvestDecision:
+        online_count = self.online_count(now_s)
+        step_ms = self.step_time.predict_ms(max(1, online_count))
         decode_ms = step_ms * self.targets.interference * DECODE_SHARE
-        within = math.floor(decode_ms / self.step_time.per_sequence_ms)
-        allowed = min(self.targets.batch_max_running, max(within, self.targets.batch_floor))
-        self._earn_credit(now_s, step_ms)
-        wanted = max(0, allowed - self.held)
-        # One at a time, once a usual prompt is paid for: its own cost is known when it starts.
-        start = min(wanted, 1) if self._credit_steps >= USUAL_PROMPT_STEPS else 0
+        fitting = math.floor(decode_ms / self.step_time.per_sequence_ms)
+        allowed = min(self.targets.batch_max_running, max(fitting, self.targets.batch_floor))
+        self._add_prefill_credit(now_s, step_ms)
+        missing = max(0, allowed - self.held)
+        # Requests start one at a time, once the credit covers a prompt of the default length; the
+        # cost of the actual prompt is known only in started().
+        start = min(missing, 1) if self._prefill_credit_steps >= DEFAULT_PROMPT_STEPS else 0
         return HarvestDecision(
             allowed=allowed,
             start=start,
-            park=self._to_park(allowed, now_s, step_ms),
-            reason=f"{online} online: {within} fit into {decode_ms:.2f} ms of a {step_ms:.1f} ms "
-            f"step, floor {self.targets.batch_floor}",
+            park=self._select_parked(allowed, now_s, step_ms),
+            reason=f"{online_count} online requests: {fitting} batch requests fit into "
+            f"{decode_ms:.2f} ms of a {step_ms:.1f} ms step, floor {self.targets.batch_floor}",
         )
 
     def _long_step_ratio(self, step_ms: float) -> float:
-        """Return the share of steps that may read batch prompts beside online work.
+        """Return the share of steps that may contain batch prefill while online requests run.
 
-        Within the target every step may. Longer ones are rationed: so few that the p99 shows none
-        while the target is far below their length, more only as it comes near.
+        If a prefill chunk fits into the target, every step may contain one. Otherwise the share
+        is small enough to keep such steps out of the p99, and grows only as the target approaches
+        their length.
         """
         budget_ms = step_ms * self.targets.interference * (1.0 - DECODE_SHARE)
         share = budget_ms / self.step_time.prefill_ms
-        return min(1.0, max(RARE_STEP_RATIO, share**LONG_STEP_POWER))
-
-    def _earn_credit(self, now_s: float, step_ms: float) -> None:
-        """Earn steps that may read batch prompts beside online work."""
-        steps = max(0.0, now_s - self._credit_s) * 1000 / step_ms
-        self._credit_s = now_s
-        earned = self._credit_steps + steps * self._long_step_ratio(step_ms)
-        self._credit_steps = min(earned, MAX_CREDIT_STEPS)
-
-    def _to_park(self, allowed: int, now_s: float, step_ms: float) -> list[int]:
-        """Choose what to park: the newest first, as they lose least and still read prompts.
-
-        Those that are still reading go even below the floor, unless that is paid for: their steps
-        are the long ones. The floor is kept by those that decode, and by the ration.
+        return min(1.0, max(MIN_LONG_STEP_RATIO, share**LONG_STEP_EXPONENT))
+
+    def _add_prefill_credit(self, now_s: float, step_ms: float) -> None:
+        """Add the steps since the last call that may contain batch prefill to the credit."""
+        steps = max(0.0, now_s - self._credit_updated_s) * 1000 / step_ms
+        self._credit_updated_s = now_s
+        earned = self._prefill_credit_steps + steps * self._long_step_ratio(step_ms)
+        self._prefill_credit_steps = min(earned, MAX_PREFILL_CREDIT_STEPS)
+
+    def _select_parked(self, allowed: int, now_s: float, step_ms: float) -> list[int]:
+        """Select the requests to park, newest first, and mark them.
+
+        The newest requests have the least progress to lose and may still be in prefill. Requests
+        in prefill are parked even below the floor, because their steps are the long ones, unless
+        the credit has paid for them. The floor is kept by the decoding requests and refilled at
+        the rate that the credit allows.
         """
         candidates = sorted(
             (held.started_s, request)
@@ -329,7 +368,8 @@
             chosen += [
                 request
                 for _, request in candidates[surplus:]
-                if self._held[request].prompt_read_s > now_s and not self._held[request].is_rationed
+                if self._held[request].prefill_end_s > now_s
+                and not self._held[request].is_prefill_paid
             ]
         for request in chosen:
             self._held[request].parking = True
--- a/src/leverjunction/batch/harvest_state.py
+++ b/src/leverjunction/batch/harvest_state.py
@@ -1,6 +1,7 @@
-"""State of the harvester: owned runners, runs on engines, held work, and the rules between them.
+"""State and rules of the harvester: owned runners, runs on engines and held items.
 
-No threads and no I/O: the harvester calls it under its lock and carries out what it returns.
+The module uses no threads and does no I/O. The harvester calls it under its lock and carries out
+the plans that it returns.
 """
 
 from __future__ import annotations
@@ -12,40 +13,46 @@
 from leverjunction.batch.batch_counters import HarvestCounters
 from leverjunction.batch.commands import ItemResult, ItemState
 from leverjunction.batch.harvest import HarvestController, HarvestTargets
-from leverjunction.batch.harvest_types import GiveBack, OwnedRunner, Plan, Run, Verdict
+from leverjunction.batch.harvest_types import ItemOutcome, OwnedRunner, Plan, ReturnedItem, Run
 from leverjunction.batch.held_work import HeldWork, WorkItem
 from leverjunction.batch.item_run import TRIES_PER_ATTEMPT, RunEnd, RunResult
 from leverjunction.batch.lease_fetcher import Demand
-from leverjunction.batch.lost_answers import find_lost, looks_due
+from leverjunction.batch.lost_answers import find_lost_runs, select_runners_to_query
 from leverjunction.wire.messages import RunnerState
 
 RECANCEL_S = 0.3
-"""A cancel may overtake the request that it is for, so it is sent again until the run ends."""
+"""Interval between cancels of a run.
+
+A cancel may arrive before the request that it is meant for, so it is repeated until the run ends.
+"""
 
 REFUSED_PAUSE_S = 0.2
 BROKEN_PAUSE_S = 1.0
-"""A runner that refused, or that broke off, gets nothing new for this long."""
+"""Pauses in which a runner gets no new items after it refused a request or failed during one."""
 
 LOST_RUNNER_S = 6.0
 LOST_RUNNER_UNREPEATABLE_S = 30.0
-"""Without a load report for this long a runner's runs are given up. One that may not repeat
-waits longer, as its outcome would be unknown."""
+"""Time without a load report after which the runs on a runner are abandoned.
+
+A run of an item that may not repeat is kept longer, because abandoning it makes its outcome
+unknown.
+"""
 
 MAX_BROKEN_RUNS = 3
-"""An item that several engines answered with an error of their own fails with that error."""
+"""Number of runs broken by engine or connection errors after which a 5xx response is final."""
 
 MAX_TRIES = 20
-"""An item is handed back after so many fruitless runs; those parked for online do not count."""
+"""Number of fruitless runs after which an item is returned to its job; parked runs do not count."""
 
 LOST_STATUS = 502
-"""Status of the result of an item that fails since its runners were lost."""
+"""Status code of the result of an item that fails because too many of its runners were lost."""
 
 BYTES_PER_TOKEN = 4
-"""Usual length of a token of text; only the ration of prompt steps depends on it."""
+"""Average length of a token in text; used only to estimate the prefill cost of a prompt."""
 
 STOCK_RATIO = 1.0
 MIN_STOCK = 4
-"""Items held ahead, against what the owned runners hold when they are full."""
+"""Items to lease ahead: a ratio to the capacity of the idle owned runners, and a minimum."""
 
 DEFAULT_TARGETS = HarvestTargets(interference=0.0, batch_floor=0, batch_max_running=0)
 _MAY_HAVE_RUN = '{"error":{"message":"%s","type":"outcome_unknown"}}'
@@ -55,7 +62,13 @@
 
 
 class HarvestState:
-    """See the module. Not safe for threads."""
+    """Runs, runners and held work of one gateway. Not thread-safe.
+
+    Attributes:
+        work: Leases and waiting items.
+        runners: Known runners, by runner id.
+        runs: Runs that have not ended, by ``id`` of the run.
+    """
 
     def __init__(self, counters: HarvestCounters) -> None:
         self.work = HeldWork()
@@ -67,7 +80,10 @@
         self._max_lost_runs: Mapping[str, int] = {}
 
     def set_runners(self, owned: list[RunnerState], targets: Mapping[str, HarvestTargets]) -> None:
-        """Take the runners owned now; the runs of others are parked by the next plan."""
+        """Replace the owned runners and the targets of their services.
+
+        The next plan parks the runs on runners that are no longer owned.
+        """
         self._targets = targets
         ids = {runner.runner_id for runner in owned}
         for runner_id, known in list(self.runners.items()):
@@ -84,15 +100,15 @@
                 known_runner.controller.targets = target
 
     def set_priorities(self, priorities: Mapping[str, int]) -> None:
-        """Take the engine priority of batch in each service."""
+        """Set the engine priority of batch requests, by service."""
         self._priorities = priorities
 
     def set_max_lost_runs(self, limits: Mapping[str, int]) -> None:
-        """Take how many runners an item of each service may lose before it fails."""
+        """Set how many runners may be lost while running an item before it fails, by service."""
         self._max_lost_runs = limits
 
     def demands(self, now_s: float) -> list[Demand]:
-        """Return how many items each service's runners want held ahead."""
+        """Return how many more items to lease ahead for each service."""
         capacity: dict[str, int] = {}
         models: dict[str, set[str]] = {}
         for runner in self._usable_runners(now_s):
@@ -100,33 +116,42 @@
             capacity[service] = capacity.get(service, 0) + runner.controller.idle_capacity()
             models.setdefault(service, set()).update(runner.state.models)
         return [
-            Demand(service, sorted(models[service]), self._wanted(service, count))
+            Demand(service, sorted(models[service]), self._missing_stock(service, count))
             for service, count in sorted(capacity.items())
             if count > 0
         ]
 
     def has_work(self) -> bool:
-        """Return whether any item runs or waits, so that plans are of use."""
+        """Return whether any item is running or waiting."""
         return bool(self.runs) or self.work.waiting_total() > 0
 
     def plan(self, now_s: float) -> Plan:
-        """Decide for every runner."""
-        plan = Plan(give_back=self._unservable(now_s))
+        """Decide for every runner what to start, cancel, return and query."""
+        plan = Plan(returned=self._take_unservable(now_s))
         for runner in self.runners.values():
             if runner.owned and not runner.state.leaving:
                 self._plan_runner(runner, plan, now_s)
             else:
-                self._park_all(runner, plan, now_s)
-            self._give_up_runs(runner, plan, now_s)
-        self._cancel_again(plan, now_s)
-        due = looks_due(self.runners.values(), self.runs.values(), now_s)
-        plan.looks = [self.runners[runner_id].state for runner_id in due]
+                self._park_all_on(runner, plan, now_s)
+            self._abandon_silent_runs(runner, plan, now_s)
+        self._repeat_cancels(plan, now_s)
+        due = select_runners_to_query(self.runners.values(), self.runs.values(), now_s)
+        plan.runners_to_query = [self.runners[runner_id].state for runner_id in due]
         return plan
 
-    def looked(self, runner_id: str, held: set[str], asked_s: float) -> Plan:
-        """Take what a runner has, as it said when asked at ``asked_s``: runs may be lost."""
+    def apply_request_list(self, runner_id: str, held: set[str], asked_s: float) -> Plan:
+        """Handle the runs that a runner no longer has.
+
+        Args:
+            runner_id: Runner that listed its requests.
+            held: Ids of the requests that it listed.
+            asked_s: Monotonic time at which it was asked.
+
+        Returns:
+            A plan with the outcomes and the returned items of the lost runs.
+        """
         plan = Plan()
-        for run in find_lost(self._runs_on(runner_id), held, asked_s):
+        for run in find_lost_runs(self._runs_on(runner_id), held, asked_s):
             was_dropped, run.dropped = run.dropped, True
             self._remove(run)
             if was_dropped:
@@ -134,20 +159,21 @@
             self._counters.lost_answers.inc()
             if not run.work.leased.may_repeat:
                 body = _unknown_body("the answer was lost while the item ran; it may not repeat")
-                verdict = self._verdict(run, ItemState.UNKNOWN, 0, body)
-                plan.verdicts += [verdict] if verdict is not None else []
+                outcome = self._make_outcome(run, ItemState.UNKNOWN, 0, body)
+                plan.outcomes += [outcome] if outcome is not None else []
                 continue
-            # The run's thread may still use the work that it began with.
+            # The thread of the lost run may still use its work item, so a copy is queued.
             work = dataclasses.replace(run.work, fruitless_runs=run.work.fruitless_runs + 1)
-            given = self._retry(dataclasses.replace(run, work=work))
-            plan.give_back += [given] if given is not None else []
+            returned_item = self._retry(dataclasses.replace(run, work=work))
+            plan.returned += [returned_item] if returned_item is not None else []
         return plan
 
-    def _cancel_again(self, plan: Plan, now_s: float) -> None:
-        """Repeat cancels until their runs end, but never one that a newer run would obey.
+    def _repeat_cancels(self, plan: Plan, now_s: float) -> None:
+        """Repeat the cancels of parked and dropped runs that have no newer run on the same runner.
 
-        Runs of an item share their id at an engine: a run whose answer was lost had each later
-        one cancelled within 0.3 s, until the item's tries were spent.
+        All runs of an item have the same request id at an engine, so a cancel would stop the
+        newer run. A run whose answer was lost once got each later run of its item cancelled
+        within 0.3 s, until the item had used up its tries.
         """
         wanted = {
             (run.runner_id, run.work.key)
@@ -162,18 +188,24 @@
                 run.cancelled_s = now_s
                 plan.cancels.append(run)
 
-    def begins(self, run: Run, now_s: float, *, is_in_doubt: bool = False) -> bool:
-        """Return whether a planned run may still be sent; called just before it is.
+    def try_begin(self, run: Run, now_s: float, *, is_in_doubt: bool = False) -> bool:
+        """Check just before sending that a planned run may still be sent, and record the time.
+
+        Otherwise the run is removed, and its item waits again unless the run was dropped.
 
         Args:
-            run: The run.
+            run: The planned run.
             now_s: Monotonic time in seconds.
-            is_in_doubt: Whether the runner may be leaving by now: its item waits for a new plan.
+            is_in_doubt: Whether the runner may be leaving by now, because the gateway's view of
+                the cluster may be outdated.
+
+        Returns:
+            True if the run may be sent.
         """
         lease = self.work.leases.get(run.work.lease_id)
         holds = lease is not None and (run.work.leased.may_repeat or now_s < lease.valid_until_s)
         if holds and not (run.dropped or run.parking or is_in_doubt):
-            run.begun_s = now_s
+            run.sent_s = now_s
             return True
         if id(run) in self.runs:
             self._remove(run)
@@ -181,20 +213,20 @@
                 self.work.put_back(run.work)
         return False
 
-    def ended(self, run: Run, result: RunResult, now_s: float) -> Verdict | GiveBack | None:
-        """Take the end of a run; returns what to tell the job's group, if anything."""
+    def ended(self, run: Run, result: RunResult, now_s: float) -> ItemOutcome | ReturnedItem | None:
+        """Record the end of a run; returns what to report to the job's group, if anything."""
         self._remove(run)
         if run.dropped:
             return None
         repeatable = run.work.leased.may_repeat
         match result.end:
             case RunEnd.DONE:
-                return self._verdict(run, ItemState.DONE, result.status_code, result.body)
+                return self._make_outcome(run, ItemState.DONE, result.status_code, result.body)
             case RunEnd.REFUSED:
-                return self._verdict(run, ItemState.FAILED, result.status_code, result.body)
+                return self._make_outcome(run, ItemState.FAILED, result.status_code, result.body)
             case RunEnd.NOT_RUN:
                 run.work.fruitless_runs += 1
-                self._pause(run.runner_id, now_s + REFUSED_PAUSE_S)
+                self._pause_runner(run.runner_id, now_s + REFUSED_PAUSE_S)
                 return self._retry(run, missing_model=result.status_code == 404)
             case RunEnd.PARKED if repeatable:
                 self._counters.parks.inc()
@@ -203,19 +235,21 @@
             case RunEnd.BROKEN if repeatable:
                 run.work.fruitless_runs += 1
                 run.work.broken_runs += 1
-                self._pause(run.runner_id, now_s + BROKEN_PAUSE_S)
+                self._pause_runner(run.runner_id, now_s + BROKEN_PAUSE_S)
                 if result.status_code >= 500 and run.work.broken_runs >= MAX_BROKEN_RUNS:
-                    return self._verdict(run, ItemState.FAILED, result.status_code, result.body)
+                    return self._make_outcome(
+                        run, ItemState.FAILED, result.status_code, result.body
+                    )
                 run.work.lost_runs += 1 if result.runner_lost else 0
-                return self._failed_by_losses(run, run.work.lost_runs) or self._retry(run)
-        # What may not repeat and did not end by itself may have run: it is never run again.
-        self._pause(run.runner_id, now_s + BROKEN_PAUSE_S)
+                return self._failure_after_lost_runs(run, run.work.lost_runs) or self._retry(run)
+        # The item may not repeat and may have run: it must never be run again.
+        self._pause_runner(run.runner_id, now_s + BROKEN_PAUSE_S)
         if result.status_code >= 500:
-            return self._verdict(run, ItemState.FAILED, result.status_code, result.body)
-        return self._verdict(run, ItemState.UNKNOWN, 0, _unknown_body(result.reason))
+            return self._make_outcome(run, ItemState.FAILED, result.status_code, result.body)
+        return self._make_outcome(run, ItemState.UNKNOWN, 0, _unknown_body(result.reason))
 
     def revoke(self, lost_lease_ids: list[str], cancelled_jobs: list[str]) -> list[Run]:
-        """Drop lost leases and cancelled jobs; returns the runs to cancel."""
+        """Drop lost leases and cancelled jobs; returns the runs to cancel on their engines."""
         lost, jobs = set(lost_lease_ids), set(cancelled_jobs)
         self.work.drop_leases(lost)
         self.work.drop_jobs(jobs)
@@ -224,39 +258,40 @@
         )
 
     def drop_repeatable_runs(self) -> list[Run]:
-        """Drop the runs that can be repeated elsewhere, for a stop; returns those to cancel."""
+        """Drop the runs of items that may repeat; returns the runs to cancel. Used in a stop."""
         return self._drop_runs(lambda run: run.work.leased.may_repeat)
 
     def live_runs(self) -> int:
-        """Return how many runs still count."""
+        """Return the number of runs that are not dropped."""
         return sum(1 for run in self.runs.values() if not run.dropped)
 
     def _usable_runners(self, now_s: float) -> Iterator[OwnedRunner]:
-        """Yield the owned runners that may start items, now or soon.
+        """Yield the owned runners that can start items now or soon.
 
-        A dead runner stays listed until the platform notices. While it is its owner's only one of
-        a service, items held for it would wait as long, under leases that are renewed.
+        A dead runner stays in the machine list until the platform removes it. If it is the
+        gateway's only runner of a service, items leased for it would otherwise wait all that time
+        under leases that the gateway keeps renewing.
         """
         for runner in self.runners.values():
             is_heard = runner.controller.seconds_without_report(now_s) < LOST_RUNNER_S
             if runner.owned and not runner.state.leaving and is_heard:
                 yield runner
 
-    def _unservable(self, now_s: float) -> list[GiveBack]:
-        """Take out the waiting items that no usable runner can run."""
+    def _take_unservable(self, now_s: float) -> list[ReturnedItem]:
+        """Remove the waiting items that no usable runner can run, and return them to their jobs."""
         servable = {
             (runner.state.service, model)
             for runner in self._usable_runners(now_s)
             for model in runner.state.models
         }
-        return self._give_back(self.work.take_unservable(servable))
+        return self._return_items(self.work.take_unservable(servable))
 
     def _plan_runner(self, runner: OwnedRunner, plan: Plan, now_s: float) -> None:
         decision = runner.controller.decide(now_s)
-        runner.note = decision.reason
+        runner.last_reason = decision.reason
         for token in decision.park:
             self._park(self.runs[token], plan, now_s)
-        if now_s < runner.not_before_s:
+        if now_s < runner.paused_until_s:
             return
         state = runner.state
         has_suspect = any(run.work.is_suspect for run in self._runs_on(state.runner_id))
@@ -265,7 +300,7 @@
             if work is None:
                 return
             if work.deadline_s <= now_s:
-                plan.give_back += self._give_back([work])
+                plan.returned += self._return_items([work])
                 continue
             has_suspect = has_suspect or work.is_suspect
             plan.starts.append(self._start(runner, work, now_s))
@@ -296,55 +331,60 @@
         run.cancelled_s = now_s
         plan.cancels.append(run)
 
-    def _park_all(self, runner: OwnedRunner, plan: Plan, now_s: float) -> None:
-        """Empty a runner that is leaving or that another gateway owns now."""
+    def _park_all_on(self, runner: OwnedRunner, plan: Plan, now_s: float) -> None:
+        """Park the runs on a runner that is leaving or is owned by another gateway now."""
         for run in self._runs_on(runner.state.runner_id):
             if run.work.leased.may_repeat:
                 self._park(run, plan, now_s)
 
-    def _give_up_runs(self, runner: OwnedRunner, plan: Plan, now_s: float) -> None:
-        """Give up the runs of a runner that has not been heard of for long."""
+    def _abandon_silent_runs(self, runner: OwnedRunner, plan: Plan, now_s: float) -> None:
+        """Abandon the runs on a runner that has not reported for too long."""
         for run in self._runs_on(runner.state.runner_id):
             repeatable = run.work.leased.may_repeat
             limit_s = LOST_RUNNER_S if repeatable else LOST_RUNNER_UNREPEATABLE_S
-            if run.dropped or _silent_s(runner, run, now_s) < limit_s:
+            if run.dropped or _silence_s(runner, run, now_s) < limit_s:
                 continue
             run.dropped = True
             runner.controller.ended(id(run))
-            verdict = self._give_up_run(run, runner.owned)
-            if verdict is not None:
-                plan.verdicts.append(verdict)
+            outcome = self._abandon_run(run, runner.owned)
+            if outcome is not None:
+                plan.outcomes.append(outcome)
 
-    def _give_up_run(self, run: Run, is_owned: bool) -> Verdict | None:
-        """Have an item run again, or return its outcome. A runner of another gateway is silent
-        here as its reports go there, which says nothing against the item."""
+    def _abandon_run(self, run: Run, is_owned: bool) -> ItemOutcome | None:
+        """Queue the item of an abandoned run again, or return the item's final outcome.
+
+        A runner that is not owned sends its load reports to another gateway, so its silence here
+        does not count as a runner lost while running the item.
+        """
         if not run.work.leased.may_repeat:
             body = _unknown_body("the runner was lost while the item ran; it may not repeat")
-            return self._verdict(run, ItemState.UNKNOWN, 0, body)
+            return self._make_outcome(run, ItemState.UNKNOWN, 0, body)
         lost_runs = run.work.lost_runs + (1 if is_owned else 0)
-        verdict = self._failed_by_losses(run, lost_runs)
-        if verdict is None:
-            # The run's thread may still use the work that it began with.
+        outcome = self._failure_after_lost_runs(run, lost_runs)
+        if outcome is None:
+            # The thread of the abandoned run may still use its work item, so a copy is queued.
             self.work.put_back(dataclasses.replace(run.work, lost_runs=lost_runs))
-        return verdict
+        return outcome
 
-    def _failed_by_losses(self, run: Run, lost_runs: int) -> Verdict | None:
-        """Return the failure of an item under which too many runners were lost."""
+    def _failure_after_lost_runs(self, run: Run, lost_runs: int) -> ItemOutcome | None:
+        """Return the failure of an item if too many runners were lost while running it."""
         if lost_runs < self._max_lost_runs.get(run.work.service, math.inf):
             return None
-        return self._verdict(run, ItemState.FAILED, LOST_STATUS, _RUNNERS_LOST % lost_runs)
+        return self._make_outcome(run, ItemState.FAILED, LOST_STATUS, _RUNNERS_LOST % lost_runs)
 
-    def _retry(self, run: Run, missing_model: bool = False) -> GiveBack | None:
-        """Keep an item for another run here, or give it back when that is no use."""
+    def _retry(self, run: Run, missing_model: bool = False) -> ReturnedItem | None:
+        """Queue an item for another run here, or return it to its job if that is pointless."""
         work = run.work
         is_spent = work.fruitless_runs >= MAX_TRIES or work.tries >= TRIES_PER_ATTEMPT - 1
         if missing_model or is_spent:
-            given = self._give_back([work])
-            return given[0] if given else None
+            returned_items = self._return_items([work])
+            return returned_items[0] if returned_items else None
         self.work.put_back(work)
         return None
 
-    def _verdict(self, run: Run, state: ItemState, status_code: int, body: str) -> Verdict | None:
+    def _make_outcome(
+        self, run: Run, state: ItemState, status_code: int, body: str
+    ) -> ItemOutcome | None:
         lease = self.work.leases.get(run.work.lease_id)
         if lease is None:
             return None
@@ -356,11 +396,11 @@
             status_code=status_code,
             body=body,
         )
-        return Verdict(group=lease.group, lease_id=lease.lease_id, result=result)
+        return ItemOutcome(group=lease.group, lease_id=lease.lease_id, result=result)
 
-    def _give_back(self, items: list[WorkItem]) -> list[GiveBack]:
+    def _return_items(self, items: list[WorkItem]) -> list[ReturnedItem]:
         return [
-            GiveBack(work, self.work.leases[work.lease_id].group)
+            ReturnedItem(work, self.work.leases[work.lease_id].group)
             for work in items
             if work.lease_id in self.work.leases
         ]
@@ -377,33 +417,34 @@
         if runner is not None:
             runner.controller.ended(id(run))
 
-    def _pause(self, runner_id: str, until_s: float) -> None:
+    def _pause_runner(self, runner_id: str, until_s: float) -> None:
         runner = self.runners.get(runner_id)
         if runner is not None:
-            runner.not_before_s = max(runner.not_before_s, until_s)
+            runner.paused_until_s = max(runner.paused_until_s, until_s)
 
     def _runs_on(self, runner_id: str) -> list[Run]:
         return [run for run in self.runs.values() if run.runner_id == runner_id]
 
-    def _wanted(self, service: str, capacity: int) -> int:
+    def _missing_stock(self, service: str, capacity: int) -> int:
         stock = max(MIN_STOCK, math.ceil(capacity * STOCK_RATIO))
         return max(0, stock - self.work.waiting(service))
 
 
-def _silent_s(runner: OwnedRunner, run: Run, now_s: float) -> float:
-    """Return how long a runner has been silent about a run.
+def _silence_s(runner: OwnedRunner, run: Run, now_s: float) -> float:
+    """Return how long a runner has not reported while it had a run, in seconds.
 
-    Another gateway gets the reports of a runner that is no longer owned. Such a run is told to
-    stop, and is silent from then on; one that may not repeat goes on to its own end.
+    The reports of a runner that is no longer owned go to another gateway. Its runs are parked, and
+    their silence counts from then on. A run that may not repeat is not parked; it continues until
+    it ends by itself.
     """
     if not runner.owned:
         return now_s - run.parked_s
-    # A runner that never reported is silent since its run began.
+    # The silence of a runner that never reported counts from the start of the run.
     return min(runner.controller.seconds_without_report(now_s), now_s - run.started_s)
 
 
 def _prompt_tokens(work: WorkItem) -> int:
-    """Estimate what a runner has to read before it goes on with an item."""
+    """Estimate the number of tokens that a runner processes before it continues an item."""
     return max(1, (len(work.leased.item.body) + len(work.continue_text)) // BYTES_PER_TOKEN)
 
 
--- a/src/leverjunction/batch/harvest_types.py
+++ b/src/leverjunction/batch/harvest_types.py
@@ -1,4 +1,4 @@
-"""What the harvester keeps of runs and runners, and what a round of decisions asks for."""
+"""Data types of the harvester: runs, runners and plans."""
 
 from __future__ import annotations
 
@@ -15,10 +15,20 @@
 
 @dataclass
 class Run:
-    """One run of an item on an engine.
-
-    ``parked_s`` is when it was first told to stop, ``begun_s`` when it was sent, and
-    ``missing_since_s`` since when its runner does not list it.
+    """One run of an item on an engine. All times are monotonic seconds.
+
+    Attributes:
+        work: The item.
+        runner_id: Runner on which it runs.
+        address: ``host:port`` of the runner.
+        priority: Priority in the engine.
+        started_s: When the run was planned.
+        parking: Whether the run is being cancelled in order to continue its item later.
+        parked_s: When the run was first cancelled for parking.
+        dropped: Whether the result of the run no longer counts.
+        cancelled_s: When the last cancel was sent.
+        sent_s: When the request was sent; None before that.
+        missing_since_s: Since when the runner does not list the run; None while it does.
     """
 
     work: WorkItem
@@ -30,37 +40,46 @@
     parked_s: float = math.inf
     dropped: bool = False
     cancelled_s: float = -math.inf
-    begun_s: float | None = None
+    sent_s: float | None = None
     missing_since_s: float | None = None
 
     @property
     def request_id(self) -> str:
-        """Id under which its engine knows it."""
+        """Request id of the run at its engine."""
         return request_id_of(self.work)
 
 
 @dataclass
 class OwnedRunner:
-    """A runner with its controller; it stays known until its last run has ended."""
+    """A runner and its controller, kept until the last run on the runner has ended.
+
+    Attributes:
+        state: The runner as listed by the hub.
+        controller: Decides how many batch requests the runner holds.
+        owned: Whether this gateway owns the runner now.
+        paused_until_s: Monotonic time until which no new item starts.
+        last_reason: Explanation of the controller's last decision.
+        queried_s: Monotonic time of the last query for the runner's requests.
+    """
 
     state: RunnerState
     controller: HarvestController
     owned: bool = True
-    not_before_s: float = 0.0
-    note: str = ""
-    looked_s: float = -math.inf
+    paused_until_s: float = 0.0
+    last_reason: str = ""
+    queried_s: float = -math.inf
 
 
-class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    """A final outcome to commit."""
+class ItemOutcome(msgspec.Struct, frozen=True, kw_only=True):
+    """The final outcome of an item, to be committed in its job group."""
 
     group: str
     lease_id: str
     result: ItemResult
 
 
-class GiveBack(msgspec.Struct, frozen=True):
-    """An item to put back into the queue of its job."""
+class ReturnedItem(msgspec.Struct, frozen=True):
+    """An item to return to the queue of its job."""
 
     work: WorkItem
     group: str
@@ -68,10 +87,18 @@
 
 @dataclass
 class Plan:
-    """What to carry out after a round of decisions."""
+    """Actions to carry out after a round of decisions.
+
+    Attributes:
+        starts: Runs to send.
+        cancels: Runs to cancel on their engines.
+        outcomes: Final outcomes to commit.
+        returned: Items to return to their jobs.
+        runners_to_query: Runners to ask for the requests that they hold.
+    """
 
     starts: list[Run] = field(default_factory=list)
     cancels: list[Run] = field(default_factory=list)
-    verdicts: list[Verdict] = field(default_factory=list)
-    give_back: list[GiveBack] = field(default_factory=list)
-    looks: list[RunnerState] = field(default_factory=list)
+    outcomes: list[ItemOutcome] = field(default_factory=list)
+    returned: list[ReturnedItem] = field(default_factory=list)
+    runners_to_query: list[RunnerState] = field(default_factory=list)
--- a/src/leverjunction/batch/harvester.py
+++ b/src/leverjunction/batch/harvester.py
@@ -1,8 +1,9 @@
-"""Runs batch items on the idle capacity of the runners that this gateway owns.
+"""Runs batch items on the spare capacity of the runners that this gateway owns.
 
-One thread decides (``batch.harvest`` says how many items each runner may hold), worker threads run
-items on engines, one thread fetches leases ahead and one commits outcomes. All state is under one
-lock; no call to an engine or to control is made while it is held.
+One thread makes decisions (``batch.harvest`` determines how many items each runner may hold),
+worker threads run items on engines, one thread leases items ahead, and one thread per job group
+commits outcomes. One lock guards all state; it is not held during calls to engines or to control
+processes.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from leverjunction.batch.directory import Control
 from leverjunction.batch.harvest import HarvestTargets
 from leverjunction.batch.harvest_state import HarvestState
-from leverjunction.batch.harvest_types import GiveBack, Plan, Run, Verdict
+from leverjunction.batch.harvest_types import ItemOutcome, Plan, ReturnedItem, Run
 from leverjunction.batch.item_run import Engines, RunEnd, RunResult, request_id_of, run_item
 from leverjunction.batch.lease_fetcher import Demand, LeaseFetcher
 from leverjunction.batch.orphan_sweep import RequestOwner
@@ -41,25 +42,27 @@
 MAX_RUN_THREADS = 512
 CANCEL_THREADS = 32
 STOP_WAIT_S = 60.0
-"""How long a planned stop waits for items that may not repeat: half of what a gateway waits for
-its open requests, of which they are some."""
+"""How long a planned stop waits for items that may not repeat.
+
+It is half the time that a gateway waits for its open requests, which include these items.
+"""
 
 STOP_COMMIT_S = 5.0
 
 
 class Harvester:
-    """The batch side of a gateway. Safe to call from any thread.
+    """Leases batch items and runs them on the gateway's runners. Thread-safe.
 
     Args:
         control: Client of the control processes.
         engines: Client of the engines.
         clock: Monotonic and wall clock.
-        random: Source of lease ids and of the spread between polls.
+        random: Source of lease ids and of the jitter between polls.
         gateway_id: Owner of the leases.
-        registry: Where the counters are registered; a registry of its own when None.
-        incarnation: This process's start time, in milliseconds.
+        registry: Registry for the metrics; None creates a private one.
+        incarnation: Start time of this process, in milliseconds.
         is_in_doubt: Returns whether runners may have been marked as leaving, or withdrawn, while
-            this process stood still: nothing is planned or sent until a hub has told.
+            this process was paused. Nothing is planned or sent until a hub has confirmed the view.
     """
 
     def __init__(
@@ -101,9 +104,10 @@
         services: Mapping[str, ResolvedServing],
         groups: list[str],
     ) -> None:
-        """Take the owned runners, their services' settings and the job groups.
+        """Update the owned runners, the settings of their services and the job groups.
 
-        Called after each answered exchange, so it also confirms the leases that it renewed.
+        The gateway calls this after each successful exchange with a hub. The exchange renewed the
+        leases that ``lease_ids`` returned before it, so they are extended here.
         """
         with self._changed:
             if self._stopping:
@@ -119,14 +123,14 @@
         self._start_threads()
 
     def observe_load(self, runner_id: str, report: LoadReport) -> None:
-        """Take an owned runner's load report."""
+        """Process the load report of an owned runner."""
         with self._changed:
             runner = self._state.runners.get(runner_id)
             if runner is not None:
                 runner.controller.observe(report, self._clock.monotonic_s())
 
     def online_arrived(self, runner_id: str) -> None:
-        """An online request is about to be sent to an owned runner."""
+        """Record that an online request is about to be sent to an owned runner."""
         with self._changed:
             runner = self._state.runners.get(runner_id)
             if runner is not None:
@@ -134,14 +138,14 @@
                 self._changed.notify_all()
 
     def online_finished(self, runner_id: str) -> None:
-        """An online request on an owned runner has ended."""
+        """Record the end of an online request on an owned runner."""
         with self._changed:
             runner = self._state.runners.get(runner_id)
             if runner is not None:
                 runner.controller.online_finished(self._clock.monotonic_s())
 
     def notice_arrived(self, runner_id: str) -> None:
-        """Another gateway has sent an online request to an owned runner (yield notice)."""
+        """Record a yield notice: another gateway has sent an online request to an owned runner."""
         with self._changed:
             runner = self._state.runners.get(runner_id)
             if runner is not None:
@@ -149,7 +153,7 @@
                 self._changed.notify_all()
 
     def lease_ids(self) -> dict[str, list[str]]:
-        """Return the leases held, by group, to be renewed by the exchange that follows."""
+        """Return the ids of the held leases by job group, for renewal in the next exchange."""
         with self._changed:
             by_group: dict[str, list[str]] = {}
             for lease in self._state.work.leases.values():
@@ -158,22 +162,22 @@
             return by_group
 
     def revoke(self, lost_lease_ids: list[str], cancelled_jobs: list[str]) -> None:
-        """Drop lost leases and cancelled jobs, and stop their items on the engines."""
+        """Drop lost leases and cancelled jobs, and cancel their items on the engines."""
         with self._changed:
             lost = [lease for lease in lost_lease_ids if lease in self._state.work.leases]
             self.counters.lost_leases.inc(len(lost))
             dropped = self._state.revoke(lost_lease_ids, cancelled_jobs)
         if lost:
-            logger.warning("lost leases {}", lost)
+            logger.warning("batch leases lost: {}", lost)
         for run in dropped:
             self._cancel_threads.submit(self._cancel, run)
 
     def update_pending(self, work: list[PendingWork]) -> None:
-        """Take the hub's word of where work is pending: when to ask for leases."""
+        """Update which job groups have pending work, as reported by the hub."""
         self._fetcher.update_pending(work)
 
     def stats(self) -> HarvestStats:
-        """Return what the harvester is doing now."""
+        """Return the current numbers of items and leases."""
         with self._changed:
             work = self._state.work
             return HarvestStats(
@@ -185,13 +189,13 @@
                 leases=len(work.leases),
             )
 
-    def notes(self) -> dict[str, str]:
-        """Return, for each owned runner, why it holds the batch work that it does."""
+    def decision_reasons(self) -> dict[str, str]:
+        """Return the explanation of the last decision for each known runner, by runner id."""
         with self._changed:
-            return {name: runner.note for name, runner in self._state.runners.items()}
+            return {name: runner.last_reason for name, runner in self._state.runners.items()}
 
     def stop(self) -> None:
-        """Start nothing more, let items that may not repeat finish, hand all leases back."""
+        """Stop starting items, wait for items that may not repeat, and release all leases."""
         with self._changed:
             if self._stopping:
                 return
@@ -207,20 +211,20 @@
             while self._state.live_runs() and self._clock.monotonic_s() < deadline_s:
                 self._changed.wait(TICK_S)
         self._sender.stop(STOP_COMMIT_S)
-        self._hand_back_leases()
+        self._release_leases()
         self._run_threads.shutdown(wait=False, cancel_futures=True)
         self._cancel_threads.shutdown(wait=False)
 
-    def _hand_back_leases(self) -> None:
+    def _release_leases(self) -> None:
         with self._changed:
             leases = list(self._state.work.leases.values())
             unstarted = self._state.work.drain_waiting()
             self._state.work.drop_leases([lease.lease_id for lease in leases])
         for lease in leases:
-            # Items that may repeat return with the release; the others only by name, and so do
-            # those with something to tell their next holder.
+            # Releasing a lease returns its items that may repeat. Items that may not repeat must
+            # be listed as not run, and items with lost runs are listed to pass on the count.
             results = [
-                give_back_result(GiveBack(work, lease.group))
+                returned_item_result(ReturnedItem(work, lease.group))
                 for work in unstarted
                 if work.lease_id == lease.lease_id
                 and (work.lost_runs > 0 or not work.leased.may_repeat)
@@ -232,7 +236,7 @@
                 STOP_COMMIT_S,
             )
             if isinstance(reply, Failure):
-                logger.warning("lease {} not handed back: {}", lease.lease_id, reply.reason)
+                logger.warning("could not release lease {}: {}", lease.lease_id, reply.reason)
 
     def _start_threads(self) -> None:
         with self._changed:
@@ -247,14 +251,14 @@
             try:
                 self.tick()
             except Exception:
-                # The decisions must go on after any fault of one round.
-                logger.exception("harvest round failed")
+                # An unexpected error in one round must not end the thread.
+                logger.exception("batch scheduling round failed")
 
     def _wait_for_round(self) -> bool:
-        """Wait until the next round is due; False when there is none any more.
+        """Wait until the next round is due; returns False after a stop.
 
-        Without work there is nothing to decide, so the thread sleeps until some comes. The round
-        after the last work shows in the counters that there is none.
+        Without work there is nothing to decide, so the thread sleeps until some arrives. One more
+        round runs after the last work has ended, to update the gauges.
         """
         with self._changed:
             if self._had_work:
@@ -265,7 +269,7 @@
             return not self._stopping
 
     def tick(self) -> None:
-        """Decide for every runner and carry the decisions out."""
+        """Make one round of decisions for all runners and carry them out."""
         with self._changed:
             if self._stopping or self._is_in_doubt():
                 return
@@ -277,32 +281,34 @@
         for run in plan.starts:
             self.counters.starts.inc()
             self._run_threads.submit(self._execute, run)
-        for runner in plan.looks:
-            self._cancel_threads.submit(self._look, runner)
-        self._settle_all(plan)
+        for runner in plan.runners_to_query:
+            self._cancel_threads.submit(self._query_held_requests, runner)
+        self._send_outcomes(plan)
 
-    def _look(self, runner: RunnerState) -> None:
-        """Ask a runner which requests it has; some runs may be lost."""
+    def _query_held_requests(self, runner: RunnerState) -> None:
+        """Ask a runner which requests it holds, to detect lost runs."""
         asked_s = self._clock.monotonic_s()
         held = self._engines.held_requests(runner.address)
         if isinstance(held, Failure):
-            logger.debug("runner {} does not list its requests: {}", runner.runner_id, held.reason)
+            logger.debug(
+                "could not list the requests of runner {}: {}", runner.runner_id, held.reason
+            )
             return
         with self._changed:
-            plan = self._state.looked(
+            plan = self._state.apply_request_list(
                 runner.runner_id, {request.request_id for request in held}, asked_s
             )
             self._changed.notify_all()
-        self._settle_all(plan)
+        self._send_outcomes(plan)
 
-    def _settle_all(self, plan: Plan) -> None:
-        for verdict in plan.verdicts:
-            self._settle(verdict)
-        self._return_all(plan.give_back)
+    def _send_outcomes(self, plan: Plan) -> None:
+        for outcome in plan.outcomes:
+            self._send_outcome(outcome)
+        self._send_returned(plan.returned)
 
     def _execute(self, run: Run) -> None:
         with self._changed:
-            may_start = self._state.begins(
+            may_start = self._state.try_begin(
                 run, self._clock.monotonic_s(), is_in_doubt=self._is_in_doubt()
             )
         if not may_start:
@@ -311,31 +317,31 @@
             owner = self._owner_label(run)
             result = run_item(self._engines, run.work, run.address, run.priority, owner)
         except Exception as error:
-            # Whatever broke, the item must not stay with a run that has ended.
-            logger.exception("run of {} failed", request_id_of(run.work))
+            # After any error the run must be recorded as ended, or its item would be stuck.
+            logger.exception("batch request {} failed", request_id_of(run.work))
             result = RunResult(end=RunEnd.BROKEN, reason=repr(error))
-        self._ended(run, result)
+        self._run_ended(run, result)
 
     def _owner_label(self, run: Run) -> str:
         may_repeat = run.work.leased.may_repeat
         return RequestOwner(self._gateway_id, self._incarnation, may_repeat).label()
 
-    def _ended(self, run: Run, result: RunResult) -> None:
+    def _run_ended(self, run: Run, result: RunResult) -> None:
         self.counters.ends.labels(result.end.value).inc()
         with self._changed:
-            verdict = self._state.ended(run, result, self._clock.monotonic_s())
+            outcome = self._state.ended(run, result, self._clock.monotonic_s())
             self._changed.notify_all()
-        if isinstance(verdict, Verdict):
-            self._settle(verdict)
-        elif isinstance(verdict, GiveBack):
-            self._return_all([verdict])
+        if isinstance(outcome, ItemOutcome):
+            self._send_outcome(outcome)
+        elif isinstance(outcome, ReturnedItem):
+            self._send_returned([outcome])
 
-    def _settle(self, verdict: Verdict) -> None:
-        self._sender.put(verdict.group, verdict.lease_id, verdict.result)
+    def _send_outcome(self, outcome: ItemOutcome) -> None:
+        self._sender.put(outcome.group, outcome.lease_id, outcome.result)
 
-    def _return_all(self, items: list[GiveBack]) -> None:
+    def _send_returned(self, items: list[ReturnedItem]) -> None:
         for item in items:
-            self._sender.put(item.group, item.work.lease_id, give_back_result(item))
+            self._sender.put(item.group, item.work.lease_id, returned_item_result(item))
 
     def _committed(self, lease_id: str, results: list[ItemResult], reply: CompletedItems) -> None:
         self.counters.committed.inc(reply.accepted)
@@ -364,8 +370,8 @@
             self._changed.notify_all()
 
 
-def give_back_result(item: GiveBack) -> ItemResult:
-    """Return the outcome that puts an item back into the queue of its job."""
+def returned_item_result(item: ReturnedItem) -> ItemResult:
+    """Return the result that puts an item back into the queue of its job."""
     leased = item.work.leased
     return ItemResult(
         job_id=leased.job_id,
--- a/tests/unit/test_batch_harvest.py
+++ b/tests/unit/test_batch_harvest.py
@@ -8,7 +8,7 @@
 from leverjunction.backends.types import LoadReport
 from leverjunction.batch.harvest import (
     NOTICE_HOLD_S,
-    REFILL_HOLD_S,
+    REFILL_DELAY_S,
     REPORT_STALE_S,
     HarvestController,
     HarvestTargets,
@@ -46,9 +46,9 @@
 def _known_model() -> StepTimeModel:
     model = StepTimeModel()
     for number in range(200):
-        sequences, reads_prompt = number % 20, number % 3 == 0
-        step_ms = BASE_MS + PER_SEQUENCE_MS * sequences + PREFILL_MS * reads_prompt
-        model.observe(sequences, step_ms, reads_prompt=reads_prompt, beside_online=False)
+        sequences, has_prefill = number % 20, number % 3 == 0
+        step_ms = BASE_MS + PER_SEQUENCE_MS * sequences + PREFILL_MS * has_prefill
+        model.observe(sequences, step_ms, has_prefill=has_prefill, with_online=False)
     return model
 
 
@@ -73,7 +73,7 @@
     # experiment, where the controller then parked nothing beside online work.
     model = StepTimeModel()
     for sequences, step_ms in [(20, 22.5), (31, 21.9), (32, 21.2)] * 30:
-        model.observe(sequences, step_ms, reads_prompt=True, beside_online=False)
+        model.observe(sequences, step_ms, has_prefill=True, with_online=False)
     assert model.per_sequence_ms >= 0.009 * model.base_ms
     assert model.predict_ms(2) < 22.0
 
@@ -93,13 +93,13 @@
     made = controller()
     made.online_arrived(0.0)
     made.online_finished(0.5)
-    assert made.decide(0.5 + REFILL_HOLD_S / 2).start == 0
-    assert made.decide(0.5 + REFILL_HOLD_S).start > 0
+    assert made.decide(0.5 + REFILL_DELAY_S / 2).start == 0
+    assert made.decide(0.5 + REFILL_DELAY_S).start > 0
     made.notice_arrived(1.0)
     made.observe(report(online=1), 1.3)
     assert made.decide(1.0 + NOTICE_HOLD_S).start == 0
     made.observe(report(), 1.6)
-    assert made.decide(1.6 + REFILL_HOLD_S).start > 0
+    assert made.decide(1.6 + REFILL_DELAY_S).start > 0
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_batch_harvest_state.py
+++ b/tests/unit/test_batch_harvest_state.py
@@ -16,7 +16,7 @@
     MAX_TRIES,
     HarvestState,
 )
-from leverjunction.batch.harvest_types import GiveBack, Run, Verdict
+from leverjunction.batch.harvest_types import ItemOutcome, ReturnedItem, Run
 from leverjunction.batch.held_work import SUSPECT_LOST_RUNS
 from leverjunction.batch.item_run import RunEnd, RunResult, run_item
 from leverjunction.errors import Execution, Failure, FailureKind, Step
@@ -66,9 +66,9 @@
     state = held_state(may_repeat)
     assert len(state.plan(0.0).starts) == 2
     state.set_runners([], TARGETS)
-    assert state.plan(0.1).give_back == []
+    assert state.plan(0.1).returned == []
     state.plan(0.2 + LOST_RUNNER_S)
-    assert len(state.plan(0.3 + LOST_RUNNER_S).give_back) == given_back
+    assert len(state.plan(0.3 + LOST_RUNNER_S).returned) == given_back
     assert state.live_runs() == 2 - given_back
 
 
@@ -79,10 +79,10 @@
         [RUNNER], {"llm": msgspec.structs.replace(TARGETS["llm"], batch_max_running=1)}
     )
     assert len(state.plan(0.0).starts) == 1
-    assert state.plan(LOST_RUNNER_S - 0.1).give_back == []
+    assert state.plan(LOST_RUNNER_S - 0.1).returned == []
     assert state.demands(LOST_RUNNER_S - 0.1) != []
     later_s = [LOST_RUNNER_S + 0.1, LOST_RUNNER_S + 0.2]
-    given_back = [item for now_s in later_s for item in state.plan(now_s).give_back]
+    given_back = [item for now_s in later_s for item in state.plan(now_s).returned]
     assert sorted(item.work.leased.index for item in given_back) == [0, 1]
     assert state.demands(LOST_RUNNER_S + 0.2) == []
 
@@ -96,10 +96,10 @@
     state = held_state(may_repeat=True)
     state.runners["r1"].controller.observe(REPORT, now_s)
     plan = state.plan(now_s)
-    assert (len(plan.starts), len(plan.give_back)) == (started, given_back)
+    assert (len(plan.starts), len(plan.returned)) == (started, given_back)
 
 
-def finish(state: HarvestState, run: Run, result: RunResult) -> Verdict | GiveBack | None:
+def finish(state: HarvestState, run: Run, result: RunResult) -> ItemOutcome | ReturnedItem | None:
     """End a run as its thread does."""
     return state.ended(run, result, now_s=1.0)
 
@@ -122,18 +122,18 @@
 def test_item_that_several_engines_break_on_fails() -> None:
     state = held_state(may_repeat=True)
     broken = RunResult(end=RunEnd.BROKEN, status_code=500, body="{}")
-    verdicts = []
+    outcomes = []
     for round_number in range(MAX_BROKEN_RUNS):
         # Each broken run keeps its runner free of starts for a moment.
         now_s = 10.0 * round_number
         state.runners["r1"].controller.observe(REPORT, now_s)
         run = next(run for run in state.plan(now_s).starts if run.work.leased.index == 0)
-        verdicts.append(state.ended(run, broken, now_s))
+        outcomes.append(state.ended(run, broken, now_s))
         for other in list(state.runs.values()):
             state.ended(other, RunResult(end=RunEnd.PARKED), now_s)
-    assert verdicts[:-1] == [None] * (MAX_BROKEN_RUNS - 1)
-    assert isinstance(verdicts[-1], Verdict)
-    assert verdicts[-1].result.state == ItemState.FAILED
+    assert outcomes[:-1] == [None] * (MAX_BROKEN_RUNS - 1)
+    assert isinstance(outcomes[-1], ItemOutcome)
+    assert outcomes[-1].result.state == ItemState.FAILED
 
 
 MAX_LOST_RUNS = 5
@@ -149,15 +149,15 @@
 def test_an_item_that_kills_its_runners_fails_and_those_beside_it_do_not() -> None:
     state = held_state(may_repeat=True)
     state.set_max_lost_runs({"llm": MAX_LOST_RUNS})
-    ended: list[Verdict] = []
+    ended: list[ItemOutcome] = []
     killed = 0
     for number in range(20):
         now_s = 2.0 * number
         runs = round_of_starts(state, now_s)
         kills = any(run.work.leased.index == 0 for run in runs)
         killed += kills
-        verdicts = [state.ended(run, LOST if kills else DONE, now_s) for run in runs]
-        ended += [verdict for verdict in verdicts if isinstance(verdict, Verdict)]
+        outcomes = [state.ended(run, LOST if kills else DONE, now_s) for run in runs]
+        ended += [outcome for outcome in outcomes if isinstance(outcome, ItemOutcome)]
     assert killed == MAX_LOST_RUNS
     assert {(each.result.index, each.result.state) for each in ended} == {
         (0, ItemState.FAILED),
@@ -191,7 +191,7 @@
     state.plan(0.1)
     state.plan(0.2 + LOST_RUNNER_S)
     state.set_runners([], TARGETS)
-    given_back = state.plan(0.3 + LOST_RUNNER_S).give_back
+    given_back = state.plan(0.3 + LOST_RUNNER_S).returned
     assert [item.work.lost_runs for item in given_back] == [lost_runs] * 2
 
 
@@ -233,5 +233,5 @@
     """Its runner may be leaving by now: a plan lives from the decision to the run's thread."""
     state = held_state(may_repeat=True)
     (run, _other) = state.plan(0.0).starts
-    assert state.begins(run, 0.0, is_in_doubt=doubted) is not doubted
+    assert state.try_begin(run, 0.0, is_in_doubt=doubted) is not doubted
     assert state.work.waiting_total() == int(doubted)
--- a/tests/unit/test_batch_lost_answers.py
+++ b/tests/unit/test_batch_lost_answers.py
@@ -117,7 +117,7 @@
     state = held_state(may_repeat=True)
     older = state.plan(0.0).starts
     for run in older:
-        assert state.begins(run, 0.0)
+        assert state.try_begin(run, 0.0)
     # The runner is silent for a while; what ran there is given up, and its threads wait on.
     given_up_s = LOST_RUNNER_S + 0.1
     state.plan(given_up_s)
@@ -148,11 +148,11 @@
     state = held_state(may_repeat)
     runs = state.plan(0.0).starts
     for run in runs:
-        assert state.begins(run, 0.0)
-    plans = [state.looked("r1", set(), asked_s) for asked_s in looks_s]
+        assert state.try_begin(run, 0.0)
+    plans = [state.apply_request_list("r1", set(), asked_s) for asked_s in looks_s]
     assert sum(run.dropped for run in runs) == lost
-    verdicts = [verdict.result.state for plan in plans for verdict in plan.verdicts]
-    assert verdicts == ([] if may_repeat else [ItemState.UNKNOWN] * lost)
+    outcomes = [outcome.result.state for plan in plans for outcome in plan.outcomes]
+    assert outcomes == ([] if may_repeat else [ItemState.UNKNOWN] * lost)
     assert state.work.waiting_total() == (lost if may_repeat else 0)
 
 
@@ -160,21 +160,21 @@
     state = held_state(may_repeat=True)
     runs = state.plan(0.0).starts
     for run in runs:
-        assert state.begins(run, 0.0)
+        assert state.try_begin(run, 0.0)
     ids = {run.request_id for run in runs}
-    state.looked("r1", set(), 3.0)
-    state.looked("r1", ids, 4.0)
-    state.looked("r1", set(), 5.5)
+    state.apply_request_list("r1", set(), 3.0)
+    state.apply_request_list("r1", ids, 4.0)
+    state.apply_request_list("r1", set(), 5.5)
     assert not any(run.dropped for run in runs)
 
 
 def test_a_runner_is_asked_only_while_a_run_is_old_and_not_each_time() -> None:
     state = held_state(may_repeat=True)
     for run in state.plan(0.0).starts:
-        assert state.begins(run, 0.0)
+        assert state.try_begin(run, 0.0)
     asked = []
     for tenth in range(100):
         state.runners["r1"].controller.observe(REPORT, tenth / 10)
-        if state.plan(tenth / 10).looks:
+        if state.plan(tenth / 10).runners_to_query:
             asked.append(tenth / 10)
     assert asked == [5.0, 7.0, 9.0]
