--- a/src/leverjunction/batch/claims.py
+++ b/src/leverjunction/batch/claims.py
@@ -1,4 +1,8 @@
-"""At-most-once claims of online requests: a durable claim comes before the first send."""
+"""Durable claims that make online requests run at most once.
+
+An attempt must hold the claim of a request before it sends the request for the first time. The
+functions here run inside the replicated state machine of a job group.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +13,8 @@
 from leverjunction.consensus.api import ApplyContext
 from leverjunction.errors import Failure, FailureKind, Step
 
-CLAIMS_FORGOTTEN_PER_CLAIM = 4
-"""Each new claim deletes a few outdated ones, so the table stays bounded at any rate."""
+CLAIMS_DELETED_PER_CLAIM = 4
+"""Outdated claims that each new claim deletes, which bounds the table at any request rate."""
 
 _SELECT = """
 SELECT content_hash, attempt_id, finished, status_code, body FROM sm_claims
@@ -21,11 +25,12 @@
 def claim_request(
     connection: sqlite3.Connection, context: ApplyContext, command: ClaimRequest
 ) -> Claim:
-    """Grant the claim to the first attempt; every other one sees who holds it and its answer.
+    """Grant a claim to the first attempt; other attempts get the holder and its response, if any.
 
-    A resend of the holder's own command is granted again: it is the same attempt.
+    A resend of the holder's command is the same attempt and is granted again until the claim is
+    finished.
     """
-    forget_claims(connection, context.wall_ms, CLAIMS_FORGOTTEN_PER_CLAIM)
+    forget_claims(connection, context.wall_ms, CLAIMS_DELETED_PER_CLAIM)
     connection.execute(
         """
         INSERT OR IGNORE INTO sm_claims (tenant, claim_key, content_hash, gateway, attempt_id,
@@ -49,7 +54,10 @@
 def finish_claim(
     connection: sqlite3.Connection, context: ApplyContext, command: FinishClaim
 ) -> Claim | Failure:
-    """Record the answer of the attempt that holds the claim, or give the claim up."""
+    """Record the response to the attempt that holds the claim, or release the claim.
+
+    The claim is released if the request was not run. Only the holder may finish a claim.
+    """
     claim = _read_claim(connection, command.tenant, command.key, command.attempt_id)
     if claim is None or claim.attempt_id != command.attempt_id:
         return Failure(
--- a/src/leverjunction/batch/harvest_state.py
+++ b/src/leverjunction/batch/harvest_state.py
@@ -296,7 +296,9 @@
         state = runner.state
         has_suspect = any(run.work.is_suspect for run in self._runs_on(state.runner_id))
         for _ in range(decision.start):
-            work = self.work.take(state.service, state.models, now_s, may_suspect=not has_suspect)
+            work = self.work.take(
+                state.service, state.models, now_s, allow_suspects=not has_suspect
+            )
             if work is None:
                 return
             if work.deadline_s <= now_s:
--- a/src/leverjunction/batch/held_work.py
+++ b/src/leverjunction/batch/held_work.py
@@ -1,4 +1,4 @@
-"""Leases and items that a gateway holds: what waits, what runs, and until when it may start."""
+"""Leases that a gateway holds, and their items that wait for a runner."""
 
 from __future__ import annotations
 
@@ -9,25 +9,36 @@
 from leverjunction.batch.commands import Lease, LeasedItem
 
 START_MARGIN_S = 2.0
-"""An item that may not repeat starts only while its lease holds for this much longer."""
+"""Remaining validity of a lease that is required to start an item that may not repeat."""
 
 SUSPECT_LOST_RUNS = 2
-"""An item under which so many runners were lost is suspected to kill them. A runner runs at most
-one suspect at a time, so that those that ran beside the culprit are not lost with it again."""
+"""Number of lost runs from which on an item is suspected to crash its runners.
+
+A runner runs at most one suspect at a time. Otherwise the items that ran together with the
+crashing item would be lost together with it again.
+"""
 
 MS_PER_S = 1000
 
 ItemKey = tuple[str, int]
-"""Job id and index: an item is held at most once at a time."""
+"""Job id and index of an item; a gateway holds an item at most once at a time."""
 
 
 @dataclass
 class WorkItem:
-    """An item of a lease, with the text that earlier runs of it have generated.
-
-    ``deadline_s`` is the job's deadline by this process's monotonic clock. Of the ``tries``, those
-    are fruitless that ended neither with an answer nor by being parked; broken ones may have run,
-    and of the ``lost_runs``, which count those of former leases too, the runner may have died.
+    """An item of a lease, with the state that its earlier runs have left.
+
+    Attributes:
+        leased: The item as leased by its job group.
+        lease_id: Lease that contains the item.
+        service: Service whose runners may run it.
+        sequence: Position in the order in which this gateway leased items.
+        deadline_s: Deadline of the job by this process's monotonic clock.
+        continue_text: Text that earlier runs have generated; the next run continues after it.
+        tries: Runs under this lease.
+        fruitless_runs: Runs that ended neither with an answer nor by being parked.
+        broken_runs: Fruitless runs that may have been executed.
+        lost_runs: Runs whose runner may have died, including runs under earlier leases.
     """
 
     leased: LeasedItem
@@ -43,23 +54,31 @@
 
     @property
     def key(self) -> ItemKey:
-        """Key of the item in the whole group."""
+        """Key of the item, unique in its job group."""
         return (self.leased.job_id, self.leased.index)
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the item may be what kills its runners."""
+        """Whether the item is suspected to crash its runners."""
         return self.lost_runs >= SUSPECT_LOST_RUNS
 
 
 def request_id_of(work: WorkItem) -> str:
-    """Return the request id under which engines know an item."""
+    """Return the request id of an item at the engines; all runs of the item share it."""
     return f"{work.leased.job_id}-{work.leased.index}"
 
 
 @dataclass
 class HeldLease:
-    """A lease by this process's monotonic clock."""
+    """A lease that this gateway holds.
+
+    Attributes:
+        lease_id: Id of the lease.
+        group: Job group that granted it.
+        duration_s: How long a grant or a renewal is valid.
+        valid_until_s: End of its validity by this process's monotonic clock.
+        open_items: Items without a committed outcome.
+    """
 
     lease_id: str
     group: str
@@ -69,7 +88,7 @@
 
 
 class HeldWork:
-    """Bookkeeping without threads or I/O; the harvester calls it under its lock."""
+    """Held leases and queues of waiting items. Not thread-safe; does no I/O."""
 
     def __init__(self) -> None:
         self.leases: dict[str, HeldLease] = {}
@@ -79,7 +98,15 @@
     def add_lease(
         self, lease: Lease, group: str, service: str, valid_until_s: float, now_s: float
     ) -> None:
-        """Take a granted lease and queue its items."""
+        """Add a granted lease and queue its items.
+
+        Args:
+            lease: The lease as granted.
+            group: Job group that granted it.
+            service: Service whose runners may run its items.
+            valid_until_s: End of its validity, in monotonic seconds.
+            now_s: Monotonic time in seconds, from which the items' deadlines are computed.
+        """
         held = HeldLease(lease.lease_id, group, lease.duration_s, valid_until_s)
         self.leases[lease.lease_id] = held
         for leased in lease.items:
@@ -97,42 +124,42 @@
             self._queue(work).append(work)
 
     def waiting(self, service: str) -> int:
-        """Return how many items of a service wait to be started."""
+        """Return the number of waiting items of a service."""
         return sum(len(queue) for (name, _), queue in self._waiting.items() if name == service)
 
     def waiting_total(self) -> int:
-        """Return how many items wait to be started."""
+        """Return the number of waiting items."""
         return sum(len(queue) for queue in self._waiting.values())
 
     def parked_total(self) -> int:
-        """Return how many waiting items have run in part."""
+        """Return the number of waiting items that have already generated some text."""
         return sum(1 for work in self._all_waiting() if work.continue_text)
 
     def take(
-        self, service: str, models: Iterable[str], now_s: float, may_suspect: bool = True
+        self, service: str, models: Iterable[str], now_s: float, allow_suspects: bool = True
     ) -> WorkItem | None:
-        """Return the next item that a runner with these models may start, or None.
+        """Remove and return the next item that a runner with these models may start, or None.
 
-        Parked items come first, since they were put back at the front of their queue. Suspects
-        are passed over unless ``may_suspect``.
+        Parked items come first, because they were put back at the front of their queue. Items
+        suspected to crash runners are skipped unless ``allow_suspects``.
         """
         queues = [self._waiting.get((service, model)) for model in models]
-        heads = [queue for queue in queues if queue]
-        heads.sort(key=lambda queue: queue[0].sequence)
-        for queue in heads:
+        candidates = [queue for queue in queues if queue]
+        candidates.sort(key=lambda queue: queue[0].sequence)
+        for queue in candidates:
             for position, work in enumerate(queue):
-                if self._may_start(work, now_s) and (may_suspect or not work.is_suspect):
+                if self._may_start(work, now_s) and (allow_suspects or not work.is_suspect):
                     del queue[position]
                     return work
         return None
 
     def put_back(self, work: WorkItem) -> None:
-        """Queue an item again, ahead of those that have never run."""
+        """Queue an item again, before the items that have never run."""
         if work.lease_id in self.leases:
             self._queue(work).appendleft(work)
 
     def close_items(self, lease_id: str, keys: Iterable[ItemKey]) -> None:
-        """Note that outcomes of these items are committed; an empty lease is forgotten."""
+        """Record committed outcomes of items; a lease without open items is removed."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return
@@ -141,21 +168,21 @@
             del self.leases[lease_id]
 
     def renew(self, lease_ids: Iterable[str], asked_s: float) -> None:
-        """Extend leases whose renewal was asked for at ``asked_s`` and answered since."""
+        """Extend leases after a successful renewal that was requested at ``asked_s``."""
         for lease_id in lease_ids:
             lease = self.leases.get(lease_id)
             if lease is not None:
                 lease.valid_until_s = max(lease.valid_until_s, asked_s + lease.duration_s)
 
     def drop_leases(self, lease_ids: Iterable[str]) -> None:
-        """Forget lost leases and the waiting items of them."""
+        """Remove lost leases and their waiting items."""
         lost = set(lease_ids)
         for lease_id in lost:
             self.leases.pop(lease_id, None)
         self._drop_waiting(lambda work: work.lease_id in lost)
 
     def drop_jobs(self, job_ids: Iterable[str]) -> None:
-        """Forget the waiting items of cancelled jobs."""
+        """Remove the items of cancelled jobs."""
         cancelled = set(job_ids)
         self._drop_waiting(lambda work: work.leased.job_id in cancelled)
         for lease in list(self.leases.values()):
@@ -163,14 +190,14 @@
             self.close_items(lease.lease_id, keys)
 
     def take_unservable(self, servable: set[tuple[str, str]]) -> list[WorkItem]:
-        """Take out the waiting items whose service and model are not among ``servable``."""
+        """Remove and return the waiting items whose service and model are not in ``servable``."""
         items: list[WorkItem] = []
         for key in [key for key in self._waiting if key not in servable]:
             items += self._waiting.pop(key)
         return items
 
     def drain_waiting(self) -> list[WorkItem]:
-        """Take out all waiting items, to hand them back."""
+        """Remove and return all waiting items."""
         items = list(self._all_waiting())
         self._waiting.clear()
         return items
--- a/src/leverjunction/batch/lease_fetcher.py
+++ b/src/leverjunction/batch/lease_fetcher.py
@@ -1,4 +1,4 @@
-"""Keeps a few seconds' worth of leased items at hand, so that an idle gap is filled at once."""
+"""Leases batch items ahead of their start, so that spare capacity can be used immediately."""
 
 from __future__ import annotations
 
@@ -10,21 +10,27 @@
 
 from leverjunction.batch.commands import Backlog, GetBacklog, GrantLease, Lease
 from leverjunction.batch.directory import Control
-from leverjunction.batch.lease_polls import Place, PollSchedule
+from leverjunction.batch.lease_polls import PollSchedule, PollTarget
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure
 from leverjunction.wire.messages import PendingWork
 
 CHECK_INTERVAL_S = 0.1
-QUIET_CHECK_INTERVAL_S = 1.0
-"""Between two looks at what is wanted while no work is said to be; news of work end the wait."""
+IDLE_CHECK_INTERVAL_S = 1.0
+"""Interval between checks of the demand while no work is pending; new work ends the wait."""
 
 CALL_TIMEOUT_S = 3.0
 MAX_GRANT_ITEMS = 256
 
 
 class Demand:
-    """What a service's runners could use: models loaded and items wanted."""
+    """Demand of one service for items.
+
+    Attributes:
+        service: Name of the service.
+        models: Models that its usable runners have loaded.
+        wanted: Number of items to lease.
+    """
 
     def __init__(self, service: str, models: list[str], wanted: int) -> None:
         self.service = service
@@ -33,19 +39,19 @@
 
 
 Granted = Callable[[str, str, Lease, float], None]
-"""Called with group, service, lease and the monotonic time at which it was asked for."""
+"""Called with group, service, lease and the monotonic time at which the lease was requested."""
 
 
 class LeaseFetcher:
-    """One thread that asks the job groups for leases.
+    """Requests leases from the job groups in a thread of its own.
 
     Args:
         control: Client of the control processes.
         clock: Monotonic clock.
-        random: Source of lease ids and of the spread between polls.
+        random: Source of lease ids, of the order of groups and of the jitter between polls.
         gateway_id: Owner of the leases.
-        demands: Returns what is wanted now.
-        granted: Takes a lease.
+        demands: Returns the current demand of each service.
+        granted: Called with each granted lease.
     """
 
     def __init__(
@@ -66,7 +72,7 @@
         self._groups: list[str] = []
         self._lock = threading.Lock()
         self._polls = PollSchedule(random)
-        self._unanswered: dict[Place, GrantLease] = {}
+        self._unanswered_grants: dict[PollTarget, GrantLease] = {}
         self._wake = threading.Event()
         self._stopped = threading.Event()
         self._failing = False
@@ -77,23 +83,23 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; grants under way are waited for, so that they can be returned."""
+        """End the thread, then request the unanswered grants again so that they can be released."""
         self._stopped.set()
         self._wake.set()
         if self._thread.is_alive():
             self._thread.join(CALL_TIMEOUT_S * 2)
-        for place, command in list(self._unanswered.items()):
-            self._ask(place, command)
+        for target, command in list(self._unanswered_grants.items()):
+            self._request_lease(target, command)
 
     def update(self, groups: list[str]) -> None:
-        """Take the names of the job groups."""
+        """Replace the names of the job groups."""
         self._groups = list(groups)
 
     def update_pending(self, work: list[PendingWork]) -> None:
-        """Take the hub's word of where work is pending."""
+        """Update which job groups have pending work, as reported by the hub."""
         with self._lock:
-            is_news = self._polls.told(work)
-        if is_news:
+            has_new_work = self._polls.update(work)
+        if has_new_work:
             self._wake.set()
 
     def _run(self) -> None:
@@ -105,16 +111,16 @@
             try:
                 self.fetch_once()
             except Exception:
-                # Batch must go on after any fault of one round.
-                logger.exception("fetching leases failed")
+                # An unexpected error in one round must not end the thread.
+                logger.exception("requesting batch leases failed")
 
     def _check_interval_s(self) -> float:
         with self._lock:
-            is_quiet = self._polls.is_quiet(self._groups) and not self._unanswered
-        return QUIET_CHECK_INTERVAL_S if is_quiet else CHECK_INTERVAL_S
+            is_idle = self._polls.is_idle(self._groups) and not self._unanswered_grants
+        return IDLE_CHECK_INTERVAL_S if is_idle else CHECK_INTERVAL_S
 
     def fetch_once(self) -> None:
-        """Ask for what is wanted, group by group from a random one on."""
+        """Request leases for the current demand, from the job groups in random order."""
         for demand in self._demands():
             groups = list(self._groups)
             self._random.shuffle(groups)
@@ -123,22 +129,22 @@
                     demand.wanted -= self._fetch(group, demand)
 
     def _fetch(self, group: str, demand: Demand) -> int:
-        place = Place(group, demand.service)
+        target = PollTarget(group, demand.service)
         now_s = self._clock.monotonic_s()
         with self._lock:
-            is_due = self._polls.is_due(place, now_s)
+            is_due = self._polls.is_due(target, now_s)
         if not is_due or not demand.models:
             return 0
-        command = self._unanswered.get(place)
-        if command is None and self._has_work(group, demand):
+        command = self._unanswered_grants.get(target)
+        if command is None and self._has_pending_items(group, demand):
             command = self._new_grant(demand)
-        count = 0 if command is None else self._ask(place, command)
+        count = 0 if command is None else self._request_lease(target, command)
         with self._lock:
             if count > 0:
-                self._polls.had_items(place)
+                self._polls.record_items(target)
             else:
-                is_unanswered = place in self._unanswered
-                self._polls.was_empty(place, now_s, is_unanswered=is_unanswered)
+                is_unanswered = target in self._unanswered_grants
+                self._polls.record_empty(target, now_s, is_unanswered=is_unanswered)
         return count
 
     def _new_grant(self, demand: Demand) -> GrantLease:
@@ -146,35 +152,38 @@
         lease_id = f"{self._gateway_id}.{self._random.getrandbits(96):024x}"
         return GrantLease(lease_id, self._gateway_id, demand.service, demand.models, count)
 
-    def _ask(self, place: Place, command: GrantLease) -> int:
-        """Ask for a lease and return how many items it has.
+    def _request_lease(self, target: PollTarget, command: GrantLease) -> int:
+        """Request a lease and return the number of its items.
 
-        A grant whose answer was lost may be committed, so the same one is asked for again: the
-        group repeats its answer. Forgotten, its items would wait for the lease to end, and those
-        that may not repeat would end as unknown.
+        A grant whose reply was lost may have been committed, so the same command is kept and sent
+        again; the group then repeats its reply. Without that, its items would wait until the lease
+        expires, and the outcome of items that may not repeat would become unknown.
         """
         asked_s = self._clock.monotonic_s()
-        lease = self._control.propose(place.group, command, Lease, CALL_TIMEOUT_S)
+        lease = self._control.propose(target.group, command, Lease, CALL_TIMEOUT_S)
         if isinstance(lease, Failure):
-            self._note_failure(lease)
+            self._log_failure(lease)
             if lease.execution is not Execution.NOT_RUN:
-                self._unanswered[place] = command
+                self._unanswered_grants[target] = command
             return 0
-        self._unanswered.pop(place, None)
+        self._unanswered_grants.pop(target, None)
         self._failing = False
         if lease.items:
-            self._granted(place.group, place.service, lease, asked_s)
+            self._granted(target.group, target.service, lease, asked_s)
         return len(lease.items)
 
-    def _has_work(self, group: str, demand: Demand) -> bool:
-        """Ask by a read first: an empty grant would cost every replica a log entry."""
+    def _has_pending_items(self, group: str, demand: Demand) -> bool:
+        """Return whether a group has pending items of the demand's service.
+
+        This is a read. An empty grant would cost a log entry on every replica instead.
+        """
         backlog = self._control.query(group, GetBacklog(with_leases=False), Backlog, CALL_TIMEOUT_S)
         if isinstance(backlog, Failure):
-            self._note_failure(backlog)
+            self._log_failure(backlog)
             return False
         return backlog.pending_by_service.get(demand.service, 0) > 0
 
-    def _note_failure(self, failure: Failure) -> None:
+    def _log_failure(self, failure: Failure) -> None:
         if not self._failing:
-            logger.warning("no leases for now: {}", failure.reason)
+            logger.warning("cannot lease batch items: {}", failure.reason)
         self._failing = True
--- a/src/leverjunction/batch/lease_timers.py
+++ b/src/leverjunction/batch/lease_timers.py
@@ -1,8 +1,8 @@
-"""Expiry of leases on the leader of a job group, by its monotonic clock.
+"""Expiry timers of the leases of a job group, kept by the group's leader.
 
-Wall clocks of machines differ and jump, so they end no lease. The leader keeps, in memory, until
-when each open lease holds; a new leader knows nothing of earlier renewals and therefore gives
-every open lease a whole duration before it may end it.
+Leases expire by the leader's monotonic clock, because the wall clocks of machines differ and jump.
+The leader keeps the expiry time of each open lease in memory. A new leader knows nothing of earlier
+renewals, so it gives every open lease a full duration before it may expire.
 """
 
 from __future__ import annotations
@@ -12,57 +12,64 @@
 from leverjunction.batch.leasing import LEASE_DURATION_S
 
 RETRY_S = 2.0
-"""An expiry whose proposal may have failed is offered again after this long."""
+"""Time after which an expired lease is returned again, as its proposal may have failed."""
 
 
 class LeaseTimers:
-    """Pure: time is passed in. Called by the control process that leads the group."""
+    """Expiry times of open leases. Reads no clock: each call passes monotonic seconds.
+
+    Args:
+        duration_s: Validity of a grant or a renewal.
+    """
 
     def __init__(self, duration_s: float = LEASE_DURATION_S) -> None:
         self._duration_s = duration_s
-        self._holds_until_s: dict[str, float] = {}
+        self._expires_s: dict[str, float] = {}
 
     def became_leader(self, lease_ids: Iterable[str], now_s: float) -> None:
-        """Start anew from the open leases of the applied state."""
-        self._holds_until_s = {lease_id: now_s + self._duration_s for lease_id in lease_ids}
+        """Restart all timers with the open leases of the applied state."""
+        self._expires_s = {lease_id: now_s + self._duration_s for lease_id in lease_ids}
 
     def granted(self, lease_id: str, now_s: float) -> None:
-        """Note a lease that was just granted, or granted again by a resend."""
-        self._holds_until_s[lease_id] = now_s + self._duration_s
+        """Start the timer of a lease that was just granted, or granted again by a resend."""
+        self._expires_s[lease_id] = now_s + self._duration_s
 
     def renewed(self, lease_ids: Iterable[str], now_s: float) -> list[str]:
-        """Extend leases that their holder still has.
+        """Restart the timers of leases that their holder renews.
 
         Returns:
-            The ids that are not open here: their holder has lost them.
+            Ids of the leases that are not open here; their holder has lost them.
         """
         lost = []
         for lease_id in lease_ids:
-            if lease_id in self._holds_until_s:
-                self._holds_until_s[lease_id] = now_s + self._duration_s
+            if lease_id in self._expires_s:
+                self._expires_s[lease_id] = now_s + self._duration_s
             else:
                 lost.append(lease_id)
         return lost
 
     def ended(self, lease_ids: Iterable[str]) -> None:
-        """Forget leases that were completed, released or expired."""
+        """Remove leases that were completed, released or expired."""
         for lease_id in lease_ids:
-            self._holds_until_s.pop(lease_id, None)
+            self._expires_s.pop(lease_id, None)
 
     def retain(self, open_lease_ids: Iterable[str], now_s: float) -> None:
-        """Reconcile with the open leases of the applied state: drop ended, add unknown ones."""
-        self._holds_until_s = {
-            lease_id: self._holds_until_s.get(lease_id, now_s + self._duration_s)
+        """Reconcile with the open leases of the applied state.
+
+        Leases that have ended are removed; unknown ones are added with a full duration.
+        """
+        self._expires_s = {
+            lease_id: self._expires_s.get(lease_id, now_s + self._duration_s)
             for lease_id in open_lease_ids
         }
 
     def expired(self, now_s: float) -> list[str]:
-        """Return the leases that may be ended now, for one ``ExpireLeases``.
+        """Return the leases that have expired, to be ended by one ``ExpireLeases`` command.
 
-        The proposal may fail, so a lease is offered again after ``RETRY_S`` until ``ended`` or
-        ``retain`` says that it is gone; ending a lease twice changes nothing.
+        The proposal may fail, so a lease is returned again every ``RETRY_S`` until ``ended`` or
+        ``retain`` removes it. Ending a lease twice has no effect.
         """
-        due = [lease_id for lease_id, until_s in self._holds_until_s.items() if until_s <= now_s]
+        due = [lease_id for lease_id, expires_s in self._expires_s.items() if expires_s <= now_s]
         for lease_id in due:
-            self._holds_until_s[lease_id] = now_s + RETRY_S
+            self._expires_s[lease_id] = now_s + RETRY_S
         return sorted(due)
--- a/src/leverjunction/batch/lost_answers.py
+++ b/src/leverjunction/batch/lost_answers.py
@@ -1,10 +1,10 @@
 """Detects runs whose answer was lost although their runner is alive.
 
-An answer is lost if its connection goes silent for good, or if a late submission with the same
-request id has replaced the run at its engine. The runner still reports its load and the gateway
-still renews the lease, so the item would wait for the whole answer timeout of ten minutes. An
-engine can list the requests that it holds. A run that is missing from these lists for long enough
-is lost.
+An answer is the response of an engine to a run. It is lost if its connection goes silent for good,
+or if a late submission with the same request id has replaced the run at its engine. The runner
+still reports its load and the gateway still renews the lease, so the item would wait for the whole
+answer timeout of ten minutes. An engine can list the requests that it holds. A run that is missing
+from these lists for long enough is lost.
 
 The module does no I/O and reads no clock.
 """
--- a/src/leverjunction/batch/result_sender.py
+++ b/src/leverjunction/batch/result_sender.py
@@ -1,4 +1,4 @@
-"""Returns outcomes to the job groups in batches, each until it is committed."""
+"""Sends outcomes of items to the job groups in batches, and retries until they are committed."""
 
 from __future__ import annotations
 
@@ -19,11 +19,16 @@
 RETRY_PAUSE_S = 0.5
 
 Committed = Callable[[str, list[ItemResult], CompletedItems], None]
-"""Called with the lease id, the outcomes sent and the reply, after the commit."""
+"""Called after a commit with the lease id, the committed outcomes and the reply."""
 
 
 class ResultSenders:
-    """A sender for each job group, so that one without a leader holds up no other's outcomes."""
+    """One sender per job group, so that a group without a leader does not delay the others.
+
+    Args:
+        control: Client of the control processes.
+        committed: Called after each commit, from the thread of a sender.
+    """
 
     def __init__(self, control: Control, committed: Committed) -> None:
         self._control = control
@@ -32,7 +37,7 @@
         self._senders: dict[str, ResultSender] = {}
 
     def put(self, group: str, lease_id: str, result: ItemResult) -> None:
-        """Queue an outcome."""
+        """Queue an outcome, and start the sender of its group if there is none."""
         with self._lock:
             sender = self._senders.get(group)
             if sender is None:
@@ -41,27 +46,32 @@
         sender.put(group, lease_id, result)
 
     def pending(self) -> int:
-        """Return how many outcomes are not committed yet."""
-        return sum(sender.pending() for sender in self._all())
+        """Return the number of outcomes that are not committed yet."""
+        return sum(sender.pending() for sender in self._all_senders())
 
     def stop(self, timeout_s: float) -> None:
-        """Send what is queued, for at most ``timeout_s`` altogether, and end the threads."""
+        """Send the queued outcomes and end the threads; waits at most ``timeout_s`` in total."""
         deadline_s = steady_s() + timeout_s
-        senders = self._all()
+        senders = self._all_senders()
         for sender in senders:
             sender.begin_stop()
         for sender in senders:
             sender.join(max(0.0, deadline_s - steady_s()))
 
-    def _all(self) -> list[ResultSender]:
+    def _all_senders(self) -> list[ResultSender]:
         with self._lock:
             return list(self._senders.values())
 
 
 class ResultSender:
-    """One thread that proposes ``CompleteItems``. Outcomes stay queued until they are committed.
+    """Proposes ``CompleteItems`` for one job group in a thread of its own.
+
+    Outcomes stay queued until they are committed. Sending an outcome twice is harmless, because
+    only the first committed outcome of an item counts.
 
-    The first committed outcome of an item wins, so sending one again is harmless.
+    Args:
+        control: Client of the control processes.
+        committed: Called after each commit, from the sender's thread.
     """
 
     def __init__(self, control: Control, committed: Committed) -> None:
@@ -85,18 +95,18 @@
             self._changed.notify_all()
 
     def pending(self) -> int:
-        """Return how many outcomes are not committed yet."""
+        """Return the number of outcomes that are not committed yet."""
         with self._changed:
             return self._sending + sum(len(results) for results in self._queued.values())
 
     def begin_stop(self) -> None:
-        """Let the thread end once all that is queued is committed."""
+        """Make the thread end as soon as all queued outcomes are committed."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
 
     def join(self, timeout_s: float) -> None:
-        """Wait for the thread's end."""
+        """Wait for the end of the thread, at most ``timeout_s`` seconds."""
         if self._thread.is_alive():
             self._thread.join(timeout_s)
 
@@ -108,19 +118,19 @@
                 if not self._queued and self._stopping:
                     return
                 if not self._stopping:
-                    # Outcomes that end within a moment of each other share one log entry.
+                    # Wait briefly, so that outcomes that follow share one entry of the log.
                     self._changed.wait(FLUSH_INTERVAL_S)
                 group, lease_id, results = self._take()
                 self._sending = len(results)
             try:
                 self._send(group, lease_id, results)
             except Exception as error:
-                # Outcomes must survive any fault; sending one again changes nothing.
-                logger.exception("sending outcomes to {} failed", group)
-                self._requeue(group, lease_id, results, _fault(error))
+                # No unexpected error may lose outcomes; sending them again is harmless.
+                logger.exception("sending batch results to group {} failed", group)
+                self._requeue(group, lease_id, results, _internal_failure(error))
 
     def _take(self) -> tuple[str, str, list[ItemResult]]:
-        """Take one batch of one lease, oldest lease first."""
+        """Remove and return a batch of outcomes of the lease that was queued first."""
         (group, lease_id), results = next(iter(self._queued.items()))
         size = 0
         count = 0
@@ -142,7 +152,7 @@
             self._requeue(group, lease_id, results, reply)
             return
         if self._failing:
-            logger.info("results are committed again")
+            logger.info("batch results are being committed again")
         self._failing = False
         with self._changed:
             self._sending = 0
@@ -152,7 +162,7 @@
         self, group: str, lease_id: str, results: list[ItemResult], failure: Failure
     ) -> None:
         if not self._failing:
-            logger.warning("results are not committed, will try on: {}", failure.reason)
+            logger.warning("batch results not committed, will retry: {}", failure.reason)
         self._failing = True
         with self._changed:
             self._sending = 0
@@ -161,5 +171,5 @@
             self._changed.wait(RETRY_PAUSE_S)
 
 
-def _fault(error: Exception) -> Failure:
+def _internal_failure(error: Exception) -> Failure:
     return Failure(kind=FailureKind.INTERNAL, reason=repr(error), step=Step.PROPOSING)
--- a/tests/unit/test_batch_harvester.py
+++ b/tests/unit/test_batch_harvester.py
@@ -36,7 +36,7 @@
     ResultPage,
 )
 from leverjunction.batch.harvester import Harvester
-from leverjunction.batch.item_run import MAX_ANSWER_BYTES
+from leverjunction.batch.item_run import MAX_RESPONSE_BYTES
 from leverjunction.clock import SystemClock
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.settings.resolved import ResolvedServing, ResolvedSettings
@@ -210,7 +210,7 @@
         (FakeStream(400, b'{"error":1}'), True, ItemState.FAILED),
         (FakeStream(500, b'{"error":1}'), False, ItemState.FAILED),
         (FakeStream(200, b"nonsense"), False, ItemState.UNKNOWN),
-        (FakeStream(200, b"x" * (MAX_ANSWER_BYTES + 1)), True, ItemState.FAILED),
+        (FakeStream(200, b"x" * (MAX_RESPONSE_BYTES + 1)), True, ItemState.FAILED),
     ],
 )
 def test_first_answer_that_fails(
--- a/tests/unit/test_batch_orphan_sweep.py
+++ b/tests/unit/test_batch_orphan_sweep.py
@@ -9,7 +9,7 @@
 
 from leverjunction.backends.types import HeldRequest
 from leverjunction.batch.leasing import LEASE_DURATION_S
-from leverjunction.batch.orphan_sweep import LATER_LOOKS_S, OrphanSweep, RequestOwner
+from leverjunction.batch.orphan_sweep import REPEAT_QUERY_DELAYS_S, OrphanSweep, RequestOwner
 from leverjunction.clock import SystemClock
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.gateway.orphan_sweeper import OrphanSweeper
@@ -97,7 +97,7 @@
             looks.append(now_s)
             sweep.find_orphans(runner.runner_id, [], now_s)
         now_s += 1.0
-    assert looks == [0.0, LATER_LOOKS_S[0], sum(LATER_LOOKS_S)]
+    assert looks == [0.0, REPEAT_QUERY_DELAYS_S[0], sum(REPEAT_QUERY_DELAYS_S)]
     assert looks[-1] > LEASE_DURATION_S
 
 
