--- a/tests/unit/batch_support.py
+++ b/tests/unit/batch_support.py
@@ -1,4 +1,4 @@
-"""A control client for tests that applies commands to state machines in this process."""
+"""Test doubles for batch tests: an in-process control client and fake engines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class LocalControl:
-    """Applies each proposal at once; ``refuse`` may answer a command with a failure instead."""
+    """Control client that applies each proposal immediately to in-process state machines.
+
+    ``refuse`` may return a failure for a command, which is then not applied.
+    """
 
     def __init__(self, wall_ms: Callable[[], int]) -> None:
         self.machine = JobsStateMachine()
@@ -58,7 +61,7 @@
 
 
 class FakeStream:
-    """An answer that is there already."""
+    """A response that is already complete."""
 
     def __init__(self, status: int, body: bytes) -> None:
         self.status = status
@@ -69,9 +72,10 @@
 
 
 class FakeEngines:
-    """Engines whose answers a test holds back, cancels or breaks.
+    """Engine client whose responses a test controls.
 
-    ``held`` makes requests wait until ``release`` or a cancel; ``answers`` gives fixed endings.
+    If ``held`` is true, requests wait until ``release`` or a cancel. ``answer`` returns the
+    response to a request that was not cancelled.
     """
 
     def __init__(self) -> None:
@@ -101,7 +105,7 @@
         return None
 
     def release(self) -> None:
-        """Let all held requests finish."""
+        """Let all held requests finish, and hold no new ones."""
         with self.changed:
             self.held = False
             self.changed.notify_all()
--- a/tests/unit/test_batch_harvest_state.py
+++ b/tests/unit/test_batch_harvest_state.py
@@ -1,4 +1,4 @@
-"""Rules between runs, runners and held work, without threads."""
+"""Tests of the harvester's rules for runs, runners and held items, without threads."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def held_state(may_repeat: bool) -> HarvestState:
-    """Return a state that holds two items since time 0."""
+    """Return a state with an idle runner and a lease of two items, granted at time 0."""
     state = HarvestState(HarvestCounters(CollectorRegistry()))
     leased = [
         LeasedItem(
@@ -60,20 +60,21 @@
     return state
 
 
-@pytest.mark.parametrize(("may_repeat", "given_back"), [(True, 2), (False, 0)])
-def test_runs_on_a_runner_that_is_gone_are_given_up(may_repeat: bool, given_back: int) -> None:
-    # The machine list has dropped it, and its connections only end by their timeout of minutes.
+@pytest.mark.parametrize(("may_repeat", "returned"), [(True, 2), (False, 0)])
+def test_runs_on_a_removed_runner_are_abandoned(may_repeat: bool, returned: int) -> None:
+    # The machine list no longer contains the runner, but its connections only end by their
+    # timeout of several minutes.
     state = held_state(may_repeat)
     assert len(state.plan(0.0).starts) == 2
     state.set_runners([], TARGETS)
     assert state.plan(0.1).returned == []
     state.plan(0.2 + LOST_RUNNER_S)
-    assert len(state.plan(0.3 + LOST_RUNNER_S).returned) == given_back
-    assert state.live_runs() == 2 - given_back
+    assert len(state.plan(0.3 + LOST_RUNNER_S).returned) == returned
+    assert state.live_runs() == 2 - returned
 
 
-def test_items_for_a_runner_that_died_but_is_still_listed_go_back() -> None:
-    """Its owner has no other runner of the service: the items would wait here for ever."""
+def test_items_for_a_dead_runner_that_is_still_listed_are_returned() -> None:
+    """The gateway has no other runner of the service, so the items would wait here for ever."""
     state = held_state(may_repeat=True)
     state.set_runners(
         [RUNNER], {"llm": msgspec.structs.replace(TARGETS["llm"], batch_max_running=1)}
@@ -82,49 +83,50 @@
     assert state.plan(LOST_RUNNER_S - 0.1).returned == []
     assert state.demands(LOST_RUNNER_S - 0.1) != []
     later_s = [LOST_RUNNER_S + 0.1, LOST_RUNNER_S + 0.2]
-    given_back = [item for now_s in later_s for item in state.plan(now_s).returned]
-    assert sorted(item.work.leased.index for item in given_back) == [0, 1]
+    returned = [item for now_s in later_s for item in state.plan(now_s).returned]
+    assert sorted(item.work.leased.index for item in returned) == [0, 1]
     assert state.demands(LOST_RUNNER_S + 0.2) == []
 
 
-@pytest.mark.parametrize(("now_s", "started", "given_back"), [(59.0, 2, 0), (60.0, 0, 2)])
+@pytest.mark.parametrize(("now_s", "started", "returned"), [(59.0, 2, 0), (60.0, 0, 2)])
 def test_deadline_counts_from_the_grant_by_the_monotonic_clock(
-    now_s: float, started: int, given_back: int
+    now_s: float, started: int, returned: int
 ) -> None:
-    # By its own wall clock a gateway that is an hour fast would return each item at once, and the
-    # group, whose clock says that there is time, would lease it out again, for an hour.
+    # If deadlines used the local wall clock, a gateway whose clock is an hour ahead would return
+    # each item immediately. The group, by whose clock there is time left, would lease it again,
+    # for a whole hour.
     state = held_state(may_repeat=True)
     state.runners["r1"].controller.observe(REPORT, now_s)
     plan = state.plan(now_s)
-    assert (len(plan.starts), len(plan.returned)) == (started, given_back)
+    assert (len(plan.starts), len(plan.returned)) == (started, returned)
 
 
-def finish(state: HarvestState, run: Run, result: RunResult) -> ItemOutcome | ReturnedItem | None:
-    """End a run as its thread does."""
+def end_run(state: HarvestState, run: Run, result: RunResult) -> ItemOutcome | ReturnedItem | None:
+    """Record the end of a run, as its worker thread does."""
     return state.ended(run, result, now_s=1.0)
 
 
 def test_parked_runs_count_neither_as_broken_nor_as_fruitless() -> None:
-    # An item that has often given way to online work is as good as a new one: the first error of
-    # an engine must not fail it, and it must not be handed back, which would lose its text.
+    # An item that was parked often must be treated like a new one: the first engine error must
+    # not fail it, and it must not be returned to its job, which would lose its text.
     state = held_state(may_repeat=True)
     parked = RunResult(end=RunEnd.PARKED, status_code=200, text="so far")
     for _ in range(2 * MAX_TRIES):
         (run, _other) = state.plan(0.0).starts
-        assert finish(state, run, parked) is None
-        assert finish(state, _other, parked) is None
+        assert end_run(state, run, parked) is None
+        assert end_run(state, _other, parked) is None
     (run, _other) = state.plan(0.0).starts
     broken = RunResult(end=RunEnd.BROKEN, status_code=500, body="{}")
-    assert finish(state, run, broken) is None
+    assert end_run(state, run, broken) is None
     assert run.work.continue_text == "so far"
 
 
-def test_item_that_several_engines_break_on_fails() -> None:
+def test_item_fails_after_server_errors_of_several_engines() -> None:
     state = held_state(may_repeat=True)
     broken = RunResult(end=RunEnd.BROKEN, status_code=500, body="{}")
     outcomes = []
     for round_number in range(MAX_BROKEN_RUNS):
-        # Each broken run keeps its runner free of starts for a moment.
+        # Each broken run pauses its runner for a moment.
         now_s = 10.0 * round_number
         state.runners["r1"].controller.observe(REPORT, now_s)
         run = next(run for run in state.plan(now_s).starts if run.work.leased.index == 0)
@@ -137,28 +139,28 @@
 
 
 MAX_LOST_RUNS = 5
-LOST = RunResult(end=RunEnd.BROKEN, runner_lost=True)
-DONE = RunResult(end=RunEnd.DONE, status_code=200, body="{}")
+LOST_RUN = RunResult(end=RunEnd.BROKEN, runner_lost=True)
+DONE_RUN = RunResult(end=RunEnd.DONE, status_code=200, body="{}")
 
 
-def round_of_starts(state: HarvestState, now_s: float) -> list[Run]:
+def plan_starts(state: HarvestState, now_s: float) -> list[Run]:
     state.runners["r1"].controller.observe(REPORT, now_s)
     return state.plan(now_s).starts
 
 
-def test_an_item_that_kills_its_runners_fails_and_those_beside_it_do_not() -> None:
+def test_an_item_that_crashes_its_runners_fails_and_other_items_there_do_not() -> None:
     state = held_state(may_repeat=True)
     state.set_max_lost_runs({"llm": MAX_LOST_RUNS})
     ended: list[ItemOutcome] = []
-    killed = 0
+    crashed = 0
     for number in range(20):
         now_s = 2.0 * number
-        runs = round_of_starts(state, now_s)
-        kills = any(run.work.leased.index == 0 for run in runs)
-        killed += kills
-        outcomes = [state.ended(run, LOST if kills else DONE, now_s) for run in runs]
+        runs = plan_starts(state, now_s)
+        crashes = any(run.work.leased.index == 0 for run in runs)
+        crashed += crashes
+        outcomes = [state.ended(run, LOST_RUN if crashes else DONE_RUN, now_s) for run in runs]
         ended += [outcome for outcome in outcomes if isinstance(outcome, ItemOutcome)]
-    assert killed == MAX_LOST_RUNS
+    assert crashed == MAX_LOST_RUNS
     assert {(each.result.index, each.result.state) for each in ended} == {
         (0, ItemState.FAILED),
         (1, ItemState.DONE),
@@ -168,21 +170,21 @@
     assert (failed.status_code, "runner_lost" in failed.body) == (502, True)
 
 
-def test_a_runner_runs_one_suspect_at_a_time() -> None:
+def test_a_runner_runs_only_one_suspect_at_a_time() -> None:
     state = held_state(may_repeat=True)
     for number in range(SUSPECT_LOST_RUNS):
-        runs = round_of_starts(state, 2.0 * number)
+        runs = plan_starts(state, 2.0 * number)
         assert len(runs) == 2
         for run in runs:
-            state.ended(run, LOST, 2.0 * number)
-    (first,) = round_of_starts(state, 10.0)
-    assert round_of_starts(state, 11.0) == []
-    state.ended(first, DONE, 11.0)
-    assert len(round_of_starts(state, 12.0)) == 1
+            state.ended(run, LOST_RUN, 2.0 * number)
+    (first,) = plan_starts(state, 10.0)
+    assert plan_starts(state, 11.0) == []
+    state.ended(first, DONE_RUN, 11.0)
+    assert len(plan_starts(state, 12.0)) == 1
 
 
 @pytest.mark.parametrize(("is_owned", "lost_runs"), [(True, 1), (False, 0)])
-def test_a_silent_runner_counts_as_lost_while_its_reports_should_come_here(
+def test_a_silent_runner_counts_as_lost_only_for_the_gateway_that_owns_it(
     is_owned: bool, lost_runs: int
 ) -> None:
     state = held_state(may_repeat=True)
@@ -191,12 +193,12 @@
     state.plan(0.1)
     state.plan(0.2 + LOST_RUNNER_S)
     state.set_runners([], TARGETS)
-    given_back = state.plan(0.3 + LOST_RUNNER_S).returned
-    assert [item.work.lost_runs for item in given_back] == [lost_runs] * 2
+    returned = state.plan(0.3 + LOST_RUNNER_S).returned
+    assert [item.work.lost_runs for item in returned] == [lost_runs] * 2
 
 
 class BrokenEngines:
-    """Engines that answer each request with the same failure."""
+    """Engine client whose requests all fail with the same failure."""
 
     def __init__(self, failure: Failure) -> None:
         self._failure = failure
@@ -216,7 +218,7 @@
         (FailureKind.UNREACHABLE, Execution.NOT_RUN, RunEnd.NOT_RUN, False),
     ],
 )
-def test_only_a_broken_connection_says_that_a_runner_was_lost(
+def test_only_a_broken_connection_counts_as_a_lost_runner(
     kind: FailureKind, execution: Execution, end: RunEnd, runner_lost: bool
 ) -> None:
     work = held_state(may_repeat=True).work.take("llm", ["m"], 0.0)
@@ -226,12 +228,15 @@
     assert (result.end, result.runner_lost) == (end, runner_lost)
 
 
-@pytest.mark.parametrize("doubted", [False, True])
-def test_an_item_that_was_planned_before_a_standstill_waits_for_another_plan(
-    doubted: bool,
+@pytest.mark.parametrize("is_in_doubt", [False, True])
+def test_an_item_that_was_planned_before_a_pause_waits_for_a_new_plan(
+    is_in_doubt: bool,
 ) -> None:
-    """Its runner may be leaving by now: a plan lives from the decision to the run's thread."""
+    """The process may be paused between planning a run and sending it.
+
+    The runner may be leaving by then.
+    """
     state = held_state(may_repeat=True)
     (run, _other) = state.plan(0.0).starts
-    assert state.try_begin(run, 0.0, is_in_doubt=doubted) is not doubted
-    assert state.work.waiting_total() == int(doubted)
+    assert state.try_begin(run, 0.0, is_in_doubt=is_in_doubt) is not is_in_doubt
+    assert state.work.waiting_total() == int(is_in_doubt)
--- a/tests/unit/test_batch_harvester.py
+++ b/tests/unit/test_batch_harvester.py
@@ -1,4 +1,4 @@
-"""The harvester over state machines in this process and engines that the test controls."""
+"""Tests of the harvester with in-process state machines and fake engines."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class World:
-    """One harvester that owns one runner."""
+    """A harvester that owns one runner, with an in-process control client and fake engines."""
 
     def __init__(self) -> None:
         self.clock = SystemClock()
@@ -65,7 +65,7 @@
         runners = [RUNNER] if owned is None else owned
         self.harvester.update(runners, {"llm": self.serving}, GROUPS)
         for runner in runners:
-            self.harvester.observe_load(runner.runner_id, report())
+            self.harvester.observe_load(runner.runner_id, load_report())
 
     def submit(self, count: int, job_id: str = "jobs-0.a", may_repeat: bool = True) -> None:
         spec = JobSpec(
@@ -109,7 +109,7 @@
     built.harvester.stop()
 
 
-def report(**changes: object) -> LoadReport:
+def load_report(**changes: object) -> LoadReport:
     base = LoadReport(
         as_of_ms=0,
         incarnation=1,
@@ -128,7 +128,7 @@
     return view.state == JobState.COMPLETED
 
 
-def test_runs_all_items_and_commits_their_answers(world: World) -> None:
+def test_runs_all_items_and_commits_their_results(world: World) -> None:
     world.submit(10)
     world.start()
     view = world.wait_job(is_completed)
@@ -139,7 +139,7 @@
     assert json.loads(world.bodies()[0])["choices"][0]["text"] == " done"
 
 
-def test_online_arrival_parks_and_the_text_is_continued(world: World) -> None:
+def test_online_arrival_parks_items_that_later_continue_their_text(world: World) -> None:
     world.engines.held = True
     world.submit(3)
     world.start()
@@ -172,7 +172,7 @@
 
 
 class ObservedCondition(threading.Condition):
-    """Tells when a thread waits for an event alone, without a time at which it looks again."""
+    """Condition that reports when a thread waits on it without a timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -184,7 +184,7 @@
         return super().wait(timeout)
 
 
-def test_without_work_no_round_is_made_until_there_is_some(world: World) -> None:
+def test_without_work_the_thread_sleeps_until_some_arrives(world: World) -> None:
     changed = world.harvester._changed = ObservedCondition()
     world.start()
     assert changed.sleeps.wait(WAIT_S)
@@ -213,7 +213,7 @@
         (FakeStream(200, b"x" * (MAX_RESPONSE_BYTES + 1)), True, ItemState.FAILED),
     ],
 )
-def test_first_answer_that_fails(
+def test_outcome_after_a_failed_first_response(
     world: World, answer: FakeStream | Failure, may_repeat: bool, final: ItemState
 ) -> None:
     normal = world.engines.answer
@@ -235,8 +235,11 @@
         json.loads(body)
 
 
-def test_a_run_whose_answer_is_lost_is_stopped_before_the_item_runs_again(world: World) -> None:
-    """Simulated, hanbit 2060: crossed answers left runs that a cancelled job could not stop."""
+def test_a_run_whose_answer_is_lost_is_cancelled_before_the_item_runs_again(world: World) -> None:
+    """Such a run would otherwise continue after its job is cancelled.
+
+    Found by the simulator (scenario hanbit, seed 2060) with responses to the wrong request.
+    """
     cancelled_before: list[list[str]] = []
 
     def mismatch_first(call: EngineCall) -> FakeStream | Failure:
@@ -252,7 +255,7 @@
     assert cancelled_before == [[], [request_id]]
 
 
-def test_cancelled_job_is_stopped_on_its_engines(world: World) -> None:
+def test_items_of_a_cancelled_job_are_cancelled_on_their_engines(world: World) -> None:
     world.engines.held = True
     world.submit(5)
     world.start()
@@ -267,7 +270,7 @@
     assert world.job().done == 0
 
 
-def test_stop_hands_leases_back(world: World) -> None:
+def test_stop_releases_the_leases(world: World) -> None:
     world.engines.held = True
     world.submit(5)
     world.submit(5, "jobs-0.once", may_repeat=False)
@@ -304,7 +307,7 @@
     assert len(world.engines.calls) == 4
 
 
-def test_runner_that_another_gateway_owns_now_is_emptied(world: World) -> None:
+def test_items_on_a_runner_that_another_gateway_owns_now_are_parked(world: World) -> None:
     world.engines.held = True
     world.submit(3)
     world.start()
@@ -315,7 +318,7 @@
     assert (view.pending, view.done) == (3, 0)
 
 
-def test_lost_lease_stops_its_items(world: World) -> None:
+def test_items_of_a_lost_lease_are_cancelled(world: World) -> None:
     world.engines.held = True
     world.submit(3)
     world.start()
@@ -326,7 +329,7 @@
     assert set(lost).isdisjoint(world.harvester.lease_ids().get("jobs-0", []))
 
 
-def test_fault_in_a_run_does_not_lose_its_item(world: World) -> None:
+def test_unexpected_error_in_a_run_does_not_lose_its_item(world: World) -> None:
     normal = world.engines.answer
 
     def once(call: EngineCall) -> FakeStream | Failure:
--- a/tests/unit/test_batch_lease_fetcher.py
+++ b/tests/unit/test_batch_lease_fetcher.py
@@ -1,4 +1,4 @@
-"""Leases asked for ahead, over state machines in this process."""
+"""Tests of leasing ahead, with in-process state machines."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 T = TypeVar("T")
 
 
-class LossyControl(LocalControl):
-    """Applies commands, but the answers to the first grants get lost."""
+class ReplyLosingControl(LocalControl):
+    """Control client that applies commands, but loses its first replies to grants."""
 
-    def __init__(self, lost_answers: int) -> None:
+    def __init__(self, lost_replies: int) -> None:
         super().__init__(lambda: START_MS)
-        self.lost_answers = lost_answers
+        self.lost_replies = lost_replies
         self.queries = 0
 
     def query(
@@ -47,8 +47,8 @@
         self, group: str, command: msgspec.Struct, reply_type: type[T], timeout_s: float = 5.0
     ) -> T | Failure:
         reply = super().propose(group, command, reply_type, timeout_s)
-        if isinstance(command, GrantLease) and self.lost_answers > 0:
-            self.lost_answers -= 1
+        if isinstance(command, GrantLease) and self.lost_replies > 0:
+            self.lost_replies -= 1
             return Failure(
                 kind=FailureKind.TIMEOUT,
                 reason="no answer",
@@ -58,8 +58,8 @@
         return reply
 
 
-class Clock:
-    """Time that the test moves."""
+class ManualClock:
+    """Clock that the test advances."""
 
     now_s = 0.0
 
@@ -70,12 +70,12 @@
         return START_MS
 
 
-class Fetching:
-    """A fetcher with one job of items that may not repeat."""
+class FetcherSetup:
+    """A lease fetcher and, unless ``has_job`` is false, a job of items that may not repeat."""
 
-    def __init__(self, lost_answers: int, *, has_job: bool = True) -> None:
-        self.control = LossyControl(lost_answers)
-        self.clock = Clock()
+    def __init__(self, lost_replies: int, *, has_job: bool = True) -> None:
+        self.control = ReplyLosingControl(lost_replies)
+        self.clock = ManualClock()
         self.leases: list[Lease] = []
         self.fetcher = LeaseFetcher(
             self.control,
@@ -101,58 +101,61 @@
         return sum(len(ids) for ids in backlog.leases_by_owner.values())
 
 
-@pytest.mark.parametrize("lost_answers", [1, 3])
-def test_lost_answer_of_a_grant_is_asked_for_again(lost_answers: int) -> None:
-    # Else its items, which nobody runs, would end as unknown with their lease.
-    fetching = Fetching(lost_answers)
-    for _ in range(lost_answers + 1):
-        fetching.fetcher.fetch_once()
-        fetching.clock.now_s += 10.0
-    assert sum(len(lease.items) for lease in fetching.leases) == 8
-    assert fetching.open_leases() == 1
+@pytest.mark.parametrize("lost_replies", [1, 3])
+def test_grant_whose_reply_is_lost_is_requested_again(lost_replies: int) -> None:
+    # Otherwise nobody would run its items, and their outcome would be unknown when the lease ends.
+    setup = FetcherSetup(lost_replies)
+    for _ in range(lost_replies + 1):
+        setup.fetcher.fetch_once()
+        setup.clock.now_s += 10.0
+    assert sum(len(lease.items) for lease in setup.leases) == 8
+    assert setup.open_leases() == 1
 
 
-def test_stop_asks_once_more_for_a_lost_grant() -> None:
-    fetching = Fetching(1)
-    fetching.fetcher.fetch_once()
-    assert fetching.leases == []
-    fetching.fetcher.stop()
-    assert [len(lease.items) for lease in fetching.leases] == [8]
+def test_stop_requests_a_grant_without_a_reply_once_more() -> None:
+    setup = FetcherSetup(1)
+    setup.fetcher.fetch_once()
+    assert setup.leases == []
+    setup.fetcher.stop()
+    assert [len(lease.items) for lease in setup.leases] == [8]
 
 
-def test_a_lost_grant_after_an_idle_time_is_asked_for_again_soon() -> None:
-    """Found by simulated kilimo seeds 1097 and 1104: its items waited out the backoff of polls."""
-    fetching = Fetching(1, has_job=False)
+def test_a_lost_grant_after_an_idle_time_is_requested_again_soon() -> None:
+    """Its items must not wait for the backoff of empty polls.
+
+    Found by the simulator (scenario kilimo, seeds 1097 and 1104).
+    """
+    setup = FetcherSetup(1, has_job=False)
     for _ in range(40):
-        fetching.fetcher.fetch_once()
-        fetching.clock.now_s += MAX_EMPTY_POLL_S
-    fetching.add_job()
-    fetching.fetcher.fetch_once()
-    assert fetching.open_leases() == 1
-    assert fetching.leases == []
-    fetching.clock.now_s += EMPTY_POLL_S
-    fetching.fetcher.fetch_once()
-    assert [len(lease.items) for lease in fetching.leases] == [8]
-
-
-def test_an_idle_fleet_is_hardly_polled_and_work_is_begun_at_the_hubs_word() -> None:
-    fetching = Fetching(0, has_job=False)
-    fetching.fetcher.update_pending([PendingWork("jobs-0", [])])
+        setup.fetcher.fetch_once()
+        setup.clock.now_s += MAX_EMPTY_POLL_S
+    setup.add_job()
+    setup.fetcher.fetch_once()
+    assert setup.open_leases() == 1
+    assert setup.leases == []
+    setup.clock.now_s += EMPTY_POLL_S
+    setup.fetcher.fetch_once()
+    assert [len(lease.items) for lease in setup.leases] == [8]
+
+
+def test_idle_groups_are_polled_rarely_and_reported_work_is_leased_immediately() -> None:
+    setup = FetcherSetup(0, has_job=False)
+    setup.fetcher.update_pending([PendingWork("jobs-0", [])])
     for _ in range(600):
-        fetching.fetcher.fetch_once()
-        fetching.clock.now_s += CHECK_INTERVAL_S
-    assert fetching.control.queries <= 60.0 / (SAFETY_POLL_S / 2) + 1
-    fetching.add_job()
-    fetching.fetcher.update_pending([PendingWork("jobs-0", ["llm"])])
-    fetching.fetcher.fetch_once()
-    assert [len(lease.items) for lease in fetching.leases] == [8]
-
-
-def test_work_of_which_the_word_was_lost_is_found() -> None:
-    fetching = Fetching(0, has_job=False)
-    fetching.fetcher.update_pending([PendingWork("jobs-0", [])])
-    fetching.fetcher.fetch_once()
-    fetching.add_job()
-    fetching.clock.now_s += SAFETY_POLL_S
-    fetching.fetcher.fetch_once()
-    assert [len(lease.items) for lease in fetching.leases] == [8]
+        setup.fetcher.fetch_once()
+        setup.clock.now_s += CHECK_INTERVAL_S
+    assert setup.control.queries <= 60.0 / (SAFETY_POLL_S / 2) + 1
+    setup.add_job()
+    setup.fetcher.update_pending([PendingWork("jobs-0", ["llm"])])
+    setup.fetcher.fetch_once()
+    assert [len(lease.items) for lease in setup.leases] == [8]
+
+
+def test_work_is_found_although_the_report_of_it_was_lost() -> None:
+    setup = FetcherSetup(0, has_job=False)
+    setup.fetcher.update_pending([PendingWork("jobs-0", [])])
+    setup.fetcher.fetch_once()
+    setup.add_job()
+    setup.clock.now_s += SAFETY_POLL_S
+    setup.fetcher.fetch_once()
+    assert [len(lease.items) for lease in setup.leases] == [8]
--- a/tests/unit/test_batch_lease_polls.py
+++ b/tests/unit/test_batch_lease_polls.py
@@ -1,4 +1,4 @@
-"""How often a place is asked for leases, by what the hub says of pending work."""
+"""Tests of the interval between polls for leases, depending on the work that the hub reports."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def poll_until_slowest(schedule: PollSchedule) -> float:
-    """Ask in vain, as often as it takes for the longest wait; returns the time after."""
+    """Record empty polls until their interval is the longest; returns the time of the last one."""
     now_s = 0.0
     for _ in range(10):
         schedule.record_empty(TARGET, now_s, is_unanswered=False)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "longest_s"),
+    ("reported", "longest_s"),
     [
         (None, MAX_EMPTY_POLL_S),
         (OTHER_GROUP, MAX_EMPTY_POLL_S),
@@ -43,27 +43,29 @@
         (OTHER_WORK, SAFETY_POLL_S),
     ],
 )
-def test_a_place_is_asked_seldom_only_when_its_group_is_said_to_have_no_work(
-    told: list[PendingWork] | None, longest_s: float
+def test_a_target_is_polled_rarely_only_if_its_group_is_reported_to_have_no_such_work(
+    reported: list[PendingWork] | None, longest_s: float
 ) -> None:
     schedule = PollSchedule(random.Random(1))
-    if told is not None:
-        schedule.update(told)
+    if reported is not None:
+        schedule.update(reported)
     now_s = poll_until_slowest(schedule)
     assert not schedule.is_due(TARGET, now_s + longest_s * 0.49)
     assert schedule.is_due(TARGET, now_s + longest_s)
 
 
-@pytest.mark.parametrize("news", [WORK, OTHER_GROUP, []])
-def test_news_of_work_or_of_a_hub_that_knows_nothing_end_the_wait(news: list[PendingWork]) -> None:
+@pytest.mark.parametrize("reported", [WORK, OTHER_GROUP, []])
+def test_new_work_and_a_hub_without_knowledge_of_the_group_end_the_wait(
+    reported: list[PendingWork],
+) -> None:
     schedule = PollSchedule(random.Random(1))
     schedule.update(NO_WORK)
     now_s = poll_until_slowest(schedule)
-    assert schedule.update(news) is (news == WORK)
+    assert schedule.update(reported) is (reported == WORK)
     assert schedule.is_due(TARGET, now_s)
 
 
-def test_the_same_word_again_does_not_end_the_wait() -> None:
+def test_a_repeated_report_does_not_end_the_wait() -> None:
     schedule = PollSchedule(random.Random(1))
     schedule.update(WORK)
     now_s = poll_until_slowest(schedule)
@@ -71,14 +73,14 @@
     assert not schedule.is_due(TARGET, now_s)
 
 
-def test_a_grant_without_an_answer_is_asked_for_again_soon_whatever_is_said() -> None:
+def test_a_grant_without_a_reply_is_polled_again_soon_whatever_work_is_reported() -> None:
     schedule = PollSchedule(random.Random(1))
     schedule.update(NO_WORK)
     schedule.record_empty(TARGET, 0.0, is_unanswered=True)
     assert schedule.is_due(TARGET, EMPTY_POLL_S)
 
 
-def test_it_is_quiet_only_without_work_at_hand_and_when_all_groups_are_known() -> None:
+def test_is_idle_only_without_known_work_and_if_the_hub_knows_all_groups() -> None:
     schedule = PollSchedule(random.Random(1))
     assert not schedule.is_idle([GROUP])
     schedule.update(NO_WORK)
--- a/tests/unit/test_batch_lease_timers.py
+++ b/tests/unit/test_batch_lease_timers.py
@@ -1,4 +1,4 @@
-"""Expiry of leases by the leader's monotonic clock."""
+"""Tests of the expiry timers of leases."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 DURATION_S = 10.0
 
 
-def test_new_leader_gives_every_lease_a_whole_duration() -> None:
+def test_new_leader_gives_every_lease_a_full_duration() -> None:
     timers = LeaseTimers(DURATION_S)
     timers.granted("before", 0.0)
     timers.became_leader(["a", "b"], 100.0)
@@ -15,7 +15,7 @@
     assert timers.expired(110.0) == ["a", "b"]
 
 
-def test_renewal_extends_and_names_lost_leases() -> None:
+def test_renewal_extends_open_leases_and_returns_lost_ones() -> None:
     timers = LeaseTimers(DURATION_S)
     timers.granted("a", 0.0)
     assert timers.renewed(["a", "gone"], 5.0) == ["gone"]
@@ -23,7 +23,7 @@
     assert timers.expired(15.0) == ["a"]
 
 
-def test_expiry_is_offered_again_until_the_lease_is_gone() -> None:
+def test_expired_lease_is_returned_again_until_it_has_ended() -> None:
     timers = LeaseTimers(DURATION_S)
     timers.granted("a", 0.0)
     assert timers.expired(10.0) == ["a"]
@@ -33,7 +33,7 @@
     assert timers.expired(100.0) == []
 
 
-def test_retain_follows_the_applied_state() -> None:
+def test_retain_drops_ended_leases_and_adds_unknown_ones() -> None:
     timers = LeaseTimers(DURATION_S)
     timers.granted("kept", 0.0)
     timers.granted("ended", 0.0)
--- a/tests/unit/test_batch_orphan_sweep.py
+++ b/tests/unit/test_batch_orphan_sweep.py
@@ -1,4 +1,4 @@
-"""Batch of dead gateways: whose requests are cancelled, when, and that engines list them."""
+"""Tests of the search for batch requests of gateways that are gone."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 
 @pytest.mark.parametrize("may_repeat", [True, False])
 @pytest.mark.parametrize("name", ["gateway-1", "zone/a/gateway"])
-def test_a_label_names_its_owner(name: str, may_repeat: bool) -> None:
+def test_an_owner_can_be_parsed_from_its_label(name: str, may_repeat: bool) -> None:
     owner = RequestOwner(name, 17, may_repeat)
     assert RequestOwner.from_label(owner.label()) == owner
 
 
 @pytest.mark.parametrize("label", ["", "x", "g/1", "g/x/repeat", "g/1/often"])
-def test_a_label_of_another_kind_is_left_alone(label: str) -> None:
+def test_a_request_with_another_kind_of_label_is_not_cancelled(label: str) -> None:
     assert RequestOwner.from_label(label) is None
     assert sweep_with().find_orphans("r1", [HeldRequest("x", label)], 0.0) == []
 
@@ -68,21 +68,21 @@
         (held("gone", 7, may_repeat=False), False),
     ],
 )
-def test_whose_requests_are_cancelled_at_once(
+def test_which_requests_are_cancelled_immediately(
     request_held: HeldRequest, is_cancelled: bool
 ) -> None:
     cancelled = sweep_with(gateway("gateway-2", 7)).find_orphans("r1", [request_held], 0.0)
     assert cancelled == ([request_held.request_id] if is_cancelled else [])
 
 
-def test_what_may_not_repeat_stays_while_its_lease_may_be_renewed() -> None:
+def test_an_unrepeatable_request_is_kept_for_a_lease_duration() -> None:
     sweep, once = sweep_with(), held("gone", 7, may_repeat=False)
     assert sweep.find_orphans("r1", [once], 1.0) == []
     assert sweep.find_orphans("r1", [once], LEASE_DURATION_S + 0.9) == []
     assert sweep.find_orphans("r1", [once], LEASE_DURATION_S + 1.0) == [once.request_id]
 
 
-def test_a_gateway_that_came_back_counts_as_missing_from_its_next_loss_on() -> None:
+def test_the_time_of_a_missing_gateway_restarts_after_it_came_back() -> None:
     sweep, once = sweep_with(), held("gateway-2", 7, may_repeat=False)
     assert sweep.find_orphans("r1", [once], 0.0) == []
     sweep.update([RUNNER], [gateway("gateway-2", 7)], 5.0)
@@ -90,15 +90,15 @@
     assert sweep.find_orphans("r1", [once], LEASE_DURATION_S) == []
 
 
-def test_a_runner_taken_over_is_looked_at_until_no_dead_gateway_can_start_more() -> None:
-    sweep, now_s, looks = sweep_with(), 0.0, []
+def test_a_new_runner_is_queried_until_no_dead_gateway_can_start_requests() -> None:
+    sweep, now_s, queries = sweep_with(), 0.0, []
     while now_s < 60.0:
         for runner in sweep.take_due(now_s):
-            looks.append(now_s)
+            queries.append(now_s)
             sweep.find_orphans(runner.runner_id, [], now_s)
         now_s += 1.0
-    assert looks == [0.0, REPEAT_QUERY_DELAYS_S[0], sum(REPEAT_QUERY_DELAYS_S)]
-    assert looks[-1] > LEASE_DURATION_S
+    assert queries == [0.0, REPEAT_QUERY_DELAYS_S[0], sum(REPEAT_QUERY_DELAYS_S)]
+    assert queries[-1] > LEASE_DURATION_S
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,9 @@
         ([], True),
     ],
 )
-def test_the_loss_of_any_gateway_begins_new_looks(others: list[GatewayState], is_due: bool) -> None:
+def test_the_loss_of_any_gateway_restarts_the_queries(
+    others: list[GatewayState], is_due: bool
+) -> None:
     sweep = sweep_with(gateway("gateway-2", 7))
     for now_s in (0.0, 2.0, 12.0):
         assert sweep.take_due(now_s) == [RUNNER]
@@ -119,22 +121,22 @@
     assert bool(sweep.take_due(20.0)) is is_due
 
 
-def test_a_runner_that_does_not_answer_is_asked_again() -> None:
+def test_a_runner_that_does_not_answer_is_queried_again() -> None:
     sweep = sweep_with()
     assert sweep.take_due(0.0) == [RUNNER]
-    assert sweep.take_due(1.0) == [], "one look at a time"
+    assert sweep.take_due(1.0) == [], "one query at a time"
     sweep.query_failed("r1", 1.0)
     assert sweep.take_due(1.0) == [RUNNER]
 
 
-def test_a_runner_of_another_gateway_is_not_looked_at() -> None:
+def test_a_runner_of_another_gateway_is_not_queried() -> None:
     sweep = sweep_with()
     sweep.update([], [], 1.0)
     assert sweep.take_due(1.0) == []
     assert sweep.find_orphans("r1", [held("gone", 7)], 1.0) == []
 
 
-def test_an_engine_lists_what_has_an_owner_and_still_runs_or_waits() -> None:
+def test_an_engine_lists_running_and_waiting_requests_that_have_an_owner() -> None:
     engine = EngineModel(EngineConfig(models=["m"], max_running=1), random.Random(1))
     for name, owner in (("a", "x/1/repeat"), ("b", "x/1/repeat"), ("c", ""), ("d", "y/2/once")):
         engine.submit(EngineRequest(request_id=name, model="m", prompt="p", owner=owner), 0.0)
@@ -147,41 +149,44 @@
 
 
 class StubEngines:
-    """Engines that hold one orphan; a cancel may fail."""
+    """Engine client with one orphaned request and one of this gateway.
+
+    ``cancel_result`` is the result of each cancel.
+    """
 
     def __init__(self) -> None:
-        self.looks = 0
+        self.queries = 0
         self.cancelled: list[str] = []
-        self.cancel_answer: Failure | None = None
+        self.cancel_result: Failure | None = None
         self.done = threading.Semaphore(0)
 
     def held_requests(self, _address: str) -> list[HeldRequest] | Failure:
-        self.looks += 1
+        self.queries += 1
         return [held("gone", 7), held(ME, MY_INCARNATION)]
 
     def cancel(self, _address: str, request_id: str) -> Failure | None:
         self.cancelled.append(request_id)
         self.done.release()
-        return self.cancel_answer
+        return self.cancel_result
 
 
-@pytest.mark.parametrize(("quorum_age_s", "looks"), [(0.0, 1), (60.0, 0)])
-def test_the_sweeper_acts_only_on_the_view_of_a_hub_with_a_quorum(
-    quorum_age_s: float, looks: int
+@pytest.mark.parametrize(("quorum_age_s", "queries"), [(0.0, 1), (60.0, 0)])
+def test_the_sweeper_ignores_the_view_of_a_hub_without_a_quorum(
+    quorum_age_s: float, queries: int
 ) -> None:
     engines = StubEngines()
     sweeper = OrphanSweeper(engines, SystemClock(), GatewayCounters(), ME, MY_INCARNATION)
     sweeper.update([RUNNER], ClusterSnapshot(quorum_age_s=quorum_age_s))
-    if looks:
+    if queries:
         assert engines.done.acquire(timeout=WAIT_S)
     sweeper._threads.shutdown(wait=True)
-    assert engines.looks == looks
-    assert engines.cancelled == ["gone-7"] * looks
+    assert engines.queries == queries
+    assert engines.cancelled == ["gone-7"] * queries
 
 
-def test_a_cancel_that_failed_is_sent_again_by_the_next_look() -> None:
+def test_a_failed_cancel_is_repeated_after_the_next_query() -> None:
     engines = StubEngines()
-    engines.cancel_answer = UNREACHABLE
+    engines.cancel_result = UNREACHABLE
     sweeper = OrphanSweeper(engines, SystemClock(), GatewayCounters(), ME, MY_INCARNATION)
     for _ in range(2):
         while not engines.done.acquire(timeout=0.01):
--- a/tests/unit/test_batch_result_sender.py
+++ b/tests/unit/test_batch_result_sender.py
@@ -1,4 +1,4 @@
-"""Outcomes on their way to the job groups."""
+"""Tests of sending outcomes to the job groups."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-class OneGroupIsStuck:
-    """A control client whose group "stuck" does not answer until it is told to."""
+class StuckGroupControl:
+    """Control client whose group "stuck" does not answer until ``answer`` is set."""
 
     def __init__(self) -> None:
         self.answer = threading.Event()
@@ -37,17 +37,17 @@
         raise AssertionError("no query is expected")
 
 
-def test_group_without_an_answer_holds_up_no_other() -> None:
-    control = OneGroupIsStuck()
+def test_a_group_that_does_not_answer_does_not_delay_others() -> None:
+    control = StuckGroupControl()
     committed: list[str] = []
     changed = threading.Condition()
 
-    def note(lease_id: str, _results: list[ItemResult], _reply: CompletedItems) -> None:
+    def record_commit(lease_id: str, _results: list[ItemResult], _reply: CompletedItems) -> None:
         with changed:
             committed.append(lease_id)
             changed.notify_all()
 
-    senders = ResultSenders(control, note)
+    senders = ResultSenders(control, record_commit)
     senders.put("stuck", "lease-1", RESULT)
     senders.put("well", "lease-2", RESULT)
     with changed:
@@ -59,8 +59,8 @@
     assert senders.pending() == 0
 
 
-def test_fault_while_sending_loses_no_outcome() -> None:
-    class BrokenOnce(OneGroupIsStuck):
+def test_unexpected_error_while_sending_loses_no_outcome() -> None:
+    class FailingOnceControl(StuckGroupControl):
         faults = 1
 
         def propose(
@@ -72,7 +72,7 @@
             return super().propose(group, command, reply_type, timeout_s)
 
     committed = threading.Event()
-    senders = ResultSenders(BrokenOnce(), lambda _lease, _results, _reply: committed.set())
+    senders = ResultSenders(FailingOnceControl(), lambda _lease, _results, _reply: committed.set())
     senders.put("well", "lease", RESULT)
     assert committed.wait(WAIT_S)
     senders.stop(WAIT_S)
