--- a/src/leverjunction/batch/harvest.py
+++ b/src/leverjunction/batch/harvest.py
@@ -65,7 +65,7 @@
 """Usual age of a load report's content on arrival, including the network delay."""
 
 REPORT_STALE_S = 2.0
-"""Age of the last load report from which on the runner's state is unknown and nothing starts."""
+"""Age of the last load report beyond which the runner's state is unknown and nothing starts."""
 
 IDLE_GROWTH_BASE = 0.5
 IDLE_GROWTH_PER_INTERFERENCE = 5.0
--- a/src/leverjunction/batch/harvest_state.py
+++ b/src/leverjunction/batch/harvest_state.py
@@ -39,7 +39,7 @@
 """
 
 MAX_BROKEN_RUNS = 3
-"""Number of runs broken by engine or connection errors after which a 5xx response is final."""
+"""Number of broken runs at which a 5xx response becomes the final result of an item."""
 
 MAX_TRIES = 20
 """Number of fruitless runs after which an item is returned to its job; parked runs do not count."""
@@ -175,14 +175,14 @@
         newer run. A run whose answer was lost once got each later run of its item cancelled
         within 0.3 s, until the item had used up its tries.
         """
-        wanted = {
+        active = {
             (run.runner_id, run.work.key)
             for run in self.runs.values()
             if not (run.parking or run.dropped)
         }
         for run in self.runs.values():
-            is_over = run.parking or run.dropped
-            if not is_over or (run.runner_id, run.work.key) in wanted:
+            is_ending = run.parking or run.dropped
+            if not is_ending or (run.runner_id, run.work.key) in active:
                 continue
             if now_s - run.cancelled_s >= RECANCEL_S:
                 run.cancelled_s = now_s
@@ -203,8 +203,10 @@
             True if the run may be sent.
         """
         lease = self.work.leases.get(run.work.lease_id)
-        holds = lease is not None and (run.work.leased.may_repeat or now_s < lease.valid_until_s)
-        if holds and not (run.dropped or run.parking or is_in_doubt):
+        is_lease_valid = lease is not None and (
+            run.work.leased.may_repeat or now_s < lease.valid_until_s
+        )
+        if is_lease_valid and not (run.dropped or run.parking or is_in_doubt):
             run.sent_s = now_s
             return True
         if id(run) in self.runs:
@@ -273,8 +275,8 @@
         under leases that the gateway keeps renewing.
         """
         for runner in self.runners.values():
-            is_heard = runner.controller.seconds_without_report(now_s) < LOST_RUNNER_S
-            if runner.owned and not runner.state.leaving and is_heard:
+            is_reporting = runner.controller.seconds_without_report(now_s) < LOST_RUNNER_S
+            if runner.owned and not runner.state.leaving and is_reporting:
                 yield runner
 
     def _take_unservable(self, now_s: float) -> list[ReturnedItem]:
@@ -289,8 +291,8 @@
     def _plan_runner(self, runner: OwnedRunner, plan: Plan, now_s: float) -> None:
         decision = runner.controller.decide(now_s)
         runner.last_reason = decision.reason
-        for token in decision.park:
-            self._park(self.runs[token], plan, now_s)
+        for run_key in decision.park:
+            self._park(self.runs[run_key], plan, now_s)
         if now_s < runner.paused_until_s:
             return
         state = runner.state
--- a/src/leverjunction/batch/held_work.py
+++ b/src/leverjunction/batch/held_work.py
@@ -12,7 +12,7 @@
 """Remaining validity of a lease that is required to start an item that may not repeat."""
 
 SUSPECT_LOST_RUNS = 2
-"""Number of lost runs from which on an item is suspected to crash its runners.
+"""Number of lost runs at which an item becomes suspected of crashing its runners.
 
 A runner runs at most one suspect at a time. Otherwise the items that ran together with the
 crashing item would be lost together with it again.
--- a/src/leverjunction/batch/lost_answers.py
+++ b/src/leverjunction/batch/lost_answers.py
@@ -22,7 +22,7 @@
 """Minimum interval between two queries of a runner; each query is one small request."""
 
 LISTED_AFTER_S = 2.0
-"""Time after sending from which on a list must contain a run; the request may be delayed."""
+"""Time after sending before a missing run counts; its request may be delayed in transit."""
 
 MISSING_TIMEOUT_S = 2.0
 """How long a run that may repeat must be missing from all lists before it counts as lost.
