--- a/tests/unit/test_batch_lease_polls.py
+++ b/tests/unit/test_batch_lease_polls.py
@@ -1,4 +1,4 @@
-"""How often a place is asked for leases, by what the hub says of pending work."""
+"""Tests of the interval between polls for leases, depending on the work that the hub reports."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
     EMPTY_POLL_S,
     MAX_EMPTY_POLL_S,
     SAFETY_POLL_S,
-    Place,
     PollSchedule,
+    PollTarget,
 )
 from leverjunction.wire.messages import PendingWork
 
 GROUP = "jobs-0"
-PLACE = Place(GROUP, "llm")
+TARGET = PollTarget(GROUP, "llm")
 NO_WORK = [PendingWork(GROUP, [])]
 WORK = [PendingWork(GROUP, ["llm"])]
 OTHER_WORK = [PendingWork(GROUP, ["other"])]
 OTHER_GROUP = [PendingWork("jobs-1", [])]
 
 
-def asked_until_slowest(schedule: PollSchedule) -> float:
-    """Ask in vain, as often as it takes for the longest wait; returns the time after."""
+def poll_until_slowest(schedule: PollSchedule) -> float:
+    """Record empty polls until their interval is the longest; returns the time of the last one."""
     now_s = 0.0
     for _ in range(10):
-        schedule.was_empty(PLACE, now_s, is_unanswered=False)
+        schedule.record_empty(TARGET, now_s, is_unanswered=False)
         now_s += SAFETY_POLL_S
-    schedule.was_empty(PLACE, now_s, is_unanswered=False)
+    schedule.record_empty(TARGET, now_s, is_unanswered=False)
     return now_s
 
 
 @pytest.mark.parametrize(
-    ("told", "longest_s"),
+    ("reported", "longest_s"),
     [
         (None, MAX_EMPTY_POLL_S),
         (OTHER_GROUP, MAX_EMPTY_POLL_S),
@@ -43,49 +43,51 @@
         (OTHER_WORK, SAFETY_POLL_S),
     ],
 )
-def test_a_place_is_asked_seldom_only_when_its_group_is_said_to_have_no_work(
-    told: list[PendingWork] | None, longest_s: float
+def test_a_target_is_polled_rarely_only_if_its_group_is_reported_to_have_no_such_work(
+    reported: list[PendingWork] | None, longest_s: float
 ) -> None:
     schedule = PollSchedule(random.Random(1))
-    if told is not None:
-        schedule.told(told)
-    now_s = asked_until_slowest(schedule)
-    assert not schedule.is_due(PLACE, now_s + longest_s * 0.49)
-    assert schedule.is_due(PLACE, now_s + longest_s)
+    if reported is not None:
+        schedule.update(reported)
+    now_s = poll_until_slowest(schedule)
+    assert not schedule.is_due(TARGET, now_s + longest_s * 0.49)
+    assert schedule.is_due(TARGET, now_s + longest_s)
 
 
-@pytest.mark.parametrize("news", [WORK, OTHER_GROUP, []])
-def test_news_of_work_or_of_a_hub_that_knows_nothing_end_the_wait(news: list[PendingWork]) -> None:
+@pytest.mark.parametrize("reported", [WORK, OTHER_GROUP, []])
+def test_new_work_and_a_hub_without_knowledge_of_the_group_end_the_wait(
+    reported: list[PendingWork],
+) -> None:
     schedule = PollSchedule(random.Random(1))
-    schedule.told(NO_WORK)
-    now_s = asked_until_slowest(schedule)
-    assert schedule.told(news) is (news == WORK)
-    assert schedule.is_due(PLACE, now_s)
+    schedule.update(NO_WORK)
+    now_s = poll_until_slowest(schedule)
+    assert schedule.update(reported) is (reported == WORK)
+    assert schedule.is_due(TARGET, now_s)
 
 
-def test_the_same_word_again_does_not_end_the_wait() -> None:
+def test_a_repeated_report_does_not_end_the_wait() -> None:
     schedule = PollSchedule(random.Random(1))
-    schedule.told(WORK)
-    now_s = asked_until_slowest(schedule)
-    assert not schedule.told(WORK)
-    assert not schedule.is_due(PLACE, now_s)
+    schedule.update(WORK)
+    now_s = poll_until_slowest(schedule)
+    assert not schedule.update(WORK)
+    assert not schedule.is_due(TARGET, now_s)
 
 
-def test_a_grant_without_an_answer_is_asked_for_again_soon_whatever_is_said() -> None:
+def test_a_grant_without_a_reply_is_polled_again_soon_whatever_work_is_reported() -> None:
     schedule = PollSchedule(random.Random(1))
-    schedule.told(NO_WORK)
-    schedule.was_empty(PLACE, 0.0, is_unanswered=True)
-    assert schedule.is_due(PLACE, EMPTY_POLL_S)
+    schedule.update(NO_WORK)
+    schedule.record_empty(TARGET, 0.0, is_unanswered=True)
+    assert schedule.is_due(TARGET, EMPTY_POLL_S)
 
 
-def test_it_is_quiet_only_without_work_at_hand_and_when_all_groups_are_known() -> None:
+def test_is_idle_only_without_known_work_and_if_the_hub_knows_all_groups() -> None:
     schedule = PollSchedule(random.Random(1))
-    assert not schedule.is_quiet([GROUP])
-    schedule.told(NO_WORK)
-    assert schedule.is_quiet([GROUP])
-    assert not schedule.is_quiet([GROUP, "jobs-1"])
-    schedule.had_items(PLACE)
-    assert not schedule.is_quiet([GROUP])
-    schedule.was_empty(PLACE, 0.0, is_unanswered=False)
-    schedule.told(WORK)
-    assert not schedule.is_quiet([GROUP])
+    assert not schedule.is_idle([GROUP])
+    schedule.update(NO_WORK)
+    assert schedule.is_idle([GROUP])
+    assert not schedule.is_idle([GROUP, "jobs-1"])
+    schedule.record_items(TARGET)
+    assert not schedule.is_idle([GROUP])
+    schedule.record_empty(TARGET, 0.0, is_unanswered=False)
+    schedule.update(WORK)
+    assert not schedule.is_idle([GROUP])
