--- a/src/leverjunction/gateway/journal.py
+++ b/src/leverjunction/gateway/decision_log.py
@@ -9,7 +9,7 @@
 from leverjunction.observability.decisions import Decision, DecisionOutcome, DecisionRing
 
 
-class Journal:
+class DecisionLog:
     """Thread-safe; called by request and stream repair threads."""
 
     def __init__(self, ring: DecisionRing, clock: Clock) -> None:
--- a/src/leverjunction/gateway/online.py
+++ b/src/leverjunction/gateway/online.py
@@ -11,8 +11,8 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.claims import ClaimClient, HeldClaim, RecordedResponse
+from leverjunction.gateway.decision_log import DecisionLog
 from leverjunction.gateway.http_server import Handover
-from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import CompleteResponse, OnlineRequest, OpenResponse
 from leverjunction.gateway.prompt import ParsedRequest, block_hashes, parse_request
 from leverjunction.gateway.relay import RelayLoop
@@ -92,7 +92,7 @@
         claims: ClaimClient,
         relay: RelayLoop,
         streams: StreamDependencies,
-        journal: Journal,
+        decision_log: DecisionLog,
         counters: GatewayCounters,
         clock: Clock,
     ) -> None:
@@ -103,7 +103,7 @@
         self._claims = claims
         self._relay = relay
         self._streams = streams
-        self._journal = journal
+        self._decision_log = decision_log
         self._counters = counters
         self._clock = clock
 
@@ -225,7 +225,7 @@
         status = "200" if failure is None else failure.kind.value
         self._counters.requests.labels(request.service, status).inc()
         reason = "the stream was relayed to its end" if failure is None else failure.reason
-        self._journal.note(request, outcome, Step.RELAYING, reason)
+        self._decision_log.note(request, outcome, Step.RELAYING, reason)
         if failure is not None:
             self._finish_failed(request, claim, failure)
         elif claim is not None:
@@ -234,7 +234,7 @@
     def _record_completion(self, request: OnlineRequest, response: CompleteResponse) -> None:
         self._observe_first_byte(request)
         self._counters.requests.labels(request.service, str(response.status)).inc()
-        self._journal.note(
+        self._decision_log.note(
             request,
             DecisionOutcome.COMPLETED,
             Step.RESPONDING,
@@ -257,7 +257,7 @@
 
     def _refuse(self, request_id: str, service: str, failure: Failure) -> Failure:
         self._counters.refusals.labels(failure.kind.value).inc()
-        self._journal.refused(request_id, service, failure)
+        self._decision_log.refused(request_id, service, failure)
         return failure
 
     def _observe_first_byte(self, request: OnlineRequest) -> None:
--- a/src/leverjunction/gateway/runtime.py
+++ b/src/leverjunction/gateway/runtime.py
@@ -20,12 +20,12 @@
 from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.cache_feed import CacheFeed
 from leverjunction.gateway.claims import ClaimClient
+from leverjunction.gateway.decision_log import DecisionLog
 from leverjunction.gateway.exchange import DigestOutbox, ExchangeLoop
 from leverjunction.gateway.harvest import BatchHarvest
 from leverjunction.gateway.http_server import StreamingServer
 from leverjunction.gateway.inflight import InflightRequests
 from leverjunction.gateway.internal_rpc import build_endpoint
-from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online import GatewayLocation, OnlineService
 from leverjunction.gateway.orphan_sweeper import OrphanSweeper
 from leverjunction.gateway.owner import RunnerPoller
@@ -221,14 +221,14 @@
             self.counters.usable_runners.labels(service).set(count)
 
     def _online_service(self) -> OnlineService:
-        journal = Journal(self.ring, self.clock)
+        decision_log = DecisionLog(self.ring, self.clock)
         sender = Sender(
             self.engines,
             self.pool,
             self.gate,
             RetryBudget(),
             self.notifier,
-            journal,
+            decision_log,
             self.counters,
             self.clock,
         )
@@ -236,7 +236,7 @@
             engines=self.engines,
             sender=sender,
             pool=self.pool,
-            journal=journal,
+            decision_log=decision_log,
             counters=self.counters,
             clock=self.clock,
         )
@@ -248,7 +248,7 @@
             ClaimClient(self.control, self.job_groups, self.config.name),
             self.relay,
             streams,
-            journal,
+            decision_log,
             self.counters,
             self.clock,
         )
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -15,7 +15,7 @@
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.gateway.admission import QueueLimits
 from leverjunction.gateway.admission_gate import AdmissionGate
-from leverjunction.gateway.journal import Journal
+from leverjunction.gateway.decision_log import DecisionLog
 from leverjunction.gateway.online_request import (
     Attempt,
     CompleteResponse,
@@ -46,7 +46,7 @@
         gate: AdmissionGate,
         budget: RetryBudget,
         notifier: YieldNotifier,
-        journal: Journal,
+        decision_log: DecisionLog,
         counters: GatewayCounters,
         clock: Clock,
     ) -> None:
@@ -55,7 +55,7 @@
         self._gate = gate
         self._budget = budget
         self._notifier = notifier
-        self._journal = journal
+        self._decision_log = decision_log
         self._counters = counters
         self._clock = clock
         self._budget_lock = threading.Lock()
@@ -149,14 +149,14 @@
                 request.request_id,
                 self._queue_limits(request),
                 lambda: free_slots(self._pool.candidates(needs)),
-                lambda ahead: self._journal.queued(request, ahead),
+                lambda ahead: self._decision_log.queued(request, ahead),
             )
             if isinstance(waited_s, Failure):
                 return waited_s
             if waited_s > 0:
                 candidates = self._pool.candidates(needs)
         choice = self._pool.choose(candidates, needs)
-        self._journal.routed(request, attempt_number, choice)
+        self._decision_log.routed(request, attempt_number, choice)
         if choice.chosen is None:
             return _no_runner_failure(request, choice)
         return choice.chosen
@@ -174,7 +174,7 @@
         key = attempt.key(request.request_id)
         send_start = self._pool.record_send(attempt.runner_id, key, request.blocks)
         if send_start.is_probe:
-            self._journal.probed(request, attempt)
+            self._decision_log.probed(request, attempt)
         self._notifier.request_arrived(attempt.runner_id, send_start.open_before)
         response = self._call(request, attempt)
         if isinstance(response, OpenResponse):
@@ -247,7 +247,7 @@
         else:
             ejected_s = self._pool.record_failure(attempt.runner_id)
             if ejected_s is not None:
-                self._journal.ejected(request, attempt, ejected_s)
+                self._decision_log.ejected(request, attempt, ejected_s)
         if failure.execution is Execution.UNKNOWN:
             # The request may still be running there, but nobody will read its response.
             self.cancel(attempt.address, request.request_id)
@@ -258,12 +258,12 @@
         if attempts >= request.serving.max_attempts:
             return False
         if not self.take_retry(request.service):
-            self._journal.note(
+            self._decision_log.note(
                 request, DecisionOutcome.FAILED, Step.ROUTING, "retry budget is exhausted"
             )
             return False
         self._counters.retries.labels(failure.kind.value).inc()
-        self._journal.note(
+        self._decision_log.note(
             request, DecisionOutcome.RETRIED, failure.step, failure.reason, failure.peer, attempts
         )
         return True
--- a/src/leverjunction/gateway/stream_session.py
+++ b/src/leverjunction/gateway/stream_session.py
@@ -16,8 +16,8 @@
 from leverjunction.backends.types import EngineCall
 from leverjunction.clock import Clock
 from leverjunction.errors import Execution, Failure, FailureKind, Step
+from leverjunction.gateway.decision_log import DecisionLog
 from leverjunction.gateway.http_server import ClientConnection
-from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenResponse
 from leverjunction.gateway.relay_stream import (
     AnswerIsWhole,
@@ -49,7 +49,7 @@
     engines: EngineClient
     sender: Sender
     pool: RunnerPool
-    journal: Journal
+    decision_log: DecisionLog
     counters: GatewayCounters
     clock: Clock
 
@@ -254,7 +254,7 @@
         reported = msgspec.structs.replace(
             failure, reason=f"{failure.reason}; not repaired: {cause}", execution=Execution.RAN
         )
-        self._dependencies.journal.note(
+        self._dependencies.decision_log.note(
             self._request,
             DecisionOutcome.FAILED,
             Step.RELAYING,
@@ -266,7 +266,7 @@
 
     def _record_repair(self, outcome: DecisionOutcome, method: str, reason: str) -> None:
         self._dependencies.counters.stream_repairs.labels(method).inc()
-        self._dependencies.journal.note(
+        self._dependencies.decision_log.note(
             self._request,
             outcome,
             Step.RELAYING,
--- a/src/testbed/simulation/gateway_node.py
+++ b/src/testbed/simulation/gateway_node.py
@@ -9,10 +9,10 @@
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.gateway.admission_gate import AdmissionGate
 from leverjunction.gateway.claims import ClaimClient
+from leverjunction.gateway.decision_log import DecisionLog
 from leverjunction.gateway.exchange import DigestOutbox, ExchangeLoop
 from leverjunction.gateway.harvest import BatchHarvest
 from leverjunction.gateway.inflight import InflightRequests
-from leverjunction.gateway.journal import Journal
 from leverjunction.gateway.online import GatewayLocation, OnlineService
 from leverjunction.gateway.orphan_sweeper import OrphanSweeper
 from leverjunction.gateway.owner import RunnerPoller
@@ -295,14 +295,14 @@
         self.front = GatewayFront(self)
 
     def _online_service(self) -> OnlineService:
-        journal = Journal(DecisionRing(self.random), self.machine)
+        decision_log = DecisionLog(DecisionRing(self.random), self.machine)
         sender = Sender(
             self.engines,  # type: ignore[arg-type]
             self.pool,
             self.gate,
             RetryBudget(),
             self.notifier,
-            journal,
+            decision_log,
             self.counters,
             self.machine,
         )
@@ -310,7 +310,7 @@
             engines=self.engines,  # type: ignore[arg-type]
             sender=sender,
             pool=self.pool,
-            journal=journal,
+            decision_log=decision_log,
             counters=self.counters,
             clock=self.machine,
         )
@@ -322,7 +322,7 @@
             ClaimClient(self.control, self.job_groups, self.name),
             self.relay,
             streams,
-            journal,
+            decision_log,
             self.counters,
             self.machine,
         )
