--- a/src/leverjunction/gateway/relay.py
+++ b/src/leverjunction/gateway/relay.py
@@ -22,9 +22,9 @@
 from leverjunction.gateway.relay_stream import (
     DONE_EVENT,
     LAST_CHUNK,
-    AnswerIsWhole,
     EngineSide,
     RelayStream,
+    ResponseComplete,
     Watch,
 )
 from leverjunction.observability.counters import GatewayCounters
@@ -154,8 +154,8 @@
         if stream.engine is not None:
             self._attach(stream, stream.engine)
         else:
-            assert stream.broken is not None
-            self._ask_repair(stream, stream.broken)
+            assert stream.initial_failure is not None
+            self._ask_repair(stream, stream.initial_failure)
 
     def _attach(self, stream: RelayStream, engine: EngineSide) -> None:
         """Start to read an engine's side."""
@@ -185,7 +185,7 @@
 
     def _pass_on(self, stream: RelayStream, data: bytes) -> None:
         stream.last_byte_s = steady_s()
-        events = stream.whole_events(data)
+        events = stream.complete_events(data)
         if not events:
             return
         stream.transcript += events
@@ -249,15 +249,17 @@
         self._repairs.submit(self._repair, stream, bytes(stream.transcript), failure)
 
     def _repair(self, stream: RelayStream, transcript: bytes, failure: Failure) -> None:
-        outcome: EngineSide | AnswerIsWhole | Failure
+        outcome: EngineSide | ResponseComplete | Failure
         try:
-            outcome = stream.callbacks.broken(transcript, failure)
+            outcome = stream.callbacks.repair(transcript, failure)
         except Exception:
             logger.exception("stream repair failed")
             outcome = failure
         self._post(stream, lambda: self._repaired(stream, outcome))
 
-    def _repaired(self, stream: RelayStream, outcome: EngineSide | AnswerIsWhole | Failure) -> None:
+    def _repaired(
+        self, stream: RelayStream, outcome: EngineSide | ResponseComplete | Failure
+    ) -> None:
         if stream not in self._streams or stream.finishing:
             # The caller went away meanwhile, or the deadline passed.
             if isinstance(outcome, EngineSide):
@@ -265,7 +267,7 @@
             return
         if isinstance(outcome, EngineSide):
             self._attach(stream, outcome)
-        elif isinstance(outcome, AnswerIsWhole):
+        elif isinstance(outcome, ResponseComplete):
             stream.transcript += DONE_EVENT
             self._end(stream, stream.framed(DONE_EVENT), None)
         else:
@@ -301,7 +303,7 @@
         with contextlib.suppress(OSError):  # the caller closed first
             stream.client.release(reusable)
         try:
-            stream.callbacks.ended(bytes(stream.transcript), failure)
+            stream.callbacks.on_end(bytes(stream.transcript), failure)
         except Exception:
             logger.exception("end of a stream not recorded")
         self.abandon()
--- a/src/leverjunction/gateway/relay_stream.py
+++ b/src/leverjunction/gateway/relay_stream.py
@@ -20,15 +20,15 @@
     """What the relay loop asks and tells the owner of a stream.
 
     Attributes:
-        broken: The engine's side broke before the end; a helper thread runs this and returns a new
+        repair: The engine's side broke before the end; a helper thread runs this and returns a new
             engine socket, or that the answer was whole, or the failure to end the stream with.
-        ended: The stream is over: None when the caller got all of it, else why not.
+        on_end: The stream is over: None when the caller got all of it, else why not.
         error_event: Returns the SSE bytes that tell a caller of a failure.
         runner_is_healthy: Returns whether the engine's owner can reach it.
     """
 
-    broken: Callable[[bytes, Failure], EngineSide | AnswerIsWhole | Failure]
-    ended: Callable[[bytes, Failure | None], None]
+    repair: Callable[[bytes, Failure], EngineSide | ResponseComplete | Failure]
+    on_end: Callable[[bytes, Failure | None], None]
     error_event: Callable[[Failure], bytes]
     runner_is_healthy: Callable[[], bool]
 
@@ -47,7 +47,7 @@
     address: str
 
 
-class AnswerIsWhole(msgspec.Struct, frozen=True):
+class ResponseComplete(msgspec.Struct, frozen=True):
     """Only the end event was lost: the caller has all of the answer."""
 
 
@@ -72,7 +72,6 @@
     """
 
     __slots__ = (
-        "broken",
         "callbacks",
         "client",
         "client_half_closed",
@@ -80,6 +79,7 @@
         "engine",
         "failure",
         "finishing",
+        "initial_failure",
         "last_byte_s",
         "partial",
         "paused",
@@ -98,7 +98,7 @@
     ) -> None:
         self.client = client
         self.engine = engine if isinstance(engine, EngineSide) else None
-        self.broken = engine if isinstance(engine, Failure) else None
+        self.initial_failure = engine if isinstance(engine, Failure) else None
         self.callbacks = callbacks
         self.deadline_s = deadline_s
         self.silence_s = silence_s
@@ -111,7 +111,7 @@
         self.finishing = False
         self.failure: Failure | None = None
 
-    def whole_events(self, data: bytes) -> bytes:
+    def complete_events(self, data: bytes) -> bytes:
         """Return the whole events in ``data`` and keep the rest until more comes.
 
         A part of an event is not passed on: after a break the stream goes on with a whole one.
--- a/src/leverjunction/gateway/stream_session.py
+++ b/src/leverjunction/gateway/stream_session.py
@@ -20,9 +20,9 @@
 from leverjunction.gateway.http_server import ClientConnection
 from leverjunction.gateway.online_request import Attempt, OnlineRequest, OpenResponse
 from leverjunction.gateway.relay_stream import (
-    AnswerIsWhole,
     EngineSide,
     RelayStream,
+    ResponseComplete,
     StreamCallbacks,
 )
 from leverjunction.gateway.runner_pool import RunnerPool
@@ -98,8 +98,8 @@
             client=client,
             engine=engine,
             callbacks=StreamCallbacks(
-                broken=self.repair,
-                ended=self.end,
+                repair=self.repair,
+                on_end=self.end,
                 error_event=self.error_event,
                 runner_is_healthy=lambda: self._dependencies.pool.is_healthy(
                     self._attempt.runner_id
@@ -113,7 +113,9 @@
         """Return the server-sent event that reports a failure to the caller."""
         return b"event: error\ndata: %b\n\n" % error_body(failure, self._request.request_id)
 
-    def repair(self, transcript: bytes, failure: Failure) -> EngineSide | AnswerIsWhole | Failure:
+    def repair(
+        self, transcript: bytes, failure: Failure
+    ) -> EngineSide | ResponseComplete | Failure:
         """Reconnect a broken stream: on the same runner, on another runner, or not at all.
 
         Args:
@@ -121,13 +123,13 @@
             failure: The failure that broke the stream.
 
         Returns:
-            The engine's side to relay from; ``AnswerIsWhole`` if the response was already
+            The engine's side to relay from; ``ResponseComplete`` if the response was already
             complete; the failure to report to the caller if the stream cannot be repaired.
         """
         self._dependencies.pool.record_failure(self._attempt.runner_id)
         progress = read_progress(transcript, self._segment_start)
         if progress.finished:
-            return AnswerIsWhole()
+            return ResponseComplete()
         if not self._may_repair(len(transcript)):
             return self._give_up(failure, "it broke repeatedly without progress")
         resumed = self._resume(progress)
--- a/src/testbed/load/relay_variants.py
+++ b/src/testbed/load/relay_variants.py
@@ -33,7 +33,7 @@
         data = stream.engine.first_bytes or engine.recv(READ_BYTES)
         try:
             while data:
-                events = stream.whole_events(data)
+                events = stream.complete_events(data)
                 stream.transcript += events
                 if events:
                     client.sendall(stream.framed(events))
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -139,16 +139,16 @@
 def test_an_internal_error_of_the_relay_ends_one_stream_with_an_error_event(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    original = RelayStream.whole_events
+    original = RelayStream.complete_events
 
     def fail(_stream: RelayStream, _data: bytes) -> bytes:
         raise ValueError("injected by the test")
 
-    monkeypatch.setattr(RelayStream, "whole_events", fail)
+    monkeypatch.setattr(RelayStream, "complete_events", fail)
     error = error_of(events_of(fleet.post(STREAM)))
     assert (error["code"], error["execution"]) == ("internal", "ran")
     assert_all_closed(fleet)
-    monkeypatch.setattr(RelayStream, "whole_events", original)
+    monkeypatch.setattr(RelayStream, "complete_events", original)
     assert text_of(events_of(fleet.post(STREAM))) == TEXT
 
 
