--- a/src/leverjunction/backends/client.py
+++ b/src/leverjunction/backends/client.py
@@ -5,8 +5,8 @@
 import msgspec
 import urllib3
 
-from leverjunction.backends.echo import ATTEMPT_HEADER, REQUEST_ID_HEADER, answer_mismatch
-from leverjunction.backends.head_wait import IsHopeless, WatchedConnection, give_up_when
+from leverjunction.backends.echo import ATTEMPT_HEADER, REQUEST_ID_HEADER, response_mismatch
+from leverjunction.backends.head_wait import ShouldAbort, WatchedConnection, abort_wait_when
 from leverjunction.backends.stream import EngineStream
 from leverjunction.backends.types import (
     EngineCall,
@@ -61,13 +61,13 @@
         self._plain_pool = _new_pool(_PlainPool)
 
     def open(
-        self, call: EngineCall, is_hopeless: IsHopeless | None = None
+        self, call: EngineCall, should_abort: ShouldAbort | None = None
     ) -> EngineStream | Failure:
         """Send a request (or a resume) and return its answer once the head has arrived.
 
         Args:
             call: What to send.
-            is_hopeless: Looked at while the head has not come; True ends the wait with a failure.
+            should_abort: Looked at while the head has not come; True ends the wait with a failure.
 
         Returns:
             The answer, whatever its status; or a failure of step CONNECTING (the engine received
@@ -81,7 +81,7 @@
             headers[OWNER_HEADER] = call.owner
         if call.last_event_id is not None:
             headers[LAST_EVENT_ID_HEADER] = call.last_event_id
-        with give_up_when(is_hopeless):
+        with abort_wait_when(should_abort):
             response = self._request(
                 self._plain_pool if call.raw_stream else self._pool,
                 method,
@@ -93,7 +93,7 @@
             )
         if isinstance(response, Failure):
             return response
-        mismatch = answer_mismatch(response.headers, call.request_id, call.attempt, call.address)
+        mismatch = response_mismatch(response.headers, call.request_id, call.attempt, call.address)
         if mismatch is not None:
             _discard(response)
             return mismatch
@@ -184,7 +184,7 @@
         response = self._request(self._pool, method, address, path, body, headers, timeout_s)
         if isinstance(response, Failure):
             return response
-        mismatch = answer_mismatch(response.headers, request_id, 1, address)
+        mismatch = response_mismatch(response.headers, request_id, 1, address)
         if mismatch is not None:
             _discard(response)
             return mismatch
--- a/src/leverjunction/backends/echo.py
+++ b/src/leverjunction/backends/echo.py
@@ -10,7 +10,7 @@
 ATTEMPT_HEADER = "X-Attempt"
 
 
-def answer_mismatch(
+def response_mismatch(
     headers: Mapping[str, str], request_id: str, attempt: int, address: str
 ) -> Failure | None:
     """Return a failure when an answer belongs to another request or attempt, else None.
--- a/src/leverjunction/backends/head_wait.py
+++ b/src/leverjunction/backends/head_wait.py
@@ -18,46 +18,48 @@
 
 CHECK_INTERVAL_S = 0.25
 
-IsHopeless = Callable[[], bool]
+ShouldAbort = Callable[[], bool]
 """Returns True once the answer is not to be waited for any more."""
 
-_is_hopeless: ContextVar[IsHopeless | None] = ContextVar("is_hopeless", default=None)
+_should_abort: ContextVar[ShouldAbort | None] = ContextVar("should_abort", default=None)
 
 
-class WaitGivenUpError(urllib3.exceptions.HTTPError):
+class HeadWaitAbortedError(urllib3.exceptions.HTTPError):
     """The head was not waited for to the end; the back end may have run the request."""
 
 
 class WatchedConnection(urllib3.connection.HTTPConnection):
-    """A connection that obeys ``give_up_when`` of the thread that uses it."""
+    """A connection that obeys ``abort_wait_when`` of the thread that uses it."""
 
     def getresponse(self) -> urllib3.HTTPResponse:  # type: ignore[override]
         """Return the answer once its head has come.
 
         Raises:
-            WaitGivenUpError: The wait became hopeless.
+            HeadWaitAbortedError: The wait became hopeless.
             TimeoutError: The read timeout passed.
         """
-        is_hopeless = _is_hopeless.get()
-        if is_hopeless is not None:
-            self._wait_for_head(is_hopeless)
+        should_abort = _should_abort.get()
+        if should_abort is not None:
+            self._wait_for_head(should_abort)
         return super().getresponse()
 
-    def _wait_for_head(self, is_hopeless: IsHopeless) -> None:
+    def _wait_for_head(self, should_abort: ShouldAbort) -> None:
         limit_s = float("inf") if self.timeout is None else float(self.timeout)
         end_s = steady_s() + limit_s
         while not wait_for_read(self.sock, timeout=CHECK_INTERVAL_S):
-            if is_hopeless():
-                raise WaitGivenUpError("the back end became unreachable before its answer began")
+            if should_abort():
+                raise HeadWaitAbortedError(
+                    "the back end became unreachable before its answer began"
+                )
             if steady_s() >= end_s:
                 raise TimeoutError("timed out")
 
 
 @contextlib.contextmanager
-def give_up_when(is_hopeless: IsHopeless | None) -> Iterator[None]:
+def abort_wait_when(should_abort: ShouldAbort | None) -> Iterator[None]:
     """Let calls of this thread inside the block give up their wait when it is hopeless."""
-    token = _is_hopeless.set(is_hopeless)
+    token = _should_abort.set(should_abort)
     try:
         yield
     finally:
-        _is_hopeless.reset(token)
+        _should_abort.reset(token)
--- a/src/leverjunction/gateway/runner_pool.py
+++ b/src/leverjunction/gateway/runner_pool.py
@@ -91,7 +91,7 @@
         Args:
             deadline_s: Monotonic time in seconds.
         """
-        self._view.wait_told(deadline_s)
+        self._view.wait_until_current(deadline_s)
 
     def candidates(self, needs: RouteNeeds) -> list[Candidate]:
         """Return all runners of a service, each with the reason for its exclusion, if any."""
--- a/src/leverjunction/gateway/sender.py
+++ b/src/leverjunction/gateway/sender.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from leverjunction.backends.client import EngineClient
-from leverjunction.backends.head_wait import IsHopeless
+from leverjunction.backends.head_wait import ShouldAbort
 from leverjunction.backends.stream import EngineStream
 from leverjunction.backends.types import EngineCall
 from leverjunction.clock import Clock
@@ -207,7 +207,7 @@
                 timeout_s=max(remaining_s, MIN_CALL_TIMEOUT_S),
                 raw_stream=request.stream,
             ),
-            self._hopeless_check(request, attempt),
+            self._abort_check(request, attempt),
         )
         if isinstance(stream, Failure):
             return stream
@@ -215,7 +215,7 @@
             return OpenResponse(stream=stream, attempt=attempt)
         return self._read_whole(stream, attempt)
 
-    def _hopeless_check(self, request: OnlineRequest, attempt: Attempt) -> IsHopeless | None:
+    def _abort_check(self, request: OnlineRequest, attempt: Attempt) -> ShouldAbort | None:
         """Return the check that ends the wait for a response head, None if nothing ends it early.
 
         The wait ends once the gateway that owns the runner reports the runner as unhealthy. A
--- a/src/leverjunction/gateway/view.py
+++ b/src/leverjunction/gateway/view.py
@@ -165,7 +165,7 @@
         """Return whether this process stood still and has not heard a hub since."""
         return self._freshness.is_in_doubt(self._clock.monotonic_s())
 
-    def wait_told(self, deadline_s: float) -> None:
+    def wait_until_current(self, deadline_s: float) -> None:
         """Return once the view is not in doubt, or when a deadline has passed."""
         if not self.is_in_doubt():
             return
--- a/src/testbed/simulation/engine_client.py
+++ b/src/testbed/simulation/engine_client.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from leverjunction.backends.echo import ATTEMPT_HEADER, REQUEST_ID_HEADER, answer_mismatch
-from leverjunction.backends.head_wait import CHECK_INTERVAL_S, IsHopeless
+from leverjunction.backends.echo import ATTEMPT_HEADER, REQUEST_ID_HEADER, response_mismatch
+from leverjunction.backends.head_wait import CHECK_INTERVAL_S, ShouldAbort
 from leverjunction.backends.stream import DetachedSocket
 from leverjunction.backends.types import EngineCall, HeldRequest, LoadReport
 from leverjunction.errors import Execution, Failure, FailureKind, Step
@@ -68,12 +68,12 @@
         self._socket.break_off()
         self._wake()
 
-    def await_head(self, is_hopeless: IsHopeless | None) -> bool:
+    def await_head(self, should_abort: ShouldAbort | None) -> bool:
         """Wait for the head; False when the connection broke, the time ran out, or in vain."""
         end_s = self._machine.monotonic_s() + self._call.timeout_s
         while self.head is None and not self._is_broken:
             left_s = end_s - self._machine.monotonic_s()
-            if left_s <= 0.0 or (is_hopeless is not None and is_hopeless()):
+            if left_s <= 0.0 or (should_abort is not None and should_abort()):
                 break
             self._wait(self._has_head_or_broke, min(left_s, CHECK_INTERVAL_S))
         return self.head is not None
@@ -156,7 +156,7 @@
         self._runners = runners
 
     def open(
-        self, call: EngineCall, is_hopeless: IsHopeless | None = None
+        self, call: EngineCall, should_abort: ShouldAbort | None = None
     ) -> SimulatedStream | Failure:
         """Send a request or a resume and return the answer once its head has come."""
         if not self._connects(call.address, min(CONNECT_TIMEOUT_S, call.timeout_s)):
@@ -167,7 +167,7 @@
         channel.attach(runner.machine, runner)
         stream.connect(channel)
         channel.send(self._machine, self._message(call))
-        if not stream.await_head(is_hopeless):
+        if not stream.await_head(should_abort):
             stream.close()
             return _no_answer(call.address)
         mismatch = self.mismatch(stream, call)
@@ -177,7 +177,7 @@
 
     def mismatch(self, stream: SimulatedStream, call: EngineCall) -> Failure | None:
         """Check the echo of an answer, as the product does."""
-        return answer_mismatch(stream.headers, call.request_id, call.attempt, call.address)
+        return response_mismatch(stream.headers, call.request_id, call.attempt, call.address)
 
     def cancel(self, address: str, request_id: str) -> Failure | None:
         """Cancel a request at its engine."""
