--- a/src/leverjunction/gateway/exchange.py
+++ b/src/leverjunction/gateway/exchange.py
@@ -1,4 +1,8 @@
-"""The exchange with the zone's hub, once a second: heartbeat, digests, settings, membership."""
+"""Periodic exchange between a gateway and a hub of the control processes.
+
+Each request is the gateway's heartbeat and carries the load digests of the runners that it owns.
+Each reply carries changes of the settings, of the cluster's members and of other runners' load.
+"""
 
 from __future__ import annotations
 
@@ -29,38 +33,41 @@
 )
 
 BUSY_REFRESH_MS = 2000
-FIRST_RETRY_S = 0.2
-"""Wait after the first failed exchange, for the next hub; doubles up to the interval."""
+"""Age of the last sent digest after which an unchanged digest of a busy runner is sent again."""
+
+INITIAL_RETRY_DELAY_S = 0.2
+"""Mean delay after the first failed exchange; doubles with each failure, up to the interval."""
 
-STALE_SHARE = 0.4
-"""Share of the interval after which a hub without a quorum is asked again. An election is over at a
-moment that nobody tells: with whole intervals gateways were a version behind for 4.1 to 7.8 s
-(simulator), of the 4 s in which a change is to be in force.
+STALE_INTERVAL_RATIO = 0.4
+"""Fraction of the interval after which a hub without contact to a quorum is polled again.
+
+Gateways are not notified of the end of an election. With full intervals, gateways in the simulator
+were one settings version behind for 4.1 to 7.8 s; a change must be in force within 4 s.
 """
 
-MAX_DOUBLINGS = 8
-REPORT_VERSION_S = 0.1
-"""Wait before the exchange that reports a new version in force."""
+MAX_RETRY_DOUBLINGS = 8
+VERSION_REPORT_DELAY_S = 0.1
+"""Mean delay before the exchange that reports a newly applied settings version."""
 
 
 class LeaseHolder(Protocol):
-    """The harvester's part that holds batch leases."""
+    """Interface of the batch harvester for the leases that it holds."""
 
     def lease_ids(self) -> dict[str, list[str]]:
-        """Return the leases held, by job group."""
+        """Return the ids of the held leases by job group."""
         ...
 
     def revoke(self, lost_lease_ids: list[str], cancelled_jobs: list[str]) -> None:
-        """Drop leases that are no longer valid and work of cancelled jobs."""
+        """Drop leases that are no longer valid and the work of cancelled jobs."""
         ...
 
-    def pending_told(self, work: list[PendingWork]) -> None:
-        """Take the hub's word of where work is pending."""
+    def update_pending(self, work: list[PendingWork]) -> None:
+        """Update the job groups and services that have pending work according to the hub."""
         ...
 
 
 class DigestOutbox:
-    """Digests of owned runners that the hub has not confirmed yet. Thread-safe."""
+    """Load digests of owned runners that are still to be sent to a hub. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -68,52 +75,52 @@
         self._last: dict[str, RunnerDigest] = {}
 
     def put(self, digest: RunnerDigest) -> None:
-        """Queue a reading if it differs from the last one in more than its time."""
+        """Queue a digest unless it repeats the runner's last one; see ``_has_changed``."""
         with self._lock:
             last = self._last.get(digest.runner_id)
-            if last is not None and not _is_news(last, digest):
+            if last is not None and not _has_changed(last, digest):
                 return
             self._last[digest.runner_id] = digest
             self._pending[digest.runner_id] = digest
 
     def take(self) -> list[RunnerDigest]:
-        """Return the readings to send; give them back with ``restore`` when that fails."""
+        """Remove and return the queued digests; pass them to ``restore`` if the send fails."""
         with self._lock:
             taken = list(self._pending.values())
             self._pending.clear()
             return taken
 
     def restore(self, digests: list[RunnerDigest]) -> None:
-        """Queue readings again that were not sent, unless newer ones came meanwhile."""
+        """Queue digests again whose send failed, except where a newer one is queued already."""
         with self._lock:
             for digest in digests:
                 self._pending.setdefault(digest.runner_id, digest)
 
     def resend_all(self) -> None:
-        """Queue the last reading of every runner: a new hub knows none of them."""
+        """Queue the last digest of every runner, for a hub that has received none of them."""
         with self._lock:
             self._pending = dict(self._last) | self._pending
 
     def retain(self, runner_ids: set[str]) -> None:
-        """Forget runners that this gateway no longer owns."""
+        """Remove the digests of all runners except those in ``runner_ids``."""
         with self._lock:
-            for known in (self._pending, self._last):
-                for runner_id in set(known) - runner_ids:
-                    del known[runner_id]
+            for digests in (self._pending, self._last):
+                for runner_id in set(digests) - runner_ids:
+                    del digests[runner_id]
 
 
 class ExchangeLoop:
-    """Runs the exchange in its own thread.
+    """Performs the exchanges in a background thread.
 
     Args:
         control: Client of the hubs.
-        identity: Returns this gateway's state as it is now.
-        view: Takes in membership and load.
-        settings: Takes in settings.
+        identity: Returns this gateway's current state.
+        view: Receives the members and their load.
+        settings: Receives the settings.
         outbox: Digests to send.
         leases: Batch leases to renew and revoke.
-        counters: Counters.
-        interval_s: Time between exchanges.
+        counters: Metrics of the gateway.
+        interval_s: Time between exchanges in seconds.
         on_view: Called after every reply with the new view.
     """
 
@@ -146,15 +153,15 @@
         self._connected = False
         self._lock = threading.Lock()
         self._thread = threading.Thread(target=self._run, name="exchange", daemon=True)
-        view.on_doubt = self._ask_soon
-        view.on_standstill = self._note_standstill
+        view.on_doubt = self._exchange_early
+        view.on_standstill = self._record_standstill
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the background thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the background thread and wait for its end."""
         self._stopped = True
         self._wake.set()
         self._thread.join()
@@ -164,51 +171,57 @@
             try:
                 self.exchange_once()
             except Exception:
-                # The exchange carries the heartbeat: it must outlive any fault.
-                logger.exception("exchange failed")
+                # The exchange carries this gateway's heartbeat, so the loop must survive any error.
+                logger.exception("unexpected error during the exchange with the hub")
             self._wake.wait(self._wait_s)
             self._wake.clear()
 
     @property
     def wait_s(self) -> float:
-        """Time until the next exchange."""
+        """Time in seconds between the last exchange and the next one."""
         return self._wait_s
 
     def exchange_once(self) -> Failure | None:
-        """Do one exchange; also called directly to tell the hub of a stop at once."""
+        """Perform one exchange; also called directly to report a planned stop immediately.
+
+        Returns:
+            The failure if no hub replied, otherwise None.
+        """
         with self._lock:
             has_settings = self._settings.current.version > 0
-            longest_s = EXCHANGE_TIMEOUT_S if has_settings else FULL_EXCHANGE_TIMEOUT_S
-            asked_s = self._view.step_begins(longest_s)
-            failure = self._exchange_once(asked_s)
-            self._view.step_begins(self._wait_s)
+            timeout_s = EXCHANGE_TIMEOUT_S if has_settings else FULL_EXCHANGE_TIMEOUT_S
+            sent_s = self._view.begin_step(timeout_s)
+            failure = self._exchange_once(sent_s)
+            self._view.begin_step(self._wait_s)
             return failure
 
-    def _ask_soon(self) -> None:
-        """Exchange now rather than after the interval; after failures the pauses stay."""
+    def _exchange_early(self) -> None:
+        """Start the next exchange immediately, except during the backoff after a failure."""
         if not self._failures:
             self._wake.set()
 
-    def _note_standstill(self, stood_s: float) -> None:
+    def _record_standstill(self, duration_s: float) -> None:
         self._counters.standstills.inc()
-        logger.warning("this process stood still for {:.1f} s; work waits for a hub", stood_s)
+        logger.warning(
+            "this process was paused for {:.1f} s; requests wait for a reply of a hub", duration_s
+        )
 
-    def _exchange_once(self, asked_s: float) -> Failure | None:
+    def _exchange_once(self, sent_s: float) -> Failure | None:
         self._wait_s = self._interval_s
         digests = self._outbox.take()
         reply = self._control.exchange(self._request(digests))
         if isinstance(reply, Failure):
             self._outbox.restore(digests)
-            self._note_lost(reply)
-            self._wait_s = self._spread(FIRST_RETRY_S * 2.0**self._failures)
-            self._failures = min(self._failures + 1, MAX_DOUBLINGS)
+            self._record_failure(reply)
+            self._wait_s = self._with_jitter(INITIAL_RETRY_DELAY_S * 2.0**self._failures)
+            self._failures = min(self._failures + 1, MAX_RETRY_DOUBLINGS)
             return reply
         self._failures = 0
         self._counters.exchanges.labels("ok").inc()
         if reply.quorum_age_s > MAX_QUORUM_AGE_S:
-            self._wait_s = self._interval_s * STALE_SHARE
+            self._wait_s = self._interval_s * STALE_INTERVAL_RATIO
         self._apply(reply)
-        self._view.refreshed(asked_s, reply.quorum_age_s)
+        self._view.mark_current(sent_s, reply.quorum_age_s)
         return None
 
     def _request(self, digests: list[RunnerDigest]) -> ExchangeRequest:
@@ -236,48 +249,51 @@
         if reply.lost_lease_ids or reply.cancelled_jobs:
             self._leases.revoke(reply.lost_lease_ids, reply.cancelled_jobs)
         if reply.pending_work is not None:
-            self._leases.pending_told(reply.pending_work)
+            self._leases.update_pending(reply.pending_work)
         self._on_view(after)
 
     def _apply_settings(self, reply: ExchangeReply) -> None:
         if self._settings.current.version == 0 and reply.quorum_age_s > MAX_QUORUM_AGE_S:
-            # Without a copy this gateway cannot tell whether it had a newer version in force: a hub
-            # that is cut off from the quorum must not take it back to an older one.
-            self._wait_s = self._spread(FIRST_RETRY_S)
+            # Without a saved copy of the settings, this gateway does not know whether it had a
+            # newer version in force before its restart. A hub that is cut off from the quorum must
+            # not revert it to an older version.
+            self._wait_s = self._with_jitter(INITIAL_RETRY_DELAY_S)
             return
         if self._settings.apply(reply.settings, reply.settings_version):
             version = self._settings.current.version
             self._counters.settings_version.set(version)
             logger.info("settings version {} in force", version)
-            # The next exchange tells the hub, so that operators see soon where it is in force.
-            self._wait_s = self._spread(REPORT_VERSION_S)
+            # An early exchange reports the version to the hub, where operators watch the rollout.
+            self._wait_s = self._with_jitter(VERSION_REPORT_DELAY_S)
         elif reply.settings_retry_after_s > 0:
-            # The hub serves only so many whole sets of settings at once: ask again, but spread.
-            self._wait_s = self._spread(reply.settings_retry_after_s)
+            # The hub limits the number of full settings transfers at a time. The random part of
+            # the delay spreads the retries of the gateways.
+            self._wait_s = self._with_jitter(reply.settings_retry_after_s)
 
-    def _spread(self, wait_s: float) -> float:
-        """Return a random wait of about ``wait_s``, never above the interval."""
+    def _with_jitter(self, wait_s: float) -> float:
+        """Return ``wait_s`` with a random factor of 0.5 to 1.5, at most the interval."""
         return min(self._interval_s, wait_s * (0.5 + self._random.random()))
 
-    def _note_lost(self, failure: Failure) -> None:
+    def _record_failure(self, failure: Failure) -> None:
         self._counters.exchanges.labels("failed").inc()
         if self._connected:
             self._connected = False
-            logger.warning("no hub answers: {}", failure.reason)
+            logger.warning("no hub replies: {}", failure.reason)
 
 
-def _is_news(last: RunnerDigest, digest: RunnerDigest) -> bool:
-    """Return whether a reading is worth its bytes.
+def _has_changed(last: RunnerDigest, digest: RunnerDigest) -> bool:
+    """Return whether a digest contains information that the last one did not.
 
-    A busy runner's unchanged reading is: its newer time tells which sends it already counts.
+    For a busy runner, an unchanged load is worth sending again after ``BUSY_REFRESH_MS``: from the
+    digest's time, gateways determine which of their requests the load already includes.
     """
-    if _load_of(last) != _load_of(digest):
+    if _load_values(last) != _load_values(digest):
         return True
     is_busy = digest.running + digest.waiting > 0
     return is_busy and digest.as_of_ms - last.as_of_ms >= BUSY_REFRESH_MS
 
 
-def _load_of(digest: RunnerDigest) -> tuple[object, ...]:
+def _load_values(digest: RunnerDigest) -> tuple[object, ...]:
     return (
         digest.running,
         digest.waiting,
--- a/src/leverjunction/gateway/harvest.py
+++ b/src/leverjunction/gateway/harvest.py
@@ -81,7 +81,7 @@
         """Drop lost leases and the work of cancelled jobs."""
         self._harvester.revoke(lost_lease_ids, cancelled_jobs)
 
-    def pending_told(self, work: list[PendingWork]) -> None:
+    def update_pending(self, work: list[PendingWork]) -> None:
         """Take the hub's word of where work is pending."""
         self._harvester.pending_told(work)
 
--- a/src/leverjunction/gateway/http_server.py
+++ b/src/leverjunction/gateway/http_server.py
@@ -1,7 +1,8 @@
-"""cheroot server whose streaming answers can be handed to the relay loop.
+"""cheroot server that can hand the connection of a streamed response over to the relay loop.
 
-A worker thread of cheroot parses the request and writes the answer's head; then the connection is
-passed on, so that no thread is held while tokens trickle in, and comes back when the stream ends.
+A cheroot worker thread parses the request and writes the response head. It then hands the
+connection over, so that no thread is occupied while the engine generates tokens. When the stream
+ends, the connection returns to the server for the next request or is closed.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from cheroot.makefile import MakeFile
 
 from leverjunction.clock import steady_s
-from leverjunction.gateway.listener import LISTEN_BACKLOG, DrainedConnections
+from leverjunction.gateway.listener import LISTEN_BACKLOG, DrainingConnectionManager
 from leverjunction.gateway.slow_clients import SlowClientGuard
 
 HANDOVER_KEY = "leverjunction.handover"
@@ -26,18 +27,19 @@
 SOCKET_TIMEOUT_S = 10
 MAX_HEADER_BYTES = 64 * 1024
 LINGER_S = 1.0
-"""A refused caller that still sends its body gets so long to take the answer."""
+"""Time for a caller that is still sending a refused body to read the response."""
 
 DISCARD_BYTES = 65536
 
 
 class ClientConnection(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's connection whose answer's head has been written.
+    """A caller's connection on which the response head has been written.
 
     Attributes:
-        connection: Its socket.
-        chunked: True when the body must be written in the chunked transfer coding.
-        release: Gives the connection back (True: for the next request) or closes it (False).
+        connection: Socket of the connection.
+        chunked: True if the body must be written in the chunked transfer coding.
+        release: Ends the handover: True returns the connection to the server for the next request,
+            False closes it.
     """
 
     connection: socket.socket
@@ -46,43 +48,45 @@
 
 
 Handover = Callable[[ClientConnection], None]
-"""Takes over a caller's connection; called once, after the worker thread let go of it."""
+"""Takes over a caller's connection; called once, after the worker thread has released it."""
 
 
 class HandoverSlot:
-    """Where a handler leaves its handover; CherryPy copies the environment, not the slot.
+    """Holds the handover that a request handler sets for the server.
+
+    The slot is an object in the WSGI environment, since CherryPy copies the environment itself.
 
     Attributes:
-        handover: Takes the connection over, None when the answer is an ordinary one.
-        abandon: Called in its place when the answer's head could not be written.
+        handover: Takes over the connection; None for a response that the worker writes itself.
+        abandon: Called instead of ``handover`` if the response head could not be written.
     """
 
     def __init__(self) -> None:
         self.handover: Handover | None = None
-        self.abandon: Callable[[], None] = _nothing_to_abandon
+        self.abandon: Callable[[], None] = _no_handover_to_abandon
 
 
-def _nothing_to_abandon() -> None:
-    """Do nothing."""
+def _no_handover_to_abandon() -> None:
+    """Do nothing; used for responses without a handover."""
 
 
 class _Request(cheroot_server.HTTPRequest):
-    """Request whose answer ends its connection when the server is about to stop."""
+    """Request whose response closes the connection if the server is stopping."""
 
     def send_headers(self) -> None:
-        if cast(StreamingServer, self.server).is_leaving:
+        if cast(StreamingServer, self.server).is_stopping:
             self.close_connection = True
         super().send_headers()
 
 
 class _Connection(cheroot_server.HTTPConnection):
-    """Connection that a worker thread passes on instead of closing it."""
+    """Connection that a worker thread can hand over instead of closing it."""
 
     RequestHandlerClass = _Request
 
     def __init__(self, server: Any, sock: Any, makefile: Any = MakeFile) -> None:
         super().__init__(server, sock, makefile)
-        self._pending: tuple[Handover, bool, bool] | None = None
+        self._pending_handover: tuple[Handover, bool, bool] | None = None
         self._body_is_unread = False
 
     def communicate(self) -> bool:
@@ -93,35 +97,42 @@
         finally:
             guard.done(self)
 
-    def pass_on(self, handover: Handover, chunked: bool, keep: bool) -> None:
-        """Arrange that the worker's ``close`` passes the connection to ``handover``."""
-        self._pending = (handover, chunked, keep)
+    def set_handover(self, handover: Handover, chunked: bool, keep_alive: bool) -> None:
+        """Make the worker's call of ``close`` pass the connection to ``handover``.
+
+        Args:
+            handover: Takes over the connection.
+            chunked: True if the body is written in the chunked transfer coding.
+            keep_alive: True if the connection may serve another request after the stream.
+        """
+        self._pending_handover = (handover, chunked, keep_alive)
 
-    def leave_body_unread(self) -> None:
-        """Arrange that ``close`` lets the caller read its answer although its body is unread."""
+    def mark_body_unread(self) -> None:
+        """Make ``close`` give the caller time to read the response, as its body is unread."""
         self._body_is_unread = True
 
     def close(self) -> None:
-        # The worker closes a connection as the last thing that it does with it: only then may
-        # another thread use it.
-        if self._pending is None:
+        # ``close`` is the worker's last use of the connection: from then on another thread may
+        # use it.
+        if self._pending_handover is None:
             if self._body_is_unread:
                 self._discard_body()
             super().close()
             return
-        handover, chunked, keep = self._pending
-        self._pending = None
+        handover, chunked, keep_alive = self._pending_handover
+        self._pending_handover = None
         handover(
             ClientConnection(
                 connection=self.socket,
                 chunked=chunked,
-                release=lambda reusable: self._release(reusable and keep),
+                release=lambda reusable: self._release(reusable and keep_alive),
             )
         )
 
     def _discard_body(self) -> None:
-        """Read on for a while: closing with unread bytes resets the connection, and the caller
-        may lose the answer.
+        """Read and discard the rest of the body for up to ``LINGER_S``.
+
+        Closing a socket with unread bytes resets the connection, which may lose the response.
         """
         end_s = steady_s() + LINGER_S
         try:
@@ -131,7 +142,7 @@
                 if not self.socket.recv(DISCARD_BYTES):
                     return
         except OSError:
-            # It closed first, or sends nothing more.
+            # The caller has closed the connection or stopped sending.
             return
 
     def _release(self, reusable: bool) -> None:
@@ -143,10 +154,10 @@
 
 
 class _Gateway(wsgi.Gateway_10):
-    """WSGI gateway that lets handlers reach the HTTP request and pass its connection on."""
+    """WSGI gateway that gives handlers access to the HTTP request and its handover slot."""
 
     def get_environ(self) -> Any:
-        # The base class's own annotation says None; its subclasses return the environment.
+        # The base class is annotated to return None; its subclasses return the environment.
         environ: dict[str, Any] = super().get_environ()
         environ[REQUEST_KEY] = self.req
         environ[HANDOVER_KEY] = HandoverSlot()
@@ -167,24 +178,25 @@
         handover = slot.handover
         if handover is None:
             return
-        keep = not self.req.close_connection
-        self.req.conn.pass_on(handover, self.req.chunked_write, keep)
+        keep_alive = not self.req.close_connection
+        self.req.conn.set_handover(handover, self.req.chunked_write, keep_alive)
         # The relay ends the body; cheroot must neither end it nor wait for the next request.
         self.req.chunked_write = False
         self.req.close_connection = True
 
 
 def body_is_read(environ: dict[str, Any]) -> None:
-    """Tell the server that a request's body is read, so that it is no longer timed."""
+    """Remove the read deadline of a request whose body has been read completely."""
     request = environ.get(REQUEST_KEY)
     if request is not None:
         request.server.guard.done(request.conn)
 
 
 def refuse_body(environ: dict[str, Any]) -> None:
-    """Tell the server that a request is refused although its body is not read to its end.
+    """Prepare the connection for the refusal of a request whose body may be partly unread.
 
-    The answer is written at once and the connection closed after it.
+    If it is, the response is written without reading the rest and the connection is closed
+    afterwards.
     """
     request = environ.get(REQUEST_KEY)
     if request is None:
@@ -192,15 +204,16 @@
     is_read = not request.chunked_read and request.rfile.remaining <= 0
     if not is_read:
         request.close_connection = True
-        request.conn.leave_body_unread()
+        request.conn.mark_body_unread()
 
 
 class StreamingServer(wsgi.Server):
-    """Server of the callers' HTTP port.
+    """HTTP server for the callers of the gateway.
 
     Attributes:
-        is_leaving: True once a stop was asked for: each answer ends its connection, so that callers
-            turn to another gateway and none is idle on a connection that is about to end.
+        guard: Aborts requests that arrive too slowly.
+        is_stopping: True during a planned stop: each response then closes its connection, so that
+            callers reconnect to another gateway and no idle connection is left at the end.
     """
 
     ConnectionClass = _Connection
@@ -220,13 +233,17 @@
         )
         self.gateway = _Gateway
         self.guard = SlowClientGuard()
-        self.is_leaving = False
+        self.is_stopping = False
 
     def prepare(self) -> None:
-        """Bind, listen and start the workers; raises OSError when the address is taken."""
+        """Bind, listen and start the worker threads.
+
+        Raises:
+            OSError: The address is in use or not available.
+        """
         super().prepare()
         self._connections.close()
-        self._connections = DrainedConnections(self)
+        self._connections = DrainingConnectionManager(self)
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Drop cheroot's lines about callers that went away: counters tell of them."""
+        """Drop cheroot's log lines about disconnected callers, which metrics count."""
--- a/src/leverjunction/gateway/listener.py
+++ b/src/leverjunction/gateway/listener.py
@@ -1,8 +1,9 @@
-"""The callers' listening socket and the connections that wait for a request, up to their end.
+"""Graceful stop of the listening socket and of the idle keep-alive connections.
 
-cheroot closes both at once when it stops. A caller whose connection the system had accepted, or
-whose request had arrived on a kept connection, then saw a reset and could not know whether its
-request had run. Here each of them still gets its answer, which is the refusal of a stop.
+cheroot closes both at once when it stops. A caller whose connection was still in the accept
+backlog, or whose request had just arrived on a keep-alive connection, then saw a reset and could
+not know whether its request had run. Here each of them still gets a response: a refusal, since the
+gateway is stopping.
 """
 
 from __future__ import annotations
@@ -14,27 +15,27 @@
 from cheroot.connections import ConnectionManager
 
 LISTEN_BACKLOG = 512
-"""Connections that the system accepts for this process before the process does so itself."""
+"""Length of the kernel's accept backlog, in connections."""
 
 
-class DrainedConnections(ConnectionManager):
-    """Hands all that has arrived to the workers before the listening socket is closed."""
+class DrainingConnectionManager(ConnectionManager):
+    """Connection manager that serves connections and requests that arrived before the stop."""
 
     _selector: Any
 
     def stop(self) -> None:
-        """End the loop that accepts, then take in what it has left."""
+        """Stop the accept loop, then serve the waiting connections and requests."""
         super().stop()
         listener: socket.socket = self.server.socket
-        # What waits is kept; of what comes now the system keeps one and drops the others' first
-        # packet, so that a flood of callers cannot hold up the stop.
+        # The backlog keeps the waiting connections. Of new ones the kernel queues a single one and
+        # drops the SYN packets of the others, so that many new callers cannot delay the stop.
         listener.listen(0)
-        self._accept_waiting(listener)
-        # From here on connections are refused: a caller then knows that nothing ran.
+        self._accept_backlog(listener)
+        # From here on connections are refused, which tells the caller that no request has run.
         listener.close()
-        self._serve_kept()
+        self._serve_keep_alive()
 
-    def _accept_waiting(self, listener: socket.socket) -> None:
+    def _accept_backlog(self, listener: socket.socket) -> None:
         with selectors.DefaultSelector() as selector:
             selector.register(listener, selectors.EVENT_READ)
             for _ in range(LISTEN_BACKLOG):
@@ -46,15 +47,15 @@
         try:
             accepted, address = listener.accept()
         except OSError:
-            # The caller went away while it waited.
+            # The caller disconnected while it waited in the backlog.
             return
         accepted.settimeout(self.server.timeout)
         connection = self.server.ConnectionClass(self.server, accepted)
         connection.remote_addr, connection.remote_port = address[:2]
         self.server.process_conn(connection)
 
-    def _serve_kept(self) -> None:
-        """Hand over the kept connections on which a request has arrived."""
+    def _serve_keep_alive(self) -> None:
+        """Pass keep-alive connections with a new request to the worker threads."""
         for descriptor, connection in self._selector.select(timeout=0):
             if connection is not self.server:
                 self._selector.unregister(descriptor)
--- a/src/leverjunction/gateway/runtime.py
+++ b/src/leverjunction/gateway/runtime.py
@@ -169,7 +169,7 @@
         """Refuse new requests, hand batch back and wait for open ones; False when time ran out."""
         logger.info("stopping: new requests are refused")
         self.inflight.begin_stop()
-        self.http_server.is_leaving = True
+        self.http_server.is_stopping = True
         deadline_s = steady_s() + self.config.drain_timeout_s
         self.exchange.exchange_once()
         self.harvest.stop()
--- a/src/leverjunction/gateway/view.py
+++ b/src/leverjunction/gateway/view.py
@@ -1,4 +1,8 @@
-"""The cluster as a gateway last heard of it: gateways, runners and their load digests."""
+"""A gateway's view of the cluster: gateways, runners and their load digests.
+
+The view is as of the last reply of a hub. It is in doubt if the gateway's own process was paused
+since then (a standstill); requests then wait for the next reply.
+"""
 
 from __future__ import annotations
 
@@ -20,28 +24,30 @@
 DEFAULT_JOB_GROUPS = 2
 
 STANDSTILL_S = 1.0
-"""Shortest standstill after which a hub is asked before work is sent. With the interval between two
-exchanges it is below the 2 s in which a leaving runner is known to every gateway.
+"""Shortest pause of the process after which requests wait for a reply of a hub.
+
+Its sum with the interval between two exchanges is below the 2 s within which every gateway must
+know of a leaving runner.
 """
 
 DOUBT_S = 3.0
-"""How long work waits for a hub after a standstill: a hub that stood still as well warms up."""
+"""Longest wait for a reply after a standstill; a hub that was paused as well warms up first."""
 
-LOOK_S = 0.05
-"""Interval at which waiting work looks whether the doubt is over."""
+CHECK_INTERVAL_S = 0.05
+"""Interval at which a waiting request checks whether the view is current again."""
 
 
 class ClusterSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """One immutable state of the view; replaced as a whole, so readers need no lock.
 
     Attributes:
-        view_version: Hub's version of this state, 0 when none was heard.
-        hub_incarnation: Incarnation of the hub that gave it.
+        view_version: The hub's version of this state, 0 before the first reply.
+        hub_incarnation: Incarnation of the hub that sent it.
         gateways: Live gateways by id.
         runners: Listed runners by id.
-        digests: Newest load reading of each runner by id.
+        digests: Newest load digest of each runner, by runner id.
         hubs: RPC addresses of the hubs, nearest first.
-        quorum_age_s: Age of the hub's contact with the root group's leader.
+        quorum_age_s: Seconds since the hub's last contact with the leader of the root group.
         job_groups: Number of job groups.
         placement: Placement record whose withdrawals the runners' models reflect.
     """
@@ -58,10 +64,10 @@
 
 
 def apply_reply(state: ClusterSnapshot, reply: ExchangeReply) -> ClusterSnapshot:
-    """Return the state after a hub's reply; a full view replaces all that it lists.
+    """Return the state after a hub's reply; a full view replaces all gateways and runners.
 
-    Members that did not change stay the same object, so that what follows from them is worked out
-    only when they do: most replies carry digests alone.
+    Most replies carry digests only. Mappings of members that did not change stay the same objects,
+    so that results derived from them are recomputed only after a change.
     """
     gateways = state.gateways
     if reply.full_view or reply.gateways or reply.gone_gateways:
@@ -93,25 +99,27 @@
 
 
 def put_digest(state: ClusterSnapshot, digest: RunnerDigest) -> ClusterSnapshot:
-    """Return the state with this gateway's own newer reading of a runner."""
+    """Return the state with a digest that this gateway measured, unless it has a newer one."""
     digests = dict(state.digests)
     _put_newer(digests, digest)
     return msgspec.structs.replace(state, digests=digests)
 
 
 def _put_newer(digests: dict[str, RunnerDigest], digest: RunnerDigest) -> None:
-    """Keep the newer reading: digests that crossed on their way must not turn time back."""
-    known = digests.get(digest.runner_id)
-    if known is None or digest.as_of_ms >= known.as_of_ms:
+    """Store a digest unless a newer one is stored; digests may arrive out of order."""
+    stored = digests.get(digest.runner_id)
+    if stored is None or digest.as_of_ms >= stored.as_of_ms:
         digests[digest.runner_id] = digest
 
 
 class ClusterView:
-    """Holds the current snapshot. Written by the exchange and the owner loop, read by all.
+    """Holds the current snapshot. Thread-safe.
+
+    The exchange loop and the runner poller write it; all other threads only read it.
 
     Attributes:
-        on_doubt: Called when work waits for a hub's word; must not block.
-        on_standstill: Called with the seconds for which this process stood still.
+        on_doubt: Called when a request starts to wait for a hub's reply; must not block.
+        on_standstill: Called with the duration in seconds of a pause of this process.
 
     Args:
         clock: Source of monotonic time.
@@ -120,11 +128,11 @@
     def __init__(self, clock: Clock | None = None) -> None:
         self._clock = clock or SystemClock()
         self._lock = threading.Lock()
-        self._told = threading.Condition()
+        self._updated = threading.Condition()
         self._freshness = Freshness(STANDSTILL_S, DOUBT_S)
         self._snapshot = ClusterSnapshot()
-        self.on_doubt: Callable[[], None] = _nobody_asks
-        self.on_standstill: Callable[[float], None] = _nobody_is_told
+        self.on_doubt: Callable[[], None] = _ignore_doubt
+        self.on_standstill: Callable[[float], None] = _ignore_standstill
 
     @property
     def snapshot(self) -> ClusterSnapshot:
@@ -138,46 +146,66 @@
             return self._snapshot
 
     def observe(self, digest: RunnerDigest) -> None:
-        """Take in this gateway's own reading of a runner that it owns."""
+        """Add a load digest of a runner that this gateway owns."""
         with self._lock:
             self._snapshot = put_digest(self._snapshot, digest)
 
-    def step_begins(self, longest_s: float) -> float:
-        """Note that the exchange begins a step of ``longest_s`` at most; returns the time."""
+    def begin_step(self, max_duration_s: float) -> float:
+        """Record the start of a step of the exchange loop, to detect pauses of this process.
+
+        The process was paused if the next step starts much later than this one may end.
+
+        Args:
+            max_duration_s: Longest duration of the step in seconds.
+
+        Returns:
+            The current monotonic time in seconds.
+        """
         now_s = self._clock.monotonic_s()
-        with self._told:
-            stood_s = self._freshness.step_begins(now_s, longest_s)
-        if stood_s > 0:
-            self.on_standstill(stood_s)
+        with self._updated:
+            paused_s = self._freshness.step_begins(now_s, max_duration_s)
+        if paused_s > 0:
+            self.on_standstill(paused_s)
         return now_s
 
-    def refreshed(self, asked_s: float, quorum_age_s: float) -> None:
-        """Note that a hub, asked at a moment, told what it knows.
+    def mark_current(self, sent_s: float, quorum_age_s: float) -> None:
+        """Record a hub's reply, which ends the doubt about the view if it is recent enough.
+
+        A hub that was paused as well has no newer state until its next contact with its leader.
 
-        A hub that stood still as well knows no more than this process until it hears its leader.
+        Args:
+            sent_s: Monotonic time at which the request was sent.
+            quorum_age_s: Seconds since the hub's last contact with its leader.
         """
-        known_s = asked_s if quorum_age_s < STANDSTILL_S else asked_s - quorum_age_s
-        with self._told:
+        known_s = sent_s if quorum_age_s < STANDSTILL_S else sent_s - quorum_age_s
+        with self._updated:
             self._freshness.refreshed(known_s)
-            self._told.notify_all()
+            self._updated.notify_all()
 
     def is_in_doubt(self) -> bool:
-        """Return whether this process stood still and has not heard a hub since."""
+        """Return whether the view may be outdated by a recent pause of this process.
+
+        The doubt ends with a hub's reply, or without one after ``DOUBT_S``.
+        """
         return self._freshness.is_in_doubt(self._clock.monotonic_s())
 
     def wait_until_current(self, deadline_s: float) -> None:
-        """Return once the view is not in doubt, or when a deadline has passed."""
+        """Wait until the view is no longer in doubt.
+
+        Args:
+            deadline_s: Monotonic time at which the wait ends in any case.
+        """
         if not self.is_in_doubt():
             return
         self.on_doubt()
-        with self._told:
+        with self._updated:
             while self.is_in_doubt() and self._clock.monotonic_s() < deadline_s:
-                self._told.wait(LOOK_S)
+                self._updated.wait(CHECK_INTERVAL_S)
 
 
-def _nobody_asks() -> None:
-    """Stand in for the exchange."""
+def _ignore_doubt() -> None:
+    """Do nothing; used while no exchange loop has set ``on_doubt``."""
 
 
-def _nobody_is_told(_stood_s: float) -> None:
-    """Stand in for who counts standstills."""
+def _ignore_standstill(_duration_s: float) -> None:
+    """Do nothing; used while no exchange loop has set ``on_standstill``."""
--- a/tests/unit/test_gateway_exchange.py
+++ b/tests/unit/test_gateway_exchange.py
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.told: list[list[PendingWork]] = []
 
-    def pending_told(self, work: list[PendingWork]) -> None:
+    def update_pending(self, work: list[PendingWork]) -> None:
         self.told.append(work)
 
     def lease_ids(self) -> dict[str, list[str]]:
--- a/tests/unit/test_gateway_listener.py
+++ b/tests/unit/test_gateway_listener.py
@@ -51,7 +51,7 @@
 
 
 def test_answers_of_a_leaving_server_end_their_connections(server: StreamingServer) -> None:
-    server.is_leaving = True
+    server.is_stopping = True
     threading.Thread(target=server.serve, daemon=True).start()
     answer = _read_all(_call(server))
     assert b"connection: close" in answer.lower()
