--- a/src/leverjunction/gateway/relay_stream.py
+++ b/src/leverjunction/gateway/relay_stream.py
@@ -1,4 +1,4 @@
-"""One stream on its way through the relay loop."""
+"""State of a stream in the relay loop, and the interface between the loop and a stream's owner."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 
 
 class StreamCallbacks(msgspec.Struct, frozen=True, kw_only=True):
-    """What the relay loop asks and tells the owner of a stream.
+    """Callbacks from the relay loop to the owner of a stream.
 
     Attributes:
-        repair: The engine's side broke before the end; a helper thread runs this and returns a new
-            engine socket, or that the answer was whole, or the failure to end the stream with.
-        on_end: The stream is over: None when the caller got all of it, else why not.
-        error_event: Returns the SSE bytes that tell a caller of a failure.
-        runner_is_healthy: Returns whether the engine's owner can reach it.
+        repair: Called in a helper thread with the transcript and the failure when the engine's
+            side failed before the end of the stream. Returns a new engine's side, or that the
+            response was already complete, or the failure that ends the stream.
+        on_end: Called in a helper thread at the end of the stream, with the transcript and the
+            reason for an early end or None.
+        error_event: Returns the server-sent event that reports a failure to the caller.
+        runner_is_healthy: Returns whether the gateway that owns the runner can reach it.
     """
 
     repair: Callable[[bytes, Failure], EngineSide | ResponseComplete | Failure]
@@ -34,12 +36,12 @@
 
 
 class EngineSide(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine's side of a stream.
+    """The engine's side of a stream: the connection from which the response body is read.
 
     Attributes:
-        connection: Socket with the rest of the body; ends with the body.
-        first_bytes: Body bytes that were read already.
-        address: The engine.
+        connection: Socket with the rest of the body, which ends when the engine closes it.
+        first_bytes: Body bytes that were already read from the socket.
+        address: ``host:port`` of the engine.
     """
 
     connection: socket.socket
@@ -48,11 +50,16 @@
 
 
 class ResponseComplete(msgspec.Struct, frozen=True):
-    """Only the end event was lost: the caller has all of the answer."""
+    """Result of a repair if only the final event was lost and the response is complete."""
 
 
-class Watch(NamedTuple):
-    """What the loop's selector holds for a connection: its stream, and what to do when ready."""
+class Registration(NamedTuple):
+    """Data that the loop's selector stores for a connection.
+
+    Attributes:
+        stream: Stream of the connection, None for the loop's own wake-up socket.
+        handle: Called with the event mask when the connection is ready.
+    """
 
     stream: RelayStream | None
     handle: Callable[[int], None]
@@ -61,14 +68,15 @@
 class RelayStream:
     """State of one relayed stream; used by the relay loop's thread only.
 
-    ``transcript`` holds every whole event that was passed on: it is what a repair goes on from.
+    ``transcript`` contains all complete events relayed so far; a repair continues from there.
 
     Args:
         client: The caller's connection.
-        engine: The engine's side; or why there is none, and the loop asks for a repair first.
-        callbacks: The stream's owner.
-        deadline_s: Monotonic time at which the stream ends with an error.
-        silence_s: Longest silence of the engine before its side counts as broken.
+        engine: The engine's side; or the reason why there is none, in which case the relay starts
+            with a repair.
+        callbacks: Callbacks to the stream's owner.
+        deadline_s: Monotonic time in seconds at which the stream ends with an error.
+        silence_s: Time in seconds without bytes from the engine after which its side has failed.
     """
 
     __slots__ = (
@@ -112,9 +120,9 @@
         self.failure: Failure | None = None
 
     def complete_events(self, data: bytes) -> bytes:
-        """Return the whole events in ``data`` and keep the rest until more comes.
+        """Return the complete events in ``data`` and keep the rest for the next call.
 
-        A part of an event is not passed on: after a break the stream goes on with a whole one.
+        Partial events are not relayed, since a repaired stream continues with a complete event.
         """
         if not self.partial and data.endswith(EVENT_END):
             return data
@@ -128,7 +136,7 @@
         return data[:end]
 
     def framed(self, data: bytes) -> bytes:
-        """Return body bytes as they go over the caller's connection."""
+        """Return body bytes in the transfer coding of the caller's connection."""
         if not self.client.chunked:
             return data
         return b"%x\r\n%b\r\n" % (len(data), data)
