--- a/src/leverjunction/gateway/relay.py
+++ b/src/leverjunction/gateway/relay.py
@@ -215,7 +215,7 @@
         if not events:
             return
         stream.transcript += events
-        frame = stream.framed(events)
+        frame = stream.encode_body(events)
         if events.endswith(DONE_EVENT):
             self._end(stream, frame, None)
         else:
@@ -295,13 +295,13 @@
             self._attach(stream, outcome)
         elif isinstance(outcome, ResponseComplete):
             stream.transcript += DONE_EVENT
-            self._end(stream, stream.framed(DONE_EVENT), None)
+            self._end(stream, stream.encode_body(DONE_EVENT), None)
         else:
             self._end_with_error(stream, outcome)
 
     def _end_with_error(self, stream: RelayStream, failure: Failure) -> None:
         """End a stream with an error event, so that the caller can tell it from a complete one."""
-        self._end(stream, stream.framed(stream.callbacks.error_event(failure)), failure)
+        self._end(stream, stream.encode_body(stream.callbacks.error_event(failure)), failure)
 
     def _handle_disconnect(self, stream: RelayStream, error: object) -> None:
         self._counters.client_gone.inc()
--- a/src/leverjunction/gateway/relay_caller.py
+++ b/src/leverjunction/gateway/relay_caller.py
@@ -79,7 +79,7 @@
 
     def probe(self, stream: RelayStream) -> None:
         """Write a comment to find out whether a caller that closed its side still reads."""
-        self.send(stream, stream.framed(PROBE_COMMENT))
+        self.send(stream, stream.encode_body(PROBE_COMMENT))
 
     def ready(self, stream: RelayStream, mask: int) -> None:
         """Handle a readable or writable connection."""
--- a/src/leverjunction/gateway/relay_stream.py
+++ b/src/leverjunction/gateway/relay_stream.py
@@ -135,7 +135,7 @@
         self.partial = data[end:]
         return data[:end]
 
-    def framed(self, data: bytes) -> bytes:
+    def encode_body(self, data: bytes) -> bytes:
         """Return body bytes in the transfer coding of the caller's connection."""
         if not self.client.chunked:
             return data
--- a/src/testbed/load/relay_variants.py
+++ b/src/testbed/load/relay_variants.py
@@ -36,7 +36,7 @@
                 events = stream.complete_events(data)
                 stream.transcript += events
                 if events:
-                    client.sendall(stream.framed(events))
+                    client.sendall(stream.encode_body(events))
                 if events.endswith(DONE_EVENT):
                     client.sendall(LAST_CHUNK)
                     break
