--- a/src/leverjunction/gateway/__init__.py
+++ b/src/leverjunction/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: admission, routing, stream relay, and the batch harvest of its runners."""
+"""The gateway: admission, routing and relay of online requests, and batch work on its runners."""
--- a/src/leverjunction/gateway/cache_feed.py
+++ b/src/leverjunction/gateway/cache_feed.py
@@ -1,4 +1,4 @@
-"""Follows the cache events of owned runners, one thread a runner."""
+"""Reads the prefix cache events of owned runners, in one thread per runner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,13 @@
 
 
 class CacheFeed:
-    """Keeps one reader an owned runner; ``update`` is called by the owner loop's user."""
+    """Runs one reader of cache events for each owned runner and passes the events to the pool.
+
+    Args:
+        engines: Client of the engines.
+        pool: Receives the events.
+        counters: Metrics of the gateway.
+    """
 
     def __init__(self, engines: EngineClient, pool: RunnerPool, counters: GatewayCounters) -> None:
         self._engines = engines
@@ -25,19 +31,19 @@
         self._stops: dict[tuple[str, str], threading.Event] = {}
 
     def update(self, owned: list[RunnerState]) -> None:
-        """Follow exactly these runners."""
-        wanted = {(runner.runner_id, runner.address) for runner in owned}
+        """Start and stop readers so that exactly the runners in ``owned`` are read."""
+        current = {(runner.runner_id, runner.address) for runner in owned}
         with self._lock:
-            for key in set(self._stops) - wanted:
+            for key in set(self._stops) - current:
                 self._stops.pop(key).set()
-            for key in wanted - set(self._stops):
+            for key in current - set(self._stops):
                 stop = self._stops[key] = threading.Event()
                 threading.Thread(
-                    target=self._follow, args=(*key, stop), name=f"cache-{key[0]}", daemon=True
+                    target=self._read_events, args=(*key, stop), name=f"cache-{key[0]}", daemon=True
                 ).start()
 
-    def _follow(self, runner_id: str, address: str, stop: threading.Event) -> None:
-        # Each connection opens with a snapshot, so a gap is mended by connecting again.
+    def _read_events(self, runner_id: str, address: str, stop: threading.Event) -> None:
+        # Each connection starts with a snapshot, so a reconnect recovers from a gap in the events.
         while not stop.is_set():
             self._read_until_gap(runner_id, address, stop)
             stop.wait(RECONNECT_S)
--- a/src/leverjunction/gateway/decision_log.py
+++ b/src/leverjunction/gateway/decision_log.py
@@ -1,4 +1,4 @@
-"""Writes the decisions about online requests into the ring that operators watch."""
+"""Records the decisions about online requests in the ring buffer that operators can read."""
 
 from __future__ import annotations
 
@@ -10,14 +10,27 @@
 
 
 class DecisionLog:
-    """Thread-safe; called by request and stream repair threads."""
+    """Log of the decisions about online requests. Thread-safe.
+
+    Request threads and the threads that repair streams write to it.
+
+    Args:
+        ring: Buffer for the decisions.
+        clock: Source of wall-clock and monotonic time.
+    """
 
     def __init__(self, ring: DecisionRing, clock: Clock) -> None:
         self._ring = ring
         self._clock = clock
 
     def refused(self, request_id: str, service: str, failure: Failure) -> None:
-        """Record a refusal before any request was formed or sent."""
+        """Record the refusal of a request for which no ``OnlineRequest`` was created.
+
+        Args:
+            request_id: Id of the request.
+            service: Service of the request, empty if unknown.
+            failure: Reason for the refusal.
+        """
         self._ring.add(
             Decision(
                 wall_ms=self._clock.wall_ms(),
@@ -31,7 +44,13 @@
         )
 
     def routed(self, request: OnlineRequest, attempt: int, choice: Choice) -> None:
-        """Record a choice of a runner."""
+        """Record the selection of a runner, or that no runner was selected.
+
+        Args:
+            request: The request.
+            attempt: Number of the attempt, starting at 1.
+            choice: Result of the selection.
+        """
         chosen = choice.chosen
         self._ring.add(
             Decision(
@@ -43,38 +62,38 @@
                 reason=choice.reason,
                 runner_id=chosen.runner_id if chosen is not None else "",
                 attempt=attempt,
-                waited_ms=self._spent_ms(request),
+                waited_ms=self._elapsed_ms(request),
                 candidates=choice.candidates,
             )
         )
 
     def queued(self, request: OnlineRequest, ahead: int) -> None:
-        """Record that a request has to wait."""
+        """Record that a request waits in the queue behind ``ahead`` other requests."""
         self.note(
             request,
             DecisionOutcome.QUEUED,
             Step.QUEUEING,
-            f"all usable runners are full; {ahead} requests wait before it",
+            f"all usable runners are full; {ahead} requests are ahead in the queue",
         )
 
     def probed(self, request: OnlineRequest, attempt: Attempt) -> None:
-        """Record that a request tries a runner whose ejection has ended."""
+        """Record that a request probes a runner whose ejection has ended."""
         self.note(
             request,
             DecisionOutcome.PROBED,
             Step.ROUTING,
-            "its ejection has ended: this request tries it",
+            "the runner's ejection has ended: this request probes it",
             attempt.runner_id,
             attempt.number,
         )
 
     def ejected(self, request: OnlineRequest, attempt: Attempt, ejected_s: float) -> None:
-        """Record that a runner gets no requests for a while."""
+        """Record that a runner is ejected: it gets no requests for ``ejected_s`` seconds."""
         self.note(
             request,
             DecisionOutcome.EJECTED,
             Step.ROUTING,
-            f"failed too often in a row: ejected for {ejected_s:.1f} s",
+            f"too many consecutive failures: ejected for {ejected_s:.1f} s",
             attempt.runner_id,
             attempt.number,
         )
@@ -88,7 +107,16 @@
         runner_id: str = "",
         attempt: int = 0,
     ) -> None:
-        """Record any other decision about a request."""
+        """Record any other decision about a request.
+
+        Args:
+            request: The request.
+            outcome: The decision.
+            step: Step of the request at which the decision was made.
+            reason: Explanation for operators.
+            runner_id: Runner that the decision concerns, empty for none.
+            attempt: Number of the attempt, 0 for none.
+        """
         self._ring.add(
             Decision(
                 wall_ms=self._clock.wall_ms(),
@@ -99,9 +127,9 @@
                 reason=reason,
                 runner_id=runner_id,
                 attempt=attempt,
-                waited_ms=self._spent_ms(request),
+                waited_ms=self._elapsed_ms(request),
             )
         )
 
-    def _spent_ms(self, request: OnlineRequest) -> float:
+    def _elapsed_ms(self, request: OnlineRequest) -> float:
         return round((self._clock.monotonic_s() - request.arrived_s) * 1000, 1)
--- a/src/leverjunction/gateway/harvest.py
+++ b/src/leverjunction/gateway/harvest.py
@@ -1,4 +1,4 @@
-"""The gateway's side of batch work: owns the harvester and feeds it."""
+"""Connects the gateway to its batch harvester, which runs batch items in idle runner capacity."""
 
 from __future__ import annotations
 
@@ -18,7 +18,18 @@
 
 
 class BatchHarvest:
-    """Adapter between the gateway's loops and the harvester. Thread-safe."""
+    """Adapter between the gateway's loops and its batch harvester. Thread-safe.
+
+    Args:
+        control: Client of the hubs, for leases and results.
+        engines: Client of the engines.
+        clock: Source of time.
+        config: Configuration of the gateway.
+        registry: Registry for the harvester's metrics.
+        incarnation: Start time of this process in milliseconds.
+        is_in_doubt: Returns whether the gateway's view may be outdated, so that no batch item may
+            be started.
+    """
 
     def __init__(
         self,
@@ -45,7 +56,13 @@
     def update(
         self, owned: list[RunnerState], settings: ResolvedSettings, groups: list[str]
     ) -> None:
-        """Take the owned runners and the settings in force; called after each exchange."""
+        """Update the owned runners and the settings in force; called after each exchange.
+
+        Args:
+            owned: Runners that this gateway owns.
+            settings: The settings in force.
+            groups: Names of all job groups.
+        """
         region = self._config.region
         serving = {
             runner.service: settings.serving(runner.service, region, runner.zone)
@@ -54,37 +71,37 @@
         self._harvester.update(owned, serving, groups)
 
     def observe_load(self, runner_id: str, report: LoadReport) -> None:
-        """Take an owned runner's load report."""
+        """Pass on the load report of an owned runner."""
         self._harvester.observe_load(runner_id, report)
 
     def online_arrived(self, runner_id: str) -> None:
-        """Online work is about to reach an owned runner."""
+        """Report an online request that is about to be sent to an owned runner."""
         self._harvester.online_arrived(runner_id)
 
     def online_finished(self, runner_id: str) -> None:
-        """An online request on an owned runner has ended."""
+        """Report the end of an online request on an owned runner."""
         self._harvester.online_finished(runner_id)
 
     def notice_arrived(self, runner_id: str) -> None:
-        """Another gateway has sent online work to an owned runner."""
+        """Report that another gateway has sent online requests to an owned runner."""
         self._harvester.notice_arrived(runner_id)
 
     def lease_ids(self) -> dict[str, list[str]]:
-        """Return the leases held, by job group."""
+        """Return the ids of the held leases by job group."""
         return self._harvester.lease_ids()
 
     def holds_work(self) -> bool:
-        """Return whether any batch lease is held."""
+        """Return whether this gateway holds any batch lease."""
         return self._harvester.stats().leases > 0
 
     def revoke(self, lost_lease_ids: list[str], cancelled_jobs: list[str]) -> None:
-        """Drop lost leases and the work of cancelled jobs."""
+        """Drop leases that are no longer valid and the work of cancelled jobs."""
         self._harvester.revoke(lost_lease_ids, cancelled_jobs)
 
     def update_pending(self, work: list[PendingWork]) -> None:
-        """Take the hub's word of where work is pending."""
+        """Update the job groups and services that have pending work according to the hub."""
         self._harvester.pending_told(work)
 
     def stop(self) -> None:
-        """Hand all leases back."""
+        """Stop the harvester, which returns all leases."""
         self._harvester.stop()
--- a/src/leverjunction/gateway/internal_rpc.py
+++ b/src/leverjunction/gateway/internal_rpc.py
@@ -1,4 +1,8 @@
-"""The gateway's internal RPC: yield notices from other gateways, and its status."""
+"""Handlers of the gateway's internal RPC: yield notices from other gateways, and its status.
+
+A yield notice tells the owner of a runner that another gateway sends online requests there, so
+that the owner's batch work yields.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +20,26 @@
 def build_endpoint(
     cluster_key: bytes,
     incarnation: int,
-    listener: BatchHarvest,
+    harvest: BatchHarvest,
     counters: GatewayCounters,
     identity: Callable[[], GatewayState],
 ) -> RpcEndpoint:
-    """Return the endpoint with a gateway's handlers."""
+    """Return the RPC endpoint with a gateway's handlers.
+
+    Args:
+        cluster_key: Secret that authenticates messages within the cluster.
+        incarnation: Start time of this process in milliseconds.
+        harvest: Receives the yield notices.
+        counters: Metrics of the gateway.
+        identity: Returns this gateway's current state.
+    """
 
     def on_notice(envelope: Envelope, peer: str) -> bytes:
         notice = decode(envelope.body, YieldNotice, peer)
         if isinstance(notice, Failure):
             return encode_reply(notice)
         counters.yield_notices.labels("received").inc()
-        listener.notice_arrived(notice.runner_id)
+        harvest.notice_arrived(notice.runner_id)
         return encode_reply(Acknowledged())
 
     def on_status(_envelope: Envelope, _peer: str) -> bytes:
--- a/src/leverjunction/gateway/orphan_sweeper.py
+++ b/src/leverjunction/gateway/orphan_sweeper.py
@@ -1,4 +1,7 @@
-"""Cancels batch requests that dead gateways left on owned runners (``batch.orphan_sweep``)."""
+"""Cancels orphaned batch requests: those that failed gateways left on runners owned by this one.
+
+``batch.orphan_sweep`` decides which requests are orphaned and when each runner is queried.
+"""
 
 from __future__ import annotations
 
@@ -17,30 +20,32 @@
 from leverjunction.wire.control_client import MAX_QUORUM_AGE_S
 from leverjunction.wire.messages import RunnerState
 
-LOOK_THREADS = 4
+SWEEP_THREADS = 4
 
 
 class Engines(Protocol):
     """The part of ``EngineClient`` that the sweeper uses."""
 
     def held_requests(self, address: str) -> list[HeldRequest] | Failure:
-        """List the owned requests that an engine holds; see ``EngineClient``."""
+        """List an engine's requests that carry an owner label; see ``EngineClient``."""
         ...
 
     def cancel(self, address: str, request_id: str) -> Failure | None:
-        """Cancel a request; see ``EngineClient``."""
+        """Cancel a request at an engine; see ``EngineClient``."""
         ...
 
 
 class OrphanSweeper:
-    """Driven by the exchange, so an idle gateway has nothing to wake up for. Thread-safe.
+    """Queries owned runners for orphaned batch requests and cancels these. Thread-safe.
+
+    The exchange loop calls ``update`` periodically, so no separate timer wakes an idle gateway.
 
     Args:
         engines: Client of the engines.
-        clock: Monotonic clock.
-        counters: Counters.
-        gateway_id: This gateway.
-        incarnation: This process's start time, in milliseconds.
+        clock: Source of monotonic time.
+        counters: Metrics of the gateway.
+        gateway_id: Id of this gateway.
+        incarnation: Start time of this process in milliseconds.
     """
 
     def __init__(
@@ -56,25 +61,30 @@
         self._counters = counters
         self._lock = threading.Lock()
         self._sweep = OrphanSweep(gateway_id, incarnation)
-        self._threads = ThreadPoolExecutor(LOOK_THREADS, thread_name_prefix="orphan-sweep")
+        self._threads = ThreadPoolExecutor(SWEEP_THREADS, thread_name_prefix="orphan-sweep")
 
     def update(self, owned: list[RunnerState], snapshot: ClusterSnapshot) -> None:
-        """Take the owned runners and a new view; called after each exchange."""
+        """Update the owned runners and start the queries that are due; called after each exchange.
+
+        Args:
+            owned: Runners that this gateway owns.
+            snapshot: The current view.
+        """
         if snapshot.quorum_age_s > MAX_QUORUM_AGE_S:
-            # A hub that is cut off misses gateways that are well.
+            # The view of a hub that is cut off from the quorum may lack healthy gateways.
             return
         now_s = self._clock.monotonic_s()
         with self._lock:
             self._sweep.follow(owned, snapshot.gateways.values(), now_s)
             due = self._sweep.take_due(now_s)
         for runner in due:
-            self._threads.submit(self._look, runner)
+            self._threads.submit(self._sweep_runner, runner)
 
     def stop(self) -> None:
-        """Look at nothing more."""
+        """Stop the queries; those that have not started yet are dropped."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _look(self, runner: RunnerState) -> None:
+    def _sweep_runner(self, runner: RunnerState) -> None:
         held = self._engines.held_requests(runner.address)
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -86,7 +96,9 @@
             self._cancel_all(runner, orphans)
 
     def _cancel_all(self, runner: RunnerState, request_ids: list[str]) -> None:
-        logger.info("runner {}: cancels {} orphaned batch", runner.runner_id, len(request_ids))
+        logger.info(
+            "runner {}: cancelling {} orphaned batch requests", runner.runner_id, len(request_ids)
+        )
         for request_id in request_ids:
             failure = self._engines.cancel(runner.address, request_id)
             if failure is not None:
--- a/src/leverjunction/gateway/runtime.py
+++ b/src/leverjunction/gateway/runtime.py
@@ -1,4 +1,4 @@
-"""All parts of one gateway, wired together; the process and the tests start the same one."""
+"""Composition of a gateway from its components, for the gateway process and the tests."""
 
 from __future__ import annotations
 
@@ -46,13 +46,19 @@
 from leverjunction.wire.rpc_client import RpcClient
 from leverjunction.wire.rpc_server import RpcServer
 
-FREE_THREADS_MIN = 2
-FREE_THREADS_SHARE = 8
-"""One request thread in so many stays free."""
+MIN_RESERVED_THREADS = 2
+RESERVED_THREADS_DIVISOR = 8
+"""One request thread of this number is reserved, but at least ``MIN_RESERVED_THREADS`` in total."""
 
 
 class GatewayRuntime:
-    """One gateway. ``start`` returns once it listens; ``drain`` and ``stop`` end it as planned."""
+    """A gateway with all its components and threads.
+
+    ``start`` returns once the gateway listens. For a planned stop, call ``drain``, then ``stop``.
+
+    Args:
+        config: Configuration of the gateway.
+    """
 
     def __init__(self, config: GatewayConfig) -> None:
         self.config = config
@@ -63,7 +69,7 @@
         self.counters = GatewayCounters()
         self.ring = DecisionRing(random.Random())
         self.inflight = InflightRequests(
-            config.request_threads - _free_threads(config.request_threads)
+            config.request_threads - _reserved_threads(config.request_threads)
         )
         self.view = ClusterView(self.clock)
         config.data_folder.mkdir(parents=True, exist_ok=True)
@@ -88,14 +94,14 @@
         self.notifier = YieldNotifier(
             config.name, self.view, self.control, self.harvest, self.clock, self.counters
         )
-        self.feed = CacheFeed(self.engines, self.pool, self.counters)
+        self.cache_feed = CacheFeed(self.engines, self.pool, self.counters)
         self.owner = RunnerPoller(
             self.engines,
             self.view,
             self.pool,
             self.outbox,
             self.harvest.observe_load,
-            self.feed,
+            self.cache_feed,
             has_batch=self.harvest.holds_work,
         )
         self.exchange = ExchangeLoop(
@@ -118,17 +124,17 @@
         self.rpc_server = RpcServer(config.listen.host, config.listen.rpc_port, endpoint)
         self.http_server = self._http_server()
         self._http_thread: threading.Thread | None = None
-        self._services_seen: set[str] = set()
+        self._known_services: set[str] = set()
         self._owned = OwnedRunners(config.name)
 
     @property
     def http_address(self) -> str:
-        """``host:port`` for callers; known once started."""
+        """``host:port`` of the HTTP server for callers; valid after ``start``."""
         host, port = self.http_server.bind_addr[:2]
         return f"{host}:{port}"
 
     def identity(self) -> GatewayState:
-        """Return this gateway's state as the hub should know it."""
+        """Return this gateway's current state, as it is reported to the hub."""
         return GatewayState(
             gateway_id=self.config.name,
             address=self.http_address,
@@ -140,7 +146,7 @@
         )
 
     def not_ready(self) -> str | None:
-        """Return why no requests should be sent here, None when they may."""
+        """Return the reason why this gateway is not ready for requests, None if it is."""
         if self.inflight.stopping:
             return "stopping"
         if self.settings.current.version == 0:
@@ -150,7 +156,11 @@
         return None
 
     def start(self) -> None:
-        """Start all threads and listen."""
+        """Load the saved settings, start all threads and listen.
+
+        Raises:
+            OSError: A port is in use or not available.
+        """
         version = self.settings.load_copy()
         self.counters.settings_version.set(version)
         self.relay.start()
@@ -163,17 +173,21 @@
         self._http_thread.start()
         self.owner.start()
         self.exchange.start()
-        logger.info("gateway listens on {}, settings version {}", self.http_address, version)
+        logger.info("gateway listening on {}, settings version {}", self.http_address, version)
 
     def drain(self) -> bool:
-        """Refuse new requests, hand batch back and wait for open ones; False when time ran out."""
-        logger.info("stopping: new requests are refused")
+        """Refuse new requests, return the batch leases and wait for the open requests.
+
+        Returns:
+            False if requests were still open after ``drain_timeout_s``.
+        """
+        logger.info("stopping: refusing new requests")
         self.inflight.begin_stop()
         self.http_server.is_stopping = True
         deadline_s = steady_s() + self.config.drain_timeout_s
         self.exchange.exchange_once()
         self.harvest.stop()
-        # Requests that wait in a queue were accepted: they get their turn, or their refusal.
+        # Queued requests were accepted before the stop: they are still served or refused.
         idle = self.inflight.wait_idle(max(0.0, deadline_s - steady_s()))
         self.gate.stop()
         idle = self.relay.wait_idle(max(0.0, deadline_s - steady_s())) and idle
@@ -182,7 +196,7 @@
         return idle
 
     def stop(self) -> None:
-        """Stop listening and end all threads."""
+        """Stop listening and stop all threads."""
         self.ring.close()
         self.exchange.stop()
         self.owner.stop()
@@ -203,20 +217,20 @@
         return [f"jobs-{index}" for index in range(self.view.snapshot.job_groups)]
 
     def _on_view(self, snapshot: ClusterSnapshot) -> None:
-        """Follow a new view: owned runners, batch settings, forgotten runners."""
+        """Update all components that depend on the view; called after each exchange."""
         owned = [] if self.inflight.stopping else self._owned.update(snapshot)
         self.counters.owned_runners.set(len(owned))
         self.pool.apply_snapshot(snapshot)
-        self._count_usable(snapshot)
+        self._update_usable_metric(snapshot)
         self.owner.update(owned)
         self.harvest.update(owned, self.settings.current, self.job_groups())
         self.sweeper.update(owned, snapshot)
 
-    def _count_usable(self, snapshot: ClusterSnapshot) -> None:
+    def _update_usable_metric(self, snapshot: ClusterSnapshot) -> None:
         usable = self.pool.usable_runners(snapshot)
-        for service in self._services_seen - set(usable):
+        for service in self._known_services - set(usable):
             usable[service] = 0
-        self._services_seen = set(usable)
+        self._known_services = set(usable)
         for service, count in usable.items():
             self.counters.usable_runners.labels(service).set(count)
 
@@ -278,9 +292,9 @@
         )
 
 
-def _free_threads(request_threads: int) -> int:
-    """Return how many threads stay free for probes, operators and refusals."""
-    return max(FREE_THREADS_MIN, request_threads // FREE_THREADS_SHARE)
+def _reserved_threads(request_threads: int) -> int:
+    """Return the number of threads reserved for probes, operators and refusals."""
+    return max(MIN_RESERVED_THREADS, request_threads // RESERVED_THREADS_DIVISOR)
 
 
 def _read_secret(path: Path) -> bytes:
--- a/src/leverjunction/gateway/settings_store.py
+++ b/src/leverjunction/gateway/settings_store.py
@@ -1,4 +1,4 @@
-"""The settings in force in a gateway. Versions only rise, also over a restart."""
+"""The settings in force in a gateway. Their version never decreases, not even over a restart."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class SettingsStore:
-    """Holds the settings in force; read by all threads, written by the exchange loop."""
+    """Holds the settings in force; read by all threads, written by the exchange loop.
+
+    Args:
+        cache: Saved copy of the settings, for a restart without a hub.
+    """
 
     def __init__(self, cache: SettingsCache) -> None:
         self._cache = cache
@@ -27,24 +31,34 @@
         return self._settings
 
     def load_copy(self) -> int:
-        """Put the synced copy in force, if there is one; returns the version in force.
+        """Put the saved copy in force if there is one.
+
+        Called once at the start. The hub's first reply then contains the changes since the copy;
+        if no hub replies, the gateway serves requests with the copy.
 
-        Called once at the start. The hub's first reply then brings what changed since; when no
-        hub answers, the gateway serves on the copy.
+        Returns:
+            The version in force, 0 without settings.
         """
         loaded = self._cache.load()
         if isinstance(loaded, Failure):
             if loaded.kind is not FailureKind.NOT_FOUND:
-                logger.warning("saved settings not used: {}", loaded.reason)
+                logger.warning("could not load the saved settings: {}", loaded.reason)
             return self._settings.version
         self._settings = loaded
         return loaded.version
 
     def apply(self, rows: list[SettingRow], version: int) -> bool:
-        """Save a version step, then put it in force; returns whether anything changed.
+        """Save a new version, then put it in force.
+
+        The copy is synced to disk first: after a crash, a restart without a hub must not put an
+        older version in force than the one before the crash.
+
+        Args:
+            rows: Settings that changed.
+            version: Version of the settings after the change.
 
-        The copy is synced first: a crash between the two must not let a restart without a hub go
-        back to an older version than one that was in force here.
+        Returns:
+            Whether the settings in force changed.
         """
         with self._lock:
             newer = self._settings.apply(rows, version)
@@ -57,9 +71,9 @@
     def _save(self, settings: ResolvedSettings) -> None:
         failure = self._cache.save(settings)
         if failure is not None and not self._unsaved:
-            # The copy only helps a restart without a hub: the version comes in force, as everywhere
-            # else, and saving is tried again at each exchange.
-            logger.warning("settings not saved: {}", failure.reason)
+            # The copy is only needed for a restart without a hub. The version is put in force
+            # nevertheless, as at the other gateways, and the save is retried at each exchange.
+            logger.warning("could not save the settings: {}", failure.reason)
         elif failure is None and self._unsaved:
-            logger.info("settings are saved again")
+            logger.info("the settings are saved again")
         self._unsaved = failure is not None
--- a/src/leverjunction/gateway/transcript.py
+++ b/src/leverjunction/gateway/transcript.py
@@ -1,4 +1,4 @@
-"""What a broken stream's transcript tells: how far it came and with which text. Pure."""
+"""Reads the progress of a broken stream from the transcript of its events. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
 
 
 class Progress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a stream came.
+    """Progress of a stream up to its break.
 
     Attributes:
-        text: Text of the answer that was passed on.
-        last_event_id: Id of the last event since ``segment_start``, ``"0"`` when none.
-        finished: True when the chunk with the finish reason was passed on.
-        continuable: False when text alone cannot continue it (several choices, tool calls).
+        text: Text of the response that was relayed.
+        last_event_id: Id of the last event since ``segment_start``, ``"0"`` if there is none.
+        finished: True if the chunk with the finish reason was relayed.
+        continuable: False if the response cannot be continued from its text alone, because it has
+            several choices, tool calls or unreadable events.
     """
 
     text: str
@@ -45,11 +46,12 @@
 
 
 def read_progress(transcript: bytes, segment_start: int = 0) -> Progress:
-    """Read a transcript of whole SSE events.
+    """Return the progress of a stream.
 
     Args:
-        transcript: All events that were passed on to the caller.
-        segment_start: Where the events of the present runner begin; ids count per runner.
+        transcript: All complete server-sent events that were relayed to the caller.
+        segment_start: Offset of the first event from the current runner; each runner numbers its
+            events separately.
     """
     parts: list[str] = []
     finished = False
@@ -91,7 +93,12 @@
 
 
 def with_continue_text(body: bytes, text: str) -> bytes:
-    """Return a request body that asks an engine to go on after ``text``."""
+    """Return a request body that makes an engine continue the response after ``text``.
+
+    Args:
+        body: JSON body of the original request.
+        text: Text of the response so far.
+    """
     fields: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     fields["continue_text"] = msgspec.Raw(msgspec.json.encode(text))
     return msgspec.json.encode(fields)
