--- a/src/leverjunction/backends/client.py
+++ b/src/leverjunction/backends/client.py
@@ -1,4 +1,4 @@
-"""Client of the engine protocol over pooled urllib3 connections."""
+"""Client of the engine protocol, with a pool of urllib3 connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import urllib3
 
 from leverjunction.backends.echo import ATTEMPT_HEADER, REQUEST_ID_HEADER, response_mismatch
-from leverjunction.backends.head_wait import ShouldAbort, WatchedConnection, abort_wait_when
+from leverjunction.backends.head_wait import AbortableConnection, ShouldAbort, abort_wait_when
 from leverjunction.backends.stream import EngineStream
 from leverjunction.backends.types import (
     EngineCall,
@@ -34,19 +34,22 @@
 MONITOR_REQUEST_ID = "monitor"
 
 
-class _PlainConnection(WatchedConnection):
-    """Asks in HTTP/1.0: the answer carries no transfer coding and ends with the connection."""
+class _Http10Connection(AbortableConnection):
+    """Sends HTTP/1.0 requests, whose responses have no transfer coding and end with the connection.
+
+    The relay loop can then copy the response body without parsing it.
+    """
 
     _http_vsn = 10
     _http_vsn_str = "HTTP/1.0"
 
 
-class _PlainPool(urllib3.HTTPConnectionPool):
-    ConnectionCls = _PlainConnection
+class _Http10Pool(urllib3.HTTPConnectionPool):
+    ConnectionCls = _Http10Connection
 
 
-class _WatchedPool(urllib3.HTTPConnectionPool):
-    ConnectionCls = WatchedConnection
+class _AbortablePool(urllib3.HTTPConnectionPool):
+    ConnectionCls = AbortableConnection
 
 
 class _FenceRefusal(msgspec.Struct, frozen=True):
@@ -54,24 +57,25 @@
 
 
 class EngineClient:
-    """Calls engines. Safe to share between threads; never retries by itself."""
+    """Calls engines. Thread-safe; never retries a call itself."""
 
     def __init__(self) -> None:
-        self._pool = _new_pool(_WatchedPool)
-        self._plain_pool = _new_pool(_PlainPool)
+        self._pool = _new_pool(_AbortablePool)
+        self._http10_pool = _new_pool(_Http10Pool)
 
     def open(
         self, call: EngineCall, should_abort: ShouldAbort | None = None
     ) -> EngineStream | Failure:
-        """Send a request (or a resume) and return its answer once the head has arrived.
+        """Send a request, or resume its stream, and return the response once its head has arrived.
 
         Args:
-            call: What to send.
-            should_abort: Looked at while the head has not come; True ends the wait with a failure.
+            call: The request or resume to send.
+            should_abort: Called repeatedly until the head has arrived; True aborts the wait with
+                a failure.
 
         Returns:
-            The answer, whatever its status; or a failure of step CONNECTING (the engine received
-            nothing), SENDING or RESPONDING (the engine may have run it).
+            The response with any status; or a failure with step CONNECTING if the engine received
+            nothing, or SENDING or RESPONDING if the engine may have run the request.
         """
         method = "POST" if call.last_event_id is None else "GET"
         path = call.path if call.last_event_id is None else _stream_path(call.request_id)
@@ -83,7 +87,7 @@
             headers[LAST_EVENT_ID_HEADER] = call.last_event_id
         with abort_wait_when(should_abort):
             response = self._request(
-                self._plain_pool if call.raw_stream else self._pool,
+                self._http10_pool if call.raw_stream else self._pool,
                 method,
                 call.address,
                 path,
@@ -95,50 +99,58 @@
             return response
         mismatch = response_mismatch(response.headers, call.request_id, call.attempt, call.address)
         if mismatch is not None:
-            _discard(response)
+            _close_response(response)
             return mismatch
         return EngineStream(response, call.address)
 
     def cancel(self, address: str, request_id: str) -> Failure | None:
-        """Cancel a request at its engine; cancelling an unknown one succeeds."""
-        body = self._exchange(
+        """Cancel a request at its engine.
+
+        Returns:
+            None on success, including a request that the engine does not know; else the failure.
+        """
+        response = self._call(
             "DELETE", address, f"/v1/requests/{request_id}", request_id, None, CANCEL_TIMEOUT_S
         )
-        if isinstance(body, Failure):
-            return body
-        if body[0] >= 500:
-            return _bad_status(address, body[0], body[1])
+        if isinstance(response, Failure):
+            return response
+        if response[0] >= 500:
+            return _status_failure(address, response[0], response[1])
         return None
 
     def held_requests(self, address: str) -> list[HeldRequest] | Failure:
-        """List the requests that an engine holds and that were sent with an owner label."""
-        body = self._exchange(
+        """List the running and waiting requests of an engine that were sent with an owner label."""
+        response = self._call(
             "GET", address, "/v1/requests", MONITOR_REQUEST_ID, None, HELD_REQUESTS_TIMEOUT_S
         )
-        if isinstance(body, Failure):
-            return body
-        if body[0] != 200:
-            return _bad_status(address, body[0], body[1])
-        held = decode(body[1], HeldRequests, address)
+        if isinstance(response, Failure):
+            return response
+        if response[0] != 200:
+            return _status_failure(address, response[0], response[1])
+        held = decode(response[1], HeldRequests, address)
         return held if isinstance(held, Failure) else held.requests
 
     def load(self, address: str, timeout_s: float = LOAD_TIMEOUT_S) -> LoadReport | Failure:
-        """Read an engine's load report."""
-        body = self._exchange("GET", address, "/load", MONITOR_REQUEST_ID, None, timeout_s)
-        if isinstance(body, Failure):
-            return body
-        if body[0] != 200:
-            return _bad_status(address, body[0], body[1])
-        return decode(body[1], LoadReport, address)
+        """Return an engine's load report; a failure if it does not respond within ``timeout_s``."""
+        response = self._call("GET", address, "/load", MONITOR_REQUEST_ID, None, timeout_s)
+        if isinstance(response, Failure):
+            return response
+        if response[0] != 200:
+            return _status_failure(address, response[0], response[1])
+        return decode(response[1], LoadReport, address)
 
     def order(self, address: str, order: Order) -> OrderOutcome | Failure:
-        """Send a fenced order; the outcome says whether the engine accepted it."""
-        body = self._exchange(
+        """Send a fenced order.
+
+        Returns:
+            Whether the engine accepted the order; a failure if that is unknown.
+        """
+        response = self._call(
             "POST", address, "/orders", order.order_id, encode(order), ORDER_TIMEOUT_S
         )
-        if isinstance(body, Failure):
-            return body
-        status, data = body
+        if isinstance(response, Failure):
+            return response
+        status, data = response
         if status == 409:
             refusal = decode(data, _FenceRefusal, address)
             highest = None if isinstance(refusal, Failure) else refusal.fence
@@ -148,29 +160,37 @@
         reason = "" if status < 300 else data[:200].decode("utf8", "replace")
         return OrderOutcome(accepted=status < 300, status_code=status, reason=reason)
 
-    def follow(self, address: str, path: str, silence_s: float) -> EngineStream | Failure:
-        """Open an endless stream of the engine, such as its cache events."""
+    def open_event_stream(
+        self, address: str, path: str, silence_s: float
+    ) -> EngineStream | Failure:
+        """Open an unbounded event stream of an engine, such as its cache events.
+
+        Args:
+            address: ``host:port`` of the engine.
+            path: Path of the stream.
+            silence_s: Time in seconds without bytes after which the connection counts as broken.
+        """
         headers = _headers(MONITOR_REQUEST_ID, 1)
         response = self._request(self._pool, "GET", address, path, None, headers, silence_s)
         if isinstance(response, Failure):
             return response
         if response.status != 200:
             status = response.status
-            _discard(response)
-            return _bad_status(address, status, b"")
+            _close_response(response)
+            return _status_failure(address, status, b"")
         return EngineStream(response, address)
 
     def health(self, address: str, timeout_s: float = LOAD_TIMEOUT_S) -> bool:
-        """Return whether an engine says that it can take work."""
-        body = self._exchange("GET", address, "/health", MONITOR_REQUEST_ID, None, timeout_s)
-        return not isinstance(body, Failure) and body[0] == 200
+        """Return whether the engine responds to a health check with 200 within ``timeout_s``."""
+        response = self._call("GET", address, "/health", MONITOR_REQUEST_ID, None, timeout_s)
+        return not isinstance(response, Failure) and response[0] == 200
 
     def close(self) -> None:
         """Close all idle connections."""
         self._pool.clear()
-        self._plain_pool.clear()
+        self._http10_pool.clear()
 
-    def _exchange(
+    def _call(
         self,
         method: str,
         address: str,
@@ -179,14 +199,14 @@
         body: bytes | None,
         timeout_s: float,
     ) -> tuple[int, bytes] | Failure:
-        """Send a small call and return the status and body of its answer."""
+        """Send a call with a short response and return its status and body."""
         headers = _headers(request_id, 1)
         response = self._request(self._pool, method, address, path, body, headers, timeout_s)
         if isinstance(response, Failure):
             return response
         mismatch = response_mismatch(response.headers, request_id, 1, address)
         if mismatch is not None:
-            _discard(response)
+            _close_response(response)
             return mismatch
         data = EngineStream(response, address).read_all()
         return data if isinstance(data, Failure) else (response.status, data)
@@ -219,15 +239,15 @@
         ) as error:
             return Failure(
                 kind=FailureKind.UNREACHABLE,
-                reason=f"no connection to the back end: {error}",
+                reason=f"cannot connect to the back end: {error}",
                 step=Step.CONNECTING,
                 peer=address,
             )
         except urllib3.exceptions.HTTPError as error:
-            # The request may have been sent in part or whole: the engine may have run it.
+            # The request may have been sent, so the engine may have run it.
             return Failure(
                 kind=FailureKind.BACKEND_FAILED,
-                reason=f"no answer from the back end: {error}",
+                reason=f"no response from the back end: {error}",
                 step=Step.RESPONDING,
                 peer=address,
                 execution=Execution.UNKNOWN,
@@ -254,15 +274,15 @@
     return f"/v1/requests/{request_id}/stream"
 
 
-def _discard(response: urllib3.BaseHTTPResponse) -> None:
-    """Drop an answer and close its connection, so that nothing later is read from it."""
+def _close_response(response: urllib3.BaseHTTPResponse) -> None:
+    """Close the connection of a response, so that it is not reused with an unread body."""
     response.close()
 
 
-def _bad_status(address: str, status: int, body: bytes) -> Failure:
+def _status_failure(address: str, status: int, body: bytes) -> Failure:
     return Failure(
         kind=FailureKind.BACKEND_FAILED,
-        reason=f"the back end answered HTTP {status}: {body[:200].decode('utf8', 'replace')}",
+        reason=f"the back end returned HTTP {status}: {body[:200].decode('utf8', 'replace')}",
         step=Step.RESPONDING,
         peer=address,
         execution=Execution.UNKNOWN,
--- a/src/leverjunction/backends/echo.py
+++ b/src/leverjunction/backends/echo.py
@@ -1,4 +1,4 @@
-"""The echo by which an answer is known to belong to a request and to one attempt of it."""
+"""Check of the headers that an engine echoes to match a response to its request and attempt."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 def response_mismatch(
     headers: Mapping[str, str], request_id: str, attempt: int, address: str
 ) -> Failure | None:
-    """Return a failure when an answer belongs to another request or attempt, else None.
+    """Return a failure if a response belongs to another request or attempt, else None.
 
     Args:
-        headers: Headers of the answer; names must match in any case.
+        headers: Headers of the response; a mapping with case-insensitive names.
         request_id: Id of the request that was sent.
         attempt: Number of the attempt that was sent.
-        address: The engine asked.
+        address: ``host:port`` of the engine.
     """
     got_id = headers.get(REQUEST_ID_HEADER)
     got_attempt = headers.get(ATTEMPT_HEADER)
@@ -28,8 +28,8 @@
     return Failure(
         kind=FailureKind.BACKEND_MISMATCH,
         reason=(
-            f"answer is for request {got_id} attempt {got_attempt}, "
-            f"want {request_id} attempt {attempt}; dropped it"
+            f"dropped a response for request {got_id} attempt {got_attempt}, "
+            f"expected request {request_id} attempt {attempt}"
         ),
         step=Step.RESPONDING,
         peer=address,
--- a/src/leverjunction/backends/head_wait.py
+++ b/src/leverjunction/backends/head_wait.py
@@ -1,8 +1,8 @@
-"""Connections whose wait for an answer's head can be given up before its timeout.
+"""Connections whose wait for a response head can be aborted before the read timeout.
 
-urllib3 waits in one call until the head comes or the read timeout ends. A caller's deadline is
-that timeout, so a back end that froze would hold the request for the whole of it although another
-one could serve it. These connections look in between whether the wait is still of use.
+urllib3 waits in a single call until the head arrives or the read timeout passes. The timeout is the
+caller's deadline, so a frozen back end would hold the request until then although another back end
+could serve it. These connections check periodically whether to abort the wait.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 CHECK_INTERVAL_S = 0.25
 
 ShouldAbort = Callable[[], bool]
-"""Returns True once the answer is not to be waited for any more."""
+"""Returns True once the wait for the response is to be aborted."""
 
 _should_abort: ContextVar[ShouldAbort | None] = ContextVar("should_abort", default=None)
 
 
 class HeadWaitAbortedError(urllib3.exceptions.HTTPError):
-    """The head was not waited for to the end; the back end may have run the request."""
+    """The wait for a response head was aborted; the back end may have run the request."""
 
 
-class WatchedConnection(urllib3.connection.HTTPConnection):
-    """A connection that obeys ``abort_wait_when`` of the thread that uses it."""
+class AbortableConnection(urllib3.connection.HTTPConnection):
+    """A connection that applies the ``abort_wait_when`` of the thread that uses it."""
 
     def getresponse(self) -> urllib3.HTTPResponse:  # type: ignore[override]
-        """Return the answer once its head has come.
+        """Return the response once its head has arrived.
 
         Raises:
-            HeadWaitAbortedError: The wait became hopeless.
+            HeadWaitAbortedError: The ``ShouldAbort`` callback returned True.
             TimeoutError: The read timeout passed.
         """
         should_abort = _should_abort.get()
@@ -49,7 +49,7 @@
         while not wait_for_read(self.sock, timeout=CHECK_INTERVAL_S):
             if should_abort():
                 raise HeadWaitAbortedError(
-                    "the back end became unreachable before its answer began"
+                    "the back end became unreachable before its response began"
                 )
             if steady_s() >= end_s:
                 raise TimeoutError("timed out")
@@ -57,7 +57,7 @@
 
 @contextlib.contextmanager
 def abort_wait_when(should_abort: ShouldAbort | None) -> Iterator[None]:
-    """Let calls of this thread inside the block give up their wait when it is hopeless."""
+    """Apply ``should_abort`` to the calls that this thread makes inside the block."""
     token = _should_abort.set(should_abort)
     try:
         yield
--- a/src/leverjunction/backends/machine_list.py
+++ b/src/leverjunction/backends/machine_list.py
@@ -1,4 +1,7 @@
-"""Client of the platform's list of live and leaving machines (see docs/BACKENDS.md)."""
+"""Client of the platform's list of live and leaving machines (see docs/BACKENDS.md).
+
+A machine is a running back end.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +18,22 @@
 
 
 class MachineState(StrEnum):
-    """What the platform says about a machine; it lags."""
+    """State of a machine according to the platform, which may be outdated."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True):
-    """One listed back end.
+    """A back end in the list.
 
     Attributes:
         id: Unique name.
-        address: ``host:port`` of its engine protocol.
-        zone: Zone it runs in.
-        service: Service it belongs to.
-        state: Live or leaving.
-        incarnation: Start time in milliseconds; rises with each restart.
+        address: ``host:port`` at which it serves the engine protocol.
+        zone: Zone of the machine.
+        service: Service that the machine belongs to.
+        state: Whether the machine is live or leaving.
+        incarnation: Start time in milliseconds; increases with each restart.
     """
 
     id: str
@@ -42,12 +45,12 @@
 
 
 class MachineList(msgspec.Struct, frozen=True, kw_only=True):
-    """A reading of the list.
+    """The machine list at one time.
 
     Attributes:
-        as_of_ms: The platform's own time of it.
-        machines: The machines.
-        unreadable: Ids of entries that name no machine to use; one that is in use stays as it was.
+        as_of_ms: Time of the list in milliseconds, by the platform's clock.
+        machines: The machines with a valid entry.
+        unreadable: Ids of the invalid entries; a machine already in use is kept unchanged.
     """
 
     as_of_ms: int
@@ -55,22 +58,30 @@
     unreadable: list[str] = []
 
 
-class _ListForm(msgspec.Struct):
+class _RawList(msgspec.Struct):
     as_of_ms: int
     machines: list[Any]
 
 
-_LISTS = msgspec.json.Decoder(_ListForm)
+_DECODER = msgspec.json.Decoder(_RawList)
 
 
 def read_machine_list(data: bytes) -> MachineList | Failure:
-    """Return the machines of a list; entries of another form name none, and hide no other."""
-    form = read_json(data, _LISTS)
-    if isinstance(form, Failure):
-        return form
+    """Decode a machine list.
+
+    Args:
+        data: The list as JSON.
+
+    Returns:
+        The machines and the ids of invalid entries, which do not affect the other entries; a
+        failure if the document itself is invalid.
+    """
+    raw_list = read_json(data, _DECODER)
+    if isinstance(raw_list, Failure):
+        return raw_list
     machines: list[Machine] = []
     unreadable: list[str] = []
-    for entry in form.machines:
+    for entry in raw_list.machines:
         machine = _read_machine(entry)
         if not isinstance(machine, Failure):
             machines.append(machine)
@@ -79,7 +90,7 @@
         note_unreadable("entry of the machine list", str(machine_id), machine.reason)
         if isinstance(machine_id, str):
             unreadable.append(machine_id)
-    return MachineList(as_of_ms=form.as_of_ms, machines=machines, unreadable=unreadable)
+    return MachineList(as_of_ms=raw_list.as_of_ms, machines=machines, unreadable=unreadable)
 
 
 def _read_machine(entry: object) -> Machine | Failure:
@@ -88,13 +99,19 @@
         return machine
     return Failure(
         kind=FailureKind.BAD_REQUEST,
+        # ``note_unreadable`` uses the text up to the comma as the value of a metric's label.
         reason="an id that is no name, or an address that is not HOST:PORT",
         step=Step.DECODING,
     )
 
 
 class MachineListClient:
-    """Reads the list by HTTP. Called by each control process about twice a second."""
+    """Fetches the machine list by HTTP; each control process does so about twice a second.
+
+    Args:
+        url: URL of the list.
+        timeout_s: Timeout in seconds of a whole request.
+    """
 
     def __init__(self, url: str, timeout_s: float = REQUEST_TIMEOUT_S) -> None:
         self._url = url
@@ -102,7 +119,7 @@
         self._pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
 
     def read(self) -> MachineList | Failure:
-        """Return the list as the platform gives it now, or why it cannot be had."""
+        """Return the current list, or the failure to fetch or decode it."""
         try:
             response = self._pool.request("GET", self._url, timeout=self._timeout, redirect=False)
         except urllib3.exceptions.HTTPError as error:
@@ -117,7 +134,7 @@
     def _failure(self, kind: FailureKind, reason: str) -> Failure:
         return Failure(
             kind=kind,
-            reason=f"machine list cannot be read: {reason}",
+            reason=f"cannot read the machine list: {reason}",
             step=Step.EXCHANGING,
             peer=self._url,
         )
--- a/src/leverjunction/backends/sse.py
+++ b/src/leverjunction/backends/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: the few fields that the engine protocol uses."""
+"""Parser for server-sent events with the fields that the engine protocol uses."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class SseEvent(msgspec.Struct, frozen=True):
-    """One event; ``event_id`` is empty when it has none."""
+    """One event; ``event_id`` is empty for an event without an id."""
 
     event_id: str
     data: bytes
 
 
 class SseParser:
-    """Splits a byte stream into events; bytes may come in any pieces."""
+    """Splits a byte stream, which may be fed in pieces of any size, into events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     def feed(self, data: bytes) -> Iterator[SseEvent]:
-        """Yield the events that are whole now."""
+        """Yield the events that are complete with ``data``."""
         *blocks, self._rest = (self._rest + data).replace(b"\r\n", b"\n").split(b"\n\n")
         for block in blocks:
             event = _parse(block)
@@ -32,7 +32,7 @@
 
 
 def _parse(block: bytes) -> SseEvent | None:
-    """Parse one event's lines; None for a comment or an event without data."""
+    """Parse the lines of one event; returns None for a comment or an event without data."""
     event_id = ""
     data: list[bytes] = []
     for line in block.split(b"\n"):
--- a/src/leverjunction/backends/stream.py
+++ b/src/leverjunction/backends/stream.py
@@ -1,4 +1,4 @@
-"""An engine's answer whose body is read as it arrives."""
+"""Response of an engine whose body is read as it arrives."""
 
 from __future__ import annotations
 
@@ -15,14 +15,23 @@
 
 
 class DetachedSocket(msgspec.Struct, frozen=True):
-    """Connection taken out of a raw answer, and the body bytes that were already read from it."""
+    """Connection detached from a raw response.
+
+    Attributes:
+        connection: Non-blocking socket with the rest of the body.
+        first_bytes: Body bytes that were already read from the socket.
+    """
 
     connection: socket.socket
     first_bytes: bytes
 
 
 class StreamBrokenError(Exception):
-    """The engine's connection broke before the body ended."""
+    """The connection to the engine failed before the end of the body.
+
+    Attributes:
+        failure: The failure as a value.
+    """
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.reason)
@@ -30,9 +39,14 @@
 
 
 class EngineStream:
-    """Answer of an engine: status and headers are known, the body is read on demand.
+    """Response of an engine with a known status and headers; the body is read on demand.
+
+    Used by one thread. ``close`` must be called unless the body was read to its end or the
+    connection was detached.
 
-    Used by one thread. ``close`` must be called unless the body was read to its end.
+    Args:
+        response: The response, whose body has not been read.
+        address: ``host:port`` of the engine.
     """
 
     def __init__(self, response: urllib3.BaseHTTPResponse, address: str) -> None:
@@ -41,48 +55,50 @@
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status of the response."""
         return self._response.status
 
     @property
     def headers(self) -> Mapping[str, str]:
-        """Headers of the answer; names match in any case."""
+        """Headers of the response; names are case-insensitive."""
         return cast(Mapping[str, str], self._response.headers)
 
     def chunks(self) -> Iterator[bytes]:
         """Yield body bytes as they arrive.
 
         Raises:
-            StreamBrokenError: The connection broke before the body ended.
+            StreamBrokenError: The connection failed before the end of the body.
         """
         try:
             while True:
-                # read1 returns what one read gives: a token is never held back for the next.
+                # read1 returns after one read of the socket, so that no token is delayed until
+                # more bytes arrive.
                 data = self._response.read1(READ_BYTES)
                 if not data:
                     break
                 yield data
         except (urllib3.exceptions.HTTPError, OSError) as error:
             self._response.close()
-            raise StreamBrokenError(self._broken(error)) from error
+            raise StreamBrokenError(self._connection_failure(error)) from error
         self._response.release_conn()
 
     def read_all(self) -> bytes | Failure:
-        """Return the whole body, or a failure when the connection breaks before its end."""
+        """Return the complete body, or a failure if the connection fails before its end."""
         try:
             data = self._response.read()
         except (urllib3.exceptions.HTTPError, OSError) as error:
             self._response.close()
-            return self._broken(error)
+            return self._connection_failure(error)
         self._response.release_conn()
         return data
 
     def detach(self) -> DetachedSocket:
-        """Take the connection out of a raw (``raw_stream``) answer.
+        """Detach the connection from a response to a call with ``raw_stream``.
 
-        The caller owns the connection from here on and reads the body until it ends.
+        The caller of this method then owns the connection and reads the body until it ends.
         """
-        # An answer that ends with its connection (HTTP/1.0) keeps the socket in its reader only.
+        # For an HTTP/1.0 response, which ends with its connection, only the reader refers to the
+        # socket.
         reader = self._response._fp.fp  # type: ignore[attr-defined]
         sock = cast(socket.socket, reader.raw._sock)
         sock.setblocking(False)
@@ -92,13 +108,13 @@
         return DetachedSocket(connection=connection, first_bytes=first_bytes)
 
     def close(self) -> None:
-        """Close the connection; an unread rest of the body is lost."""
+        """Close the connection and discard the unread rest of the body."""
         self._response.close()
 
-    def _broken(self, error: object) -> Failure:
+    def _connection_failure(self, error: object) -> Failure:
         return Failure(
             kind=FailureKind.BACKEND_FAILED,
-            reason=f"the back end's answer broke off: {error}",
+            reason=f"the back end's response ended early: {error}",
             step=Step.RELAYING,
             peer=self.address,
             execution=Execution.UNKNOWN,
--- a/src/leverjunction/backends/types.py
+++ b/src/leverjunction/backends/types.py
@@ -1,4 +1,4 @@
-"""Typed messages of the engine protocol, as ``docs/BACKENDS.md`` publishes it."""
+"""Typed messages of the engine protocol, which ``docs/BACKENDS.md`` describes."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     Attributes:
         address: ``host:port`` of the engine.
         request_id: Id of the caller's request; the engine echoes it.
-        attempt: Number of this attempt, from 1; the engine echoes it.
+        attempt: Number of this attempt, starting at 1; the engine echoes it.
         path: ``/v1/chat/completions`` or ``/v1/completions``; ignored for a resume.
         body: JSON body; ignored for a resume.
-        priority: 0 (lowest) to 9.
-        timeout_s: Longest silence of the engine before the call counts as broken.
-        last_event_id: When set, resumes the stream of ``request_id`` after this event.
-        owner: Label of the process that reads the answer; empty for a request that ends with its
-            reader in any case.
-        raw_stream: True for an answer whose body is passed on as it comes: it is asked for in
-            HTTP/1.0, so that it ends with the connection and carries no transfer coding.
+        priority: Scheduling priority from 0 (lowest) to 9.
+        timeout_s: Time in seconds without bytes from the engine after which the call has failed.
+        last_event_id: If set, the call resumes the stream of ``request_id`` after this event.
+        owner: Label of the process that reads the response; empty for a request that the engine
+            ends anyway when its reader disconnects.
+        raw_stream: True for a response whose body is relayed unchanged: the request is sent with
+            HTTP/1.0, so that the body has no transfer coding and ends with the connection.
     """
 
     address: str
@@ -45,23 +45,23 @@
 
 
 class HeldRequest(msgspec.Struct, frozen=True):
-    """A request that an engine holds, running or waiting, with the owner label it was sent with."""
+    """A running or waiting request of an engine, with the owner label that was sent with it."""
 
     request_id: str
     owner: str
 
 
 class HeldRequests(msgspec.Struct, frozen=True):
-    """Answer to ``GET /v1/requests``: the requests that carry an owner label."""
+    """Response to ``GET /v1/requests``: the engine's requests that have an owner label."""
 
     requests: list[HeldRequest]
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine's load at its own time ``as_of_ms``; it lags behind.
+    """Load of an engine at ``as_of_ms`` by the engine's clock; outdated when it is received.
 
-    ``batch_*`` count requests of priority 0 to ``MAX_BATCH_PRIORITY``, which are also part of
-    ``running`` and ``waiting``.
+    ``batch_running`` and ``batch_waiting`` count the requests with a priority of 0 to
+    ``MAX_BATCH_PRIORITY``, which ``running`` and ``waiting`` include as well.
     """
 
     as_of_ms: int
@@ -79,7 +79,7 @@
 
 
 class CacheEventKind(StrEnum):
-    """What happened to blocks of an engine's prefix cache."""
+    """Kind of a change of an engine's prefix cache."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -88,7 +88,10 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """A change of an engine's prefix cache; sequence numbers rise by one, a gap is a loss."""
+    """A change of an engine's prefix cache.
+
+    Sequence numbers are consecutive: a gap means that events were lost.
+    """
 
     sequence: int
     as_of_ms: int
@@ -97,7 +100,7 @@
 
 
 class OrderAction(StrEnum):
-    """What an order asks of an engine."""
+    """Action that an order requests from an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -105,7 +108,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """A fenced order to an engine; a resend carries the same fence and ``order_id``."""
+    """A fenced order to an engine; a resend has the same fence and ``order_id``."""
 
     fence: Fence
     order_id: str
@@ -117,7 +120,7 @@
 
 
 class OrderOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether an engine took an order; ``highest_fence`` is set when it refused the fence."""
+    """Whether an engine accepted an order; ``highest_fence`` is set if it refused the fence."""
 
     accepted: bool
     status_code: int
