--- a/tests/unit/conftest.py
+++ b/tests/unit/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several modules of unit tests share."""
+"""Fixtures that several modules of unit tests use."""
 
 from tests.unit.gateway_support import extended_poll_timeout
 
--- a/tests/unit/test_backends_machine_list.py
+++ b/tests/unit/test_backends_machine_list.py
@@ -1,4 +1,4 @@
-"""The machine list client against a server that answers well and badly."""
+"""The machine list client with valid and invalid responses, and without a server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from leverjunction.backends.machine_list import MachineList, MachineListClient, MachineState
 from leverjunction.errors import FailureKind, is_failure
 
-GOOD = (
+VALID_LIST = (
     b'{"as_of_ms": 5, "machines": [{"id": "r1", "address": "127.0.0.1:9", "zone": "a",'
     b' "service": "llm", "state": "leaving", "incarnation": 3}]}'
 )
@@ -40,7 +40,7 @@
 
 
 def test_reads_the_list(serve: Callable[[str, bytes], str]) -> None:
-    listed = MachineListClient(serve("200 OK", GOOD)).read()
+    listed = MachineListClient(serve("200 OK", VALID_LIST)).read()
     assert isinstance(listed, MachineList)
     assert listed.machines[0].state is MachineState.LEAVING
 
@@ -53,7 +53,7 @@
         ("200 OK", b'{"as_of_ms": 5}', FailureKind.CORRUPT),
     ],
 )
-def test_bad_answers(
+def test_invalid_responses(
     serve: Callable[[str, bytes], str], status: str, body: bytes, expected: FailureKind
 ) -> None:
     listed = MachineListClient(serve(status, body)).read()
@@ -61,16 +61,16 @@
     assert listed.kind is expected
 
 
-def test_an_entry_with_an_unknown_state_is_named_and_no_machine(
+def test_an_entry_with_an_unknown_state_is_reported_as_unreadable(
     serve: Callable[[str, bytes], str],
 ) -> None:
-    listed = MachineListClient(serve("200 OK", GOOD.replace(b"leaving", b"napping"))).read()
+    listed = MachineListClient(serve("200 OK", VALID_LIST.replace(b"leaving", b"napping"))).read()
     assert isinstance(listed, MachineList)
     assert listed.machines == []
     assert len(listed.unreadable) == 1
 
 
-def test_nobody_there() -> None:
+def test_an_unreachable_server() -> None:
     listed = MachineListClient("http://127.0.0.1:1/machines").read()
     assert is_failure(listed)
     assert listed.kind is FailureKind.UNREACHABLE
--- a/tests/unit/test_gateway_exchange.py
+++ b/tests/unit/test_gateway_exchange.py
@@ -1,4 +1,4 @@
-"""When the next exchange comes: sooner after a failure or when settings were held back."""
+"""The exchange loop: delay of the next exchange, settings, resent digests and pending work."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     hubs=[],
     quorum_age_s=0.0,
 )
-LOST = Failure(kind=FailureKind.TIMEOUT, reason="no answer", step=Step.EXCHANGING)
+NO_REPLY = Failure(kind=FailureKind.TIMEOUT, reason="no reply", step=Step.EXCHANGING)
 
 
 class StubControl:
@@ -54,17 +54,17 @@
         return self.reply
 
 
-class NoCache:
+class StubCache:
     def save(self, _settings: ResolvedSettings) -> None:
         return None
 
 
-class NoLeases:
+class StubLeases:
     def __init__(self) -> None:
-        self.told: list[list[PendingWork]] = []
+        self.pending_work: list[list[PendingWork]] = []
 
     def update_pending(self, work: list[PendingWork]) -> None:
-        self.told.append(work)
+        self.pending_work.append(work)
 
     def lease_ids(self) -> dict[str, list[str]]:
         return {}
@@ -74,16 +74,16 @@
 
 
 def make_loop(
-    outbox: DigestOutbox | None = None, leases: NoLeases | None = None
+    outbox: DigestOutbox | None = None, leases: StubLeases | None = None
 ) -> tuple[ExchangeLoop, StubControl]:
     control = StubControl()
     loop = ExchangeLoop(
         control,  # type: ignore[arg-type]
         lambda: GATEWAY,
         ClusterView(),
-        SettingsStore(NoCache()),  # type: ignore[arg-type]
+        SettingsStore(StubCache()),  # type: ignore[arg-type]
         outbox or DigestOutbox(),
-        leases or NoLeases(),
+        leases or StubLeases(),
         GatewayCounters(),
         INTERVAL_S,
         lambda _snapshot: None,
@@ -91,10 +91,10 @@
     return loop, control
 
 
-def test_a_lost_exchange_is_repeated_soon_and_then_less_often() -> None:
+def test_a_failed_exchange_is_retried_soon_and_then_less_often() -> None:
     loop, control = make_loop()
-    control.reply = LOST
-    assert loop.exchange_once() is LOST
+    control.reply = NO_REPLY
+    assert loop.exchange_once() is NO_REPLY
     assert loop.wait_s <= 0.3
     for _ in range(8):
         loop.exchange_once()
@@ -102,26 +102,27 @@
     control.reply = REPLY
     assert loop.exchange_once() is None
     assert loop.wait_s == INTERVAL_S
-    control.reply = LOST
+    control.reply = NO_REPLY
     loop.exchange_once()
     assert loop.wait_s <= 0.3
 
 
-def test_settings_that_were_held_back_are_asked_for_again_soon() -> None:
+def test_settings_withheld_by_the_hub_are_requested_again_soon() -> None:
     loop, control = make_loop()
     control.reply = msgspec.structs.replace(REPLY, settings_retry_after_s=0.2)
     loop.exchange_once()
     assert 0.1 <= loop.wait_s <= 0.3
 
 
-def test_while_the_hub_hears_no_quorum_it_is_asked_more_often() -> None:
-    """Gateways were a version behind for 4.1 and 7.8 s after most control processes had ended.
+def test_a_hub_without_a_quorum_is_polled_more_often() -> None:
+    """With full intervals, gateways stayed one version behind for 4.1 and 7.8 s (simulator).
 
-    Each asked a hub without a quorum once a second. The new leader was there, and its hub had the
-    version, 0.6 s before the next exchange; then the stay with that hub was over and the gateway
-    moved to one that was blank, and stayed there for two exchanges more. In the simulator:
-    "gateway-2 has 7: ok qage=3600.00 v=7" at 18.2, 19.2 (another hub) and 20.2 s, the version in
-    force at the first hub at 19.0 s, at the gateway at 21.2 s.
+    After most control processes had ended, each gateway polled a hub without a quorum once a
+    second. A hub had the new version from the new leader 0.6 s before the gateway's next exchange.
+    The gateway then switched to a hub that had not heard of a leader, and stayed there for two more
+    exchanges. Those at 18.2, 19.2 (another hub) and 20.2 s returned the old version, with a quorum
+    age of 3600 s ("gateway-2 has 7: ok qage=3600.00 v=7"). The new version was in force at the
+    first hub at 19.0 s and at the gateway at 21.2 s.
     """
     loop, control = make_loop()
     control.reply = SETTINGS
@@ -152,7 +153,7 @@
     assert [request.settings_version for request in control.requests] == [0, 3]
 
 
-def test_a_gateway_without_a_copy_takes_no_settings_from_a_cut_off_hub() -> None:
+def test_a_gateway_without_saved_settings_accepts_none_from_a_cut_off_hub() -> None:
     loop, control = make_loop()
     control.reply = msgspec.structs.replace(SETTINGS, quorum_age_s=5.0)
     loop.exchange_once()
@@ -167,10 +168,10 @@
     )
     loop.exchange_once()
     loop.exchange_once()
-    assert control.requests[-1].settings_version == 4, "with a version in force they only rise"
+    assert control.requests[-1].settings_version == 4, "the version never decreases"
 
 
-def test_digests_of_a_lost_exchange_are_sent_again() -> None:
+def test_digests_of_a_failed_exchange_are_resent() -> None:
     outbox = DigestOutbox()
     loop, control = make_loop(outbox)
     loop.exchange_once()
@@ -178,19 +179,19 @@
         runner_id="e1", running=1, waiting=0, batch_running=0, kv_used_ratio=0.0, as_of_ms=1
     )
     outbox.put(digest)
-    control.reply = LOST
+    control.reply = NO_REPLY
     loop.exchange_once()
     control.reply = REPLY
     loop.exchange_once()
     assert [request.digests for request in control.requests] == [[], [digest], [digest]]
 
 
-def test_pending_work_is_passed_on_when_the_hub_tells_it() -> None:
-    leases = NoLeases()
+def test_pending_work_is_passed_on_if_the_reply_contains_it() -> None:
+    leases = StubLeases()
     loop, control = make_loop(leases=leases)
     loop.exchange_once()
-    assert leases.told == []
+    assert leases.pending_work == []
     work = [PendingWork("jobs-0", ["llm"])]
     control.reply = msgspec.structs.replace(REPLY, pending_work=work)
     loop.exchange_once()
-    assert leases.told == [work]
+    assert leases.pending_work == [work]
--- a/tests/unit/test_gateway_http.py
+++ b/tests/unit/test_gateway_http.py
@@ -1,4 +1,4 @@
-"""Bad, slow and oversized requests over raw sockets, keys, logs, probes and decisions."""
+"""HTTP API of the gateway: invalid, slow and oversized requests, keys, logs, probes, decisions."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 pytestmark = pytest.mark.usefixtures("extended_poll_timeout")
 
 MAX_BODY_BYTES = 100_000
-GOOD_HEAD = f"POST {CHAT_PATH} HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer {API_KEY}\r\n"
+VALID_HEAD = f"POST {CHAT_PATH} HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer {API_KEY}\r\n"
 FAR_FUTURE_S = 1_000_000.0
 OPERATOR = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
 
@@ -49,26 +49,26 @@
 
 
 def exchange(fleet: Fleet, data: bytes, *, close_write: bool = False) -> tuple[int, bytes, bytes]:
-    """Send raw bytes and return the status, head and body of the answer."""
+    """Send raw bytes and return the status, head and body of the response."""
     with connect(fleet) as connection:
         connection.sendall(data)
         if close_write:
             connection.shutdown(socket.SHUT_WR)
-        return read_answer(connection)
+        return read_response(connection)
 
 
-def read_answer(connection: socket.socket) -> tuple[int, bytes, bytes]:
+def read_response(connection: socket.socket) -> tuple[int, bytes, bytes]:
     data = b""
     while b"\r\n\r\n" not in data:
         piece = connection.recv(65536)
-        assert piece, f"no whole head: {data!r}"
+        assert piece, f"the response head is incomplete: {data!r}"
         data += piece
     head, _, body = data.partition(b"\r\n\r\n")
     lengths = [line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length")]
     length = int(lengths[0].split(b":")[1]) if lengths else 0
     while len(body) < length:
         piece = connection.recv(65536)
-        assert piece, "the body is not whole"
+        assert piece, "the response body is incomplete"
         body += piece
     return int(head.split()[1]), head, body
 
@@ -95,7 +95,7 @@
         (b"x" * (MAX_BODY_BYTES + 1), 413, str(MAX_BODY_BYTES)),
     ],
 )
-def test_bad_bodies_are_refused_and_not_run(
+def test_invalid_bodies_are_refused_and_not_run(
     fleet: Fleet, body: bytes, status: int, text: str
 ) -> None:
     before = fleet.started()
@@ -118,67 +118,67 @@
         "no colon\r\n\r\n",
     ],
 )
-def test_bad_heads_are_refused(fleet: Fleet, head: str) -> None:
+def test_invalid_heads_are_refused(fleet: Fleet, head: str) -> None:
     before = fleet.started()
-    status, _, _ = exchange(fleet, (GOOD_HEAD + head).encode() + b"{}", close_write=True)
+    status, _, _ = exchange(fleet, (VALID_HEAD + head).encode() + b"{}", close_write=True)
     assert status in (400, 411, 501)
     assert fleet.started() == before
     assert_serves(fleet)
 
 
-def test_a_chunked_body_above_the_bound_is_refused(fleet: Fleet) -> None:
+def test_a_chunked_body_above_the_size_limit_is_refused(fleet: Fleet) -> None:
     piece = b"2000\r\n" + b"x" * 0x2000 + b"\r\n"
-    data = (GOOD_HEAD + "Transfer-Encoding: chunked\r\n\r\n").encode() + piece * 20 + b"0\r\n\r\n"
+    data = (VALID_HEAD + "Transfer-Encoding: chunked\r\n\r\n").encode() + piece * 20 + b"0\r\n\r\n"
     status, _, body = exchange(fleet, data)
     assert (status, error_of(body)["code"]) == (413, "too_large")
 
 
 def test_a_chunked_body_is_served(fleet: Fleet) -> None:
     body = json.dumps(CHAT).encode()
-    head = (GOOD_HEAD + "Transfer-Encoding: chunked\r\n\r\n").encode()
-    status, _, answer = exchange(fleet, head + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))
+    head = (VALID_HEAD + "Transfer-Encoding: chunked\r\n\r\n").encode()
+    status, _, response = exchange(fleet, head + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))
     assert status == 200
-    assert json.loads(answer)["choices"][0]["message"]["content"] == TEXT
+    assert json.loads(response)["choices"][0]["message"]["content"] == TEXT
 
 
-def test_a_body_that_ends_early_is_refused(fleet: Fleet) -> None:
-    data = (GOOD_HEAD + "Content-Length: 100\r\n\r\n").encode() + b'{"model"'
+def test_an_incomplete_body_is_refused(fleet: Fleet) -> None:
+    data = (VALID_HEAD + "Content-Length: 100\r\n\r\n").encode() + b'{"model"'
     status, _, body = exchange(fleet, data, close_write=True)
     assert status == 400
     assert "8 of 100 bytes" in error_of(body)["message"]
 
 
-def test_a_half_closed_caller_gets_its_answer(fleet: Fleet) -> None:
+def test_a_half_closed_caller_gets_its_response(fleet: Fleet) -> None:
     body = json.dumps(CHAT).encode()
-    head = (GOOD_HEAD + f"Content-Length: {len(body)}\r\n\r\n").encode()
-    status, _, answer = exchange(fleet, head + body, close_write=True)
+    head = (VALID_HEAD + f"Content-Length: {len(body)}\r\n\r\n").encode()
+    status, _, response = exchange(fleet, head + body, close_write=True)
     assert status == 200
-    assert TEXT in answer.decode()
+    assert TEXT in response.decode()
 
 
-@pytest.mark.parametrize("sent", ["POST /v1/ch", GOOD_HEAD + "Content-Length: 100\r\n\r\n{"])
-def test_slow_senders_are_ended_and_hurt_nobody(fleet: Fleet, sent: str) -> None:
+@pytest.mark.parametrize("sent", ["POST /v1/ch", VALID_HEAD + "Content-Length: 100\r\n\r\n{"])
+def test_slow_clients_are_aborted_without_effect_on_others(fleet: Fleet, sent: str) -> None:
     guard = fleet.gateway.http_server.guard
     with connect(fleet) as slow:
         slow.sendall(sent.encode())
         wait_until(lambda: len(guard._due_s) > 0, "the request is being read")
         assert_serves(fleet)
-        wait_until(lambda: guard.check(time.monotonic() + FAR_FUTURE_S) > 0, "it is ended")
+        wait_until(lambda: guard.check(time.monotonic() + FAR_FUTURE_S) > 0, "it is aborted")
         slow.settimeout(WAIT_S)
-        answer = slow.recv(65536)
-    assert answer == b"" or b" 400 " in answer.split(b"\r\n")[0]
+        response = slow.recv(65536)
+    assert response == b"" or b" 400 " in response.split(b"\r\n")[0]
     assert_serves(fleet)
 
 
-def test_no_key_is_refused_before_the_body_is_read(fleet: Fleet) -> None:
+def test_a_request_without_a_key_is_refused_before_its_body_is_read(fleet: Fleet) -> None:
     head = f"POST {CHAT_PATH} HTTP/1.1\r\nHost: g\r\nContent-Length: 5000\r\n\r\n"
     with connect(fleet) as connection:
         connection.sendall(head.encode())
-        status, _, body = read_answer(connection)
+        status, _, body = read_response(connection)
     assert (status, error_of(body)["step"]) == (401, "authentication")
 
 
-def test_keys_are_never_in_logs_and_requests_write_no_lines(
+def test_keys_and_requests_do_not_appear_in_logs(
     fleet: Fleet, capfd: pytest.CaptureFixture[str], caplog: pytest.LogCaptureFixture
 ) -> None:
     lines: list[str] = []
@@ -199,11 +199,11 @@
     assert CHAT_PATH not in written
 
 
-def test_a_fault_of_a_handler_shows_no_key(
+def test_an_error_in_a_handler_reveals_no_key(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     def fail(*_arguments: object) -> None:
-        raise RuntimeError("a fault of the test")
+        raise RuntimeError("an error raised by the test")
 
     lines: list[str] = []
     sink = logger.add(lambda message: lines.append(str(message)), level="TRACE", diagnose=False)
@@ -213,9 +213,9 @@
     finally:
         logger.remove(sink)
     assert (response.status, error_of(response.data)["execution"]) == (500, "unknown")
-    assert "a fault of the test" not in response.data.decode()
-    assert "a fault of the test" in "".join(lines)
-    # CherryPy's own lines go through the standard library's logging.
+    assert "an error raised by the test" not in response.data.decode()
+    assert "an error raised by the test" in "".join(lines)
+    # CherryPy logs through the standard library's logging module.
     assert API_KEY not in caplog.text + "".join(lines)
 
 
@@ -230,14 +230,14 @@
     assert "leverjunction_relayed_bytes_total" in text
 
 
-def test_unknown_paths_and_methods_have_the_error_body(fleet: Fleet) -> None:
+def test_unknown_paths_and_methods_return_the_error_body(fleet: Fleet) -> None:
     response = fleet.http.request("GET", f"{fleet.url}{CHAT_PATH}")
     assert (response.status, error_of(response.data)["execution"]) == (405, "not_run")
     response = fleet.http.request("GET", f"{fleet.url}/v2/none")
     assert (response.status, error_of(response.data)["code"]) == (404, "not_found")
 
 
-def test_decisions_of_a_request_tell_where_it_went(fleet: Fleet) -> None:
+def test_decisions_of_a_request_can_be_queried(fleet: Fleet) -> None:
     response = fleet.post(CHAT | {"model": "none"})
     request_id = response.headers["X-Request-Id"]
     url = f"{fleet.url}/operator/decisions"
@@ -269,36 +269,38 @@
     assert [record["request_id"] for record in seen] == [response.headers["X-Request-Id"]]
 
 
-def test_followers_of_decisions_are_bounded(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_decision_followers_is_limited(
+    fleet: Fleet, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(decisions, "MAX_FOLLOWERS", 1)
     url = f"{fleet.url}/operator/decisions/stream"
 
-    held: list[urllib3.BaseHTTPResponse] = []
+    followers: list[urllib3.BaseHTTPResponse] = []
 
     def follow() -> urllib3.BaseHTTPResponse:
         return fleet.http.request("GET", url, headers=OPERATOR, preload_content=False)
 
-    def becomes_follower() -> bool:
-        # One that left is noticed when the next record cannot be written to it.
+    def can_follow() -> bool:
+        # The server detects a disconnected follower when it cannot write the next record to it.
         fleet.post(CHAT | {"model": "none"})
         response = follow()
         if response.status != 200:
             response.close()
             return False
-        held.append(response)
+        followers.append(response)
         return True
 
-    wait_until(becomes_follower, "followers of earlier tests are gone")
-    assert held[0].read1(1) == b":"
+    wait_until(can_follow, "followers of earlier tests no longer count")
+    assert followers[0].read1(1) == b":"
     refused = follow()
     assert (refused.status, refused.headers["Retry-After"]) == (503, "5")
     assert error_of(refused.data)["execution"] == "not_run"
-    held[0].close()
-    wait_until(becomes_follower, "the place is free again")
-    held[1].close()
+    followers[0].close()
+    wait_until(can_follow, "the disconnected follower no longer counts")
+    followers[1].close()
 
 
-def test_models_lists_what_a_tenant_may_call(fleet: Fleet) -> None:
+def test_models_lists_the_models_that_a_tenant_may_call(fleet: Fleet) -> None:
     headers = {"Authorization": f"Bearer {API_KEY}"}
     listed = json.loads(fleet.http.request("GET", f"{fleet.url}/v1/models", headers=headers).data)
     assert [item["id"] for item in listed["data"]] == [MODEL]
@@ -313,6 +315,6 @@
     assert (response.status, error_of(response.data)["code"]) == (400, "bad_request")
 
 
-def test_the_folder_holds_no_key(fleet: Fleet) -> None:
+def test_the_data_folder_contains_no_key(fleet: Fleet) -> None:
     folder: Path = fleet.gateway.config.data_folder
     assert all(API_KEY.encode() not in file.read_bytes() for file in folder.iterdir())
--- a/tests/unit/test_gateway_listener.py
+++ b/tests/unit/test_gateway_listener.py
@@ -1,4 +1,4 @@
-"""The callers' port at a planned stop: whoever has connected gets an answer."""
+"""The HTTP server for callers during a planned stop: every connected caller gets a response."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from leverjunction.gateway.http_server import StreamingServer
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: gateway\r\n\r\n"
-ANSWER = b"refused"
+RESPONSE = b"refused"
 WAIT_S = 30.0
-WAITING = 3
+CALLERS = 3
 
 
 def _app(_environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
-    start("503 Service Unavailable", [("Content-Length", str(len(ANSWER)))])
-    return [ANSWER]
+    start("503 Service Unavailable", [("Content-Length", str(len(RESPONSE)))])
+    return [RESPONSE]
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
     server.stop()
 
 
-def _call(server: StreamingServer) -> socket.socket:
+def _send_request(server: StreamingServer) -> socket.socket:
     caller = socket.create_connection(server.bind_addr[:2], WAIT_S)
     caller.sendall(REQUEST)
     return caller
@@ -41,17 +41,20 @@
         return b"".join(iter(lambda: caller.recv(4096), b""))
 
 
-def test_callers_that_the_system_accepted_are_answered_at_a_stop(server: StreamingServer) -> None:
-    """Nobody accepts yet, so these wait in the backlog; they used to see a reset."""
-    callers = [_call(server) for _ in range(WAITING)]
+def test_callers_in_the_accept_backlog_get_a_response_at_a_stop(server: StreamingServer) -> None:
+    """Connections in the accept backlog were reset at a stop, without a response.
+
+    The server's accept loop does not run here, so the callers wait in the backlog.
+    """
+    callers = [_send_request(server) for _ in range(CALLERS)]
     server.stop()
-    assert all(_read_all(caller).endswith(ANSWER) for caller in callers)
+    assert all(_read_all(caller).endswith(RESPONSE) for caller in callers)
     with pytest.raises(ConnectionRefusedError):
-        _call(server)
+        _send_request(server)
 
 
-def test_answers_of_a_leaving_server_end_their_connections(server: StreamingServer) -> None:
+def test_responses_of_a_stopping_server_close_their_connections(server: StreamingServer) -> None:
     server.is_stopping = True
     threading.Thread(target=server.serve, daemon=True).start()
-    answer = _read_all(_call(server))
-    assert b"connection: close" in answer.lower()
+    response = _read_all(_send_request(server))
+    assert b"connection: close" in response.lower()
--- a/tests/unit/test_gateway_settings_store.py
+++ b/tests/unit/test_gateway_settings_store.py
@@ -1,4 +1,4 @@
-"""Settings in force in a gateway: saved first, saved again after a failure, never older."""
+"""Settings in force in a gateway: saved first, retried after a failed save, never older."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class StubCache:
-    """Notes which version was in force when one was saved."""
+    """Cache that records each saved version and the version in force during its save."""
 
     def __init__(self) -> None:
         self.store: SettingsStore | None = None
-        self.broken = False
+        self.fails = False
         self.saved: list[tuple[int, int]] = []
 
     def save(self, settings: ResolvedSettings) -> Failure | None:
         assert self.store is not None
-        if self.broken:
-            return Failure(kind=FailureKind.INTERNAL, reason="no room", step=Step.STORING)
+        if self.fails:
+            return Failure(kind=FailureKind.INTERNAL, reason="disk full", step=Step.STORING)
         self.saved.append((settings.version, self.store.current.version))
         return None
 
@@ -42,12 +42,12 @@
     assert store.current.version == 4
 
 
-def test_a_version_that_could_not_be_saved_is_in_force_and_saved_later() -> None:
+def test_a_version_whose_save_failed_is_put_in_force_and_saved_later() -> None:
     store, cache = make_store()
-    cache.broken = True
+    cache.fails = True
     assert store.apply(rows(3), 3)
     assert store.current.version == 3
-    cache.broken = False
+    cache.fails = False
     assert not store.apply([], 3)
     assert not store.apply([], 3)
     assert cache.saved == [(3, 3)]
