--- a/src/leverjunction/gateway/exchange.py
+++ b/src/leverjunction/gateway/exchange.py
@@ -203,7 +203,7 @@
     def _record_standstill(self, duration_s: float) -> None:
         self._counters.standstills.inc()
         logger.warning(
-            "this process was paused for {:.1f} s; requests wait for a reply of a hub", duration_s
+            "this process was paused for {:.1f} s; requests wait for a reply from a hub", duration_s
         )
 
     def _exchange_once(self, sent_s: float) -> Failure | None:
--- a/src/leverjunction/gateway/runtime.py
+++ b/src/leverjunction/gateway/runtime.py
@@ -48,7 +48,7 @@
 
 MIN_RESERVED_THREADS = 2
 RESERVED_THREADS_DIVISOR = 8
-"""One request thread of this number is reserved, but at least ``MIN_RESERVED_THREADS`` in total."""
+"""One request thread in this many is reserved, but at least ``MIN_RESERVED_THREADS``."""
 
 
 class GatewayRuntime:
@@ -95,7 +95,7 @@
             config.name, self.view, self.control, self.harvest, self.clock, self.counters
         )
         self.cache_feed = CacheFeed(self.engines, self.pool, self.counters)
-        self.owner = RunnerPoller(
+        self.runner_poller = RunnerPoller(
             self.engines,
             self.view,
             self.pool,
@@ -171,7 +171,7 @@
             target=self.http_server.serve, name="http-server", daemon=True
         )
         self._http_thread.start()
-        self.owner.start()
+        self.runner_poller.start()
         self.exchange.start()
         logger.info("gateway listening on {}, settings version {}", self.http_address, version)
 
@@ -192,14 +192,17 @@
         self.gate.stop()
         idle = self.relay.wait_idle(max(0.0, deadline_s - steady_s())) and idle
         if not idle:
-            logger.warning("requests were still open after {} s", self.config.drain_timeout_s)
+            logger.warning(
+                "requests were still open after the drain timeout of {} s",
+                self.config.drain_timeout_s,
+            )
         return idle
 
     def stop(self) -> None:
         """Stop listening and stop all threads."""
         self.ring.close()
         self.exchange.stop()
-        self.owner.stop()
+        self.runner_poller.stop()
         self.sweeper.stop()
         self.notifier.stop()
         self.http_server.stop()
@@ -210,7 +213,7 @@
         self.relay.stop()
         self.engines.close()
         self.rpc_client.close()
-        logger.info("stopped")
+        logger.info("gateway stopped")
 
     def job_groups(self) -> list[str]:
         """Return the names of all job groups."""
@@ -222,7 +225,7 @@
         self.counters.owned_runners.set(len(owned))
         self.pool.apply_snapshot(snapshot)
         self._update_usable_metric(snapshot)
-        self.owner.update(owned)
+        self.runner_poller.update(owned)
         self.harvest.update(owned, self.settings.current, self.job_groups())
         self.sweeper.update(owned, snapshot)
 
