--- a/src/leverjunction/backends/machine_list.py
+++ b/src/leverjunction/backends/machine_list.py
@@ -110,7 +110,7 @@
 
     Args:
         url: URL of the list.
-        timeout_s: Timeout in seconds of a whole request.
+        timeout_s: Total timeout of a request in seconds.
     """
 
     def __init__(self, url: str, timeout_s: float = REQUEST_TIMEOUT_S) -> None:
