--- a/src/leverjunction/gateway/view.py
+++ b/src/leverjunction/gateway/view.py
@@ -1,7 +1,7 @@
 """A gateway's view of the cluster: gateways, runners and their load digests.
 
-The view is that of the last reply from a hub. It is in doubt if the gateway's own process was paused
-since then (a standstill); requests then wait for the next reply.
+The view is that of the last reply from a hub. It is in doubt if the gateway's own process was
+paused since then (a standstill); requests then wait for the next reply.
 """
 
 from __future__ import annotations
