--- a/src/leverjunction/backends/head_wait.py
+++ b/src/leverjunction/backends/head_wait.py
@@ -1,8 +1,8 @@
-"""Connections whose wait for an answer's head can be given up before its timeout.
+"""Connections whose wait for a response head can be aborted before the read timeout.
 
-urllib3 waits in one call until the head comes or the read timeout ends. A caller's deadline is
-that timeout, so a back end that froze would hold the request for the whole of it although another
-one could serve it. These connections look in between whether the wait is still of use.
+urllib3 waits in a single call until the head arrives or the read timeout passes. The timeout is the
+caller's deadline, so a frozen back end would hold the request until then although another back end
+could serve it. These connections check periodically whether to abort the wait.
 """
 
 from __future__ import annotations
@@ -18,46 +18,48 @@
 
 CHECK_INTERVAL_S = 0.25
 
-IsHopeless = Callable[[], bool]
-"""Returns True once the answer is not to be waited for any more."""
+ShouldAbort = Callable[[], bool]
+"""Returns True once the wait for the response is to be aborted."""
 
-_is_hopeless: ContextVar[IsHopeless | None] = ContextVar("is_hopeless", default=None)
+_should_abort: ContextVar[ShouldAbort | None] = ContextVar("should_abort", default=None)
 
 
-class WaitGivenUpError(urllib3.exceptions.HTTPError):
-    """The head was not waited for to the end; the back end may have run the request."""
+class HeadWaitAbortedError(urllib3.exceptions.HTTPError):
+    """The wait for a response head was aborted; the back end may have run the request."""
 
 
-class WatchedConnection(urllib3.connection.HTTPConnection):
-    """A connection that obeys ``give_up_when`` of the thread that uses it."""
+class AbortableConnection(urllib3.connection.HTTPConnection):
+    """A connection that applies the ``abort_wait_when`` of the thread that uses it."""
 
     def getresponse(self) -> urllib3.HTTPResponse:  # type: ignore[override]
-        """Return the answer once its head has come.
+        """Return the response once its head has arrived.
 
         Raises:
-            WaitGivenUpError: The wait became hopeless.
+            HeadWaitAbortedError: The ``ShouldAbort`` callback returned True.
             TimeoutError: The read timeout passed.
         """
-        is_hopeless = _is_hopeless.get()
-        if is_hopeless is not None:
-            self._wait_for_head(is_hopeless)
+        should_abort = _should_abort.get()
+        if should_abort is not None:
+            self._wait_for_head(should_abort)
         return super().getresponse()
 
-    def _wait_for_head(self, is_hopeless: IsHopeless) -> None:
+    def _wait_for_head(self, should_abort: ShouldAbort) -> None:
         limit_s = float("inf") if self.timeout is None else float(self.timeout)
         end_s = steady_s() + limit_s
         while not wait_for_read(self.sock, timeout=CHECK_INTERVAL_S):
-            if is_hopeless():
-                raise WaitGivenUpError("the back end became unreachable before its answer began")
+            if should_abort():
+                raise HeadWaitAbortedError(
+                    "the back end became unreachable before its response began"
+                )
             if steady_s() >= end_s:
                 raise TimeoutError("timed out")
 
 
 @contextlib.contextmanager
-def give_up_when(is_hopeless: IsHopeless | None) -> Iterator[None]:
-    """Let calls of this thread inside the block give up their wait when it is hopeless."""
-    token = _is_hopeless.set(is_hopeless)
+def abort_wait_when(should_abort: ShouldAbort | None) -> Iterator[None]:
+    """Apply ``should_abort`` to the calls that this thread makes inside the block."""
+    token = _should_abort.set(should_abort)
     try:
         yield
     finally:
-        _is_hopeless.reset(token)
+        _should_abort.reset(token)
--- a/src/testbed/load/relay_variants.py
+++ b/src/testbed/load/relay_variants.py
@@ -33,10 +33,10 @@
         data = stream.engine.first_bytes or engine.recv(READ_BYTES)
         try:
             while data:
-                events = stream.whole_events(data)
+                events = stream.complete_events(data)
                 stream.transcript += events
                 if events:
-                    client.sendall(stream.framed(events))
+                    client.sendall(stream.encode_body(events))
                 if events.endswith(DONE_EVENT):
                     client.sendall(LAST_CHUNK)
                     break
