--- a/src/leverjunction/control/hub.py
+++ b/src/leverjunction/control/hub.py
@@ -13,7 +13,7 @@
 from leverjunction.control.gateway_desk import GatewayDesk
 from leverjunction.control.hub_peers import PeerBook
 from leverjunction.control.hub_types import (
-    ClusterPicture,
+    ClusterSnapshot,
     HubIdentity,
     list_unread,
     old_incarnation,
@@ -61,7 +61,7 @@
     """Thread-safe shell around the membership, the gateways' sessions and the renewals.
 
     Attributes:
-        on_news: Called when a gateway or a watched runner changed; must not block or call back.
+        on_change: Called when a gateway or a watched runner changed; must not block or call back.
 
     Args:
         identity: This process.
@@ -85,7 +85,7 @@
         self._membership = Membership()
         self._renewals = RenewalBook()
         self._desk = GatewayDesk(identity, mirror, self._membership, self._renewals)
-        self.on_news: Callable[[], None] = _nobody_to_tell
+        self.on_change: Callable[[], None] = _nobody_to_tell
         self._peers = PeerBook()
         self._warm_up = WarmUp(clock.monotonic_s())
         self._listing = Freshness(LIST_STANDSTILL_S, LIST_DOUBT_S)
@@ -132,29 +132,29 @@
             self._tell_news(known)
             reply = self._desk.answer(request, step, quorum_age_s)
             if self._membership.own_in_force() != in_force:
-                self.on_news()
+                self.on_change()
             return reply
 
-    def sync_received(self, sync: HubSync) -> HubSyncReply:
+    def handle_sync(self, sync: HubSync) -> HubSyncReply:
         """Take another hub's message."""
         with self._lock:
-            version = self._membership.sync_received(sync, self._note_alive())
+            version = self._membership.handle_sync(sync, self._note_alive())
             return HubSyncReply(version, self._membership.placement_stamp)
 
-    def sync_for(self, peer: str, state: HubState) -> HubSync:
+    def make_sync(self, peer: str, state: HubState) -> HubSync:
         """Return the message for another hub: what changed since its last answer."""
         with self._lock:
             self._note_alive()
             return self._peers.message(peer, state, self._membership)
 
-    def sync_answered(self, peer: str, reply: HubSyncReply | Failure) -> None:
+    def handle_sync_reply(self, peer: str, reply: HubSyncReply | Failure) -> None:
         """Note what another hub has; after a failure the same is sent again, or all of it."""
         with self._lock:
             if isinstance(reply, Failure):
                 return
             self._peers.answered(peer, reply)
 
-    def listing_begins(self, longest_s: float) -> float:
+    def begin_machine_list_read(self, longest_s: float) -> float:
         """Note that a reading of the machine list, or the pause after one, begins.
 
         Returns:
@@ -165,10 +165,10 @@
             self._listing.step_begins(now_s, longest_s)
             return now_s
 
-    def machines_listed(self, listed: MachineList, asked_s: float | None = None) -> None:
+    def update_machine_list(self, listed: MachineList, asked_s: float | None = None) -> None:
         """Take a reading of the platform's machine list that was asked for at a moment."""
         with self._lock:
-            self._membership.machines_listed(listed)
+            self._membership.update_machine_list(listed)
             if asked_s is not None:
                 self._listing.refreshed(asked_s)
 
@@ -178,7 +178,7 @@
             self._note_alive()
             return self._warm_up.standstills
 
-    def runners_read(
+    def update_readings(
         self, readings: Iterable[RunnerReading], unwatched: Iterable[str], standstills: int = 0
     ) -> bool:
         """Take this hub's readings of the runners that it watches, and of those no longer.
@@ -204,19 +204,19 @@
             self._warm_up.runners_read = self._membership.machine_list_as_of_ms > 0
             return True
 
-    def drains_set(self, runner_ids: Iterable[str]) -> None:
+    def set_drains(self, runner_ids: Iterable[str]) -> None:
         """Take the operators' drain marks in force."""
         with self._lock:
-            self._membership.drains_set(runner_ids)
+            self._membership.set_drains(runner_ids)
 
-    def placement_set(self, record: PlacementRecord | None) -> None:
+    def set_placement(self, record: PlacementRecord | None) -> None:
         """Take the record of placement; called only by the process that leads it."""
         if record is not None:
             with self._lock:
                 before = self._membership.placement_stamp
-                self._membership.placement_set(record)
+                self._membership.set_placement(record)
                 if self._membership.placement_stamp != before:
-                    self.on_news()
+                    self.on_change()
 
     def placement_record(self) -> PlacementRecord | None:
         """Return the last known record of placement, of whichever process led it."""
@@ -302,7 +302,7 @@
             heard = {name: self._membership.hub_heard_s(name) for name in names}
             return {name: now_s - at_s for name, at_s in heard.items() if at_s is not None}
 
-    def picture(self) -> ClusterPicture:
+    def snapshot(self) -> ClusterSnapshot:
         """Return a copy of the view; gateways carry the settings version they have in force."""
         with self._lock:
             own = self._membership
@@ -313,7 +313,7 @@
             ]
             runners = own.runners.values()
             readings = {runner.runner_id: own.reading(runner.runner_id) for runner in runners}
-            return ClusterPicture(
+            return ClusterSnapshot(
                 gateways=gateways,
                 runners=runners,
                 digests=own.digests.values(),
@@ -327,7 +327,7 @@
     def _tell_news(self, known_version: int) -> None:
         """Have the other hubs told at once of gateways and runners that changed here."""
         if self._membership.own_counter.value != known_version:
-            self.on_news()
+            self.on_change()
 
     def _note_alive(self) -> float:
         """Return the time; after a standstill forget what this hub knew at first hand."""
--- a/src/leverjunction/control/hub_sync.py
+++ b/src/leverjunction/control/hub_sync.py
@@ -76,11 +76,11 @@
         self._note(name, reply)
 
     def _send(self, name: str, address: str) -> HubSyncReply | Failure:
-        message = self._hub.sync_for(name, self._state())
+        message = self._hub.make_sync(name, self._state())
         reply = self._rpc.call(
             address, MessageKind.HUB_SYNC, message, HubSyncReply, timeout_s=SYNC_TIMEOUT_S
         )
-        self._hub.sync_answered(name, reply)
+        self._hub.handle_sync_reply(name, reply)
         return reply
 
     def _note(self, name: str, reply: HubSyncReply | Failure) -> None:
--- a/src/leverjunction/control/hub_types.py
+++ b/src/leverjunction/control/hub_types.py
@@ -31,7 +31,7 @@
     job_groups: int
 
 
-class ClusterPicture(msgspec.Struct, frozen=True, kw_only=True):
+class ClusterSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """A copy of the hub's view for status, placement and the watch of runners."""
 
     gateways: list[GatewayState]
--- a/src/leverjunction/control/machine_source.py
+++ b/src/leverjunction/control/machine_source.py
@@ -46,14 +46,14 @@
 
     def tick(self) -> None:
         """Read once; the last reading stays in force when nobody has a newer one."""
-        asked_s = self._hub.listing_begins(LONGEST_READ_S)
+        asked_s = self._hub.begin_machine_list_read(LONGEST_READ_S)
         listed = self._platform.read()
         self._note(listed)
         if isinstance(listed, Failure):
             listed = self._read_from_hub(listed)
         if isinstance(listed, MachineList):
-            self._hub.machines_listed(listed, asked_s)
-        self._hub.listing_begins(self._interval_s)
+            self._hub.update_machine_list(listed, asked_s)
+        self._hub.begin_machine_list_read(self._interval_s)
 
     def _read_from_hub(self, failure: Failure) -> MachineList | Failure:
         own_ms = self._hub.machine_list_as_of_ms()
--- a/src/leverjunction/control/membership.py
+++ b/src/leverjunction/control/membership.py
@@ -102,7 +102,7 @@
             if self._merge_digest(digest):
                 self.own_digests.put(digest.runner_id, digest)
 
-    def machines_listed(self, listed: MachineList) -> None:
+    def update_machine_list(self, listed: MachineList) -> None:
         """Take a reading of the platform's list; an older one than the last is ignored."""
         if listed.as_of_ms < self.machine_list_as_of_ms:
             return
@@ -147,7 +147,7 @@
         if self.own_readings.remove(runner_id):
             self._merge_runner(runner_id)
 
-    def drains_set(self, runner_ids: Iterable[str]) -> None:
+    def set_drains(self, runner_ids: Iterable[str]) -> None:
         """Take the operators' drain marks in force."""
         draining = frozenset(runner_ids)
         changed = draining ^ self._draining
@@ -155,7 +155,7 @@
         for runner_id in changed:
             self._merge_runner(runner_id)
 
-    def placement_set(self, record: PlacementRecord) -> None:
+    def set_placement(self, record: PlacementRecord) -> None:
         """Take a record of placement; one that is older than the known one is ignored.
 
         It stays in force when that process is silent, until a successor says something else.
@@ -184,7 +184,7 @@
         known = [stamp for stamp in [*told, self.own_in_force()] if stamp is not None]
         return min(known, default=None)
 
-    def sync_received(self, sync: HubSync, now_s: float) -> int:
+    def handle_sync(self, sync: HubSync, now_s: float) -> int:
         """Take another hub's message; return the version that this hub now has of it.
 
         Returns 0 when the message does not follow on what is known: the sender then sends all.
@@ -213,7 +213,7 @@
         peer.state = sync.hub
         self._take_lists(peer, sync)
         if sync.hub.placement is not None:
-            self.placement_set(sync.hub.placement)
+            self.set_placement(sync.hub.placement)
         return peer.version
 
     def expire(self, now_s: float) -> None:
--- a/src/leverjunction/control/node.py
+++ b/src/leverjunction/control/node.py
@@ -110,7 +110,7 @@
         peers = {peer.name: peer.rpc_address for peer in config.peers if peer.name != config.name}
         zones = {peer.name: peer.zone for peer in config.peers}
         self._sync = HubSyncTasks(self.hub, self._rpc, peers, self.state)
-        self.hub.on_news = self._sync.wake
+        self.hub.on_change = self._sync.wake
         self._watch = RunnerWatch(self.hub, self._engines, config.name, zones)
         job_names = job_group_names(config.job_groups)
         self._renewals = RenewalTask(self.hub, self.host, self._expiry, job_names)
@@ -236,7 +236,7 @@
         if self.mirror.refresh():
             settings = self.mirror.settings
             drains = [settings.draining_runners(name) for name in settings.names("services")]
-            self.hub.drains_set(runner for names in drains for runner in names)
+            self.hub.set_drains(runner for names in drains for runner in names)
 
     def _expire(self) -> None:
         self.hub.expire()
--- a/src/leverjunction/control/placement_runner.py
+++ b/src/leverjunction/control/placement_runner.py
@@ -20,7 +20,7 @@
 from leverjunction.control.counters import ControlCounters
 from leverjunction.control.group_host import GroupHost
 from leverjunction.control.hub import Hub
-from leverjunction.control.hub_types import ClusterPicture
+from leverjunction.control.hub_types import ClusterSnapshot
 from leverjunction.control.layout import ROOT_GROUP
 from leverjunction.control.messages import (
     PendingOrder,
@@ -57,7 +57,7 @@
         name: Name of this process.
         replica: Local replica of group root; None on a process that holds none.
         host: Takes fences through group root.
-        hub: Gives the cluster's picture, takes withdrawals.
+        hub: Gives the snapshot of the cluster, takes withdrawals.
         mirror: Settings in force.
         engines: Sends orders.
         clock: Source of monotonic time.
@@ -107,9 +107,9 @@
         if term != self._term and not self._take_over(term):
             return
         now_s = self._clock.monotonic_s()
-        picture = self._hub.picture()
-        self._settle(picture, now_s)
-        self._plan(picture, now_s)
+        snapshot = self._hub.snapshot()
+        self._settle(snapshot, now_s)
+        self._plan(snapshot, now_s)
         self._publish(term)
         self._send_told()
 
@@ -129,7 +129,7 @@
             self._withdrawals.told(record.stamp)
             for order in self._orders.values():
                 order.told = order.told or record.stamp
-        self._hub.placement_set(record)
+        self._hub.set_placement(record)
 
     def status(self) -> PlacementStatus:
         """Return what the operators see."""
@@ -188,22 +188,22 @@
         logger.info("placement: leads in term {}, {} orders in progress", term, len(orders))
         return True
 
-    def _settle(self, picture: ClusterPicture, now_s: float) -> None:
+    def _settle(self, snapshot: ClusterSnapshot, now_s: float) -> None:
         """Forget orders that are done, lost with a restart of the engine, or out of time."""
-        listed = {runner.runner_id for runner in picture.runners}
+        listed = {runner.runner_id for runner in snapshot.runners}
         for runner_id, order in list(self._orders.items()):
-            reading = picture.readings.get(runner_id)
+            reading = snapshot.readings.get(runner_id)
             if runner_id not in listed or order.is_over(reading, now_s):
                 del self._orders[runner_id]
 
-    def _plan(self, picture: ClusterPicture, now_s: float) -> None:
+    def _plan(self, snapshot: ClusterSnapshot, now_s: float) -> None:
         loads = [
             one for one in self._orders.values() if one.pending.order.action is OrderAction.LOAD
         ]
         self._withdrawals.heard(self._hub.placement_in_force(), now_s)
         steps = plan(
             wanted_models(self._mirror.settings),
-            self._facts(picture, now_s),
+            self._facts(snapshot, now_s),
             self._withdrawals.since_s,
             self._withdrawals.kept_to(),
             len(loads),
@@ -215,14 +215,14 @@
                 logger.warning("placement: blocked: {}", reason)
         self._withdrawals.replace(steps.withdrawn)
         self._blocked = steps.blocked
-        addresses = {runner.runner_id: runner.address for runner in picture.runners}
+        addresses = {runner.runner_id: runner.address for runner in snapshot.runners}
         for wanted in steps.orders:
             fence = self._host.propose(
                 ROOT_GROUP, PlacementFence(controller=self._name), Fence, FENCE_TIMEOUT_S
             )
             if isinstance(fence, Failure):
                 return
-            reading = picture.readings[wanted.runner_id]
+            reading = snapshot.readings[wanted.runner_id]
             self._orders[wanted.runner_id] = OrderInProgress(
                 pending=self._pending(wanted, addresses[wanted.runner_id], reading, fence),
                 began_s=self._clock.monotonic_s(),
@@ -299,11 +299,11 @@
         is_drained = is_idle and self._withdrawals.shows_all(withdrawal, now_s)
         return is_drained or now_s - since_s >= DRAIN_LIMIT_S
 
-    def _facts(self, picture: ClusterPicture, now_s: float) -> list[RunnerFacts]:
-        busy = {one.runner_id: one.running + one.waiting for one in picture.digests}
+    def _facts(self, snapshot: ClusterSnapshot, now_s: float) -> list[RunnerFacts]:
+        busy = {one.runner_id: one.running + one.waiting for one in snapshot.digests}
         facts = []
-        for runner in picture.runners:
-            reading = picture.readings.get(runner.runner_id)
+        for runner in snapshot.runners:
+            reading = snapshot.readings.get(runner.runner_id)
             if reading is None:
                 continue
             facts.append(
--- a/src/leverjunction/control/rpc_handlers.py
+++ b/src/leverjunction/control/rpc_handlers.py
@@ -42,7 +42,7 @@
     def on_sync(envelope: Envelope, peer: str) -> bytes:
         sync = decode(envelope.body, HubSync, peer)
         counters.syncs.inc()
-        return encode_reply(sync if isinstance(sync, Failure) else hub.sync_received(sync))
+        return encode_reply(sync if isinstance(sync, Failure) else hub.handle_sync(sync))
 
     def on_renewals(envelope: Envelope, peer: str) -> bytes:
         renewals = decode(envelope.body, RenewLeases, peer)
--- a/src/leverjunction/control/runner_watch.py
+++ b/src/leverjunction/control/runner_watch.py
@@ -72,7 +72,7 @@
         for runner_id in unwatched:
             del self._last[runner_id]
             self._failures.pop(runner_id, None)
-        return self._hub.runners_read(readings, unwatched, standstills)
+        return self._hub.update_readings(readings, unwatched, standstills)
 
     def close(self) -> None:
         """Stop the readers."""
--- a/src/leverjunction/control/status.py
+++ b/src/leverjunction/control/status.py
@@ -89,7 +89,7 @@
     placement: PlacementStatus,
 ) -> ClusterStatus:
     """Return the status as this process sees it. Called by the operators' API."""
-    picture = hub.picture()
+    snapshot = hub.snapshot()
     backlog: dict[str, int] = {}
     leases: dict[str, int] = {}
     unknown: list[str] = []
@@ -102,19 +102,19 @@
             backlog[service] = backlog.get(service, 0) + items
         for owner, ids in answer.leases_by_owner.items():
             leases[owner] = leases.get(owner, 0) + len(ids)
-    heard = {state.name for state in picture.hubs} | {own.name}
+    heard = {state.name for state in snapshot.hubs} | {own.name}
     return ClusterStatus(
         name=own.name,
         settings_version=mirror.version,
         quorum_age_s=own.quorum_age_s,
-        hubs=[own, *sorted(picture.hubs, key=lambda state: state.name)],
+        hubs=[own, *sorted(snapshot.hubs, key=lambda state: state.name)],
         silent_hubs=sorted(set(peers) - heard),
-        gateways=sorted(picture.gateways, key=lambda state: state.gateway_id),
-        runners=sorted(picture.runners, key=lambda state: state.runner_id),
-        readings=sorted(picture.readings.values(), key=lambda reading: reading.runner_id),
-        digests=picture.digests,
+        gateways=sorted(snapshot.gateways, key=lambda state: state.gateway_id),
+        runners=sorted(snapshot.runners, key=lambda state: state.runner_id),
+        readings=sorted(snapshot.readings.values(), key=lambda reading: reading.runner_id),
+        digests=snapshot.digests,
         loads=[
-            msgspec.convert(digest, RunnerLoad, from_attributes=True) for digest in picture.digests
+            msgspec.convert(digest, RunnerLoad, from_attributes=True) for digest in snapshot.digests
         ],
         backlog=backlog,
         leases=leases,
--- a/src/testbed/scale/slopes_exchange.py
+++ b/src/testbed/scale/slopes_exchange.py
@@ -60,9 +60,11 @@
         mirror = SettingsMirror(_one_setting)
         mirror.refresh()
         self.hub = Hub(identity, mirror, SystemClock(), lambda: 0.01)
-        self.hub.machines_listed(MachineList(as_of_ms=SOME_MS, machines=_machines(self.runners)))
+        self.hub.update_machine_list(
+            MachineList(as_of_ms=SOME_MS, machines=_machines(self.runners))
+        )
         self._hear_other_hub()
-        self.hub.runners_read([_reading(runner) for runner in self.runners], [])
+        self.hub.update_readings([_reading(runner) for runner in self.runners], [])
 
     def change_readings(self) -> None:
         """Let every runner's load change, as the other hub tells it."""
@@ -106,7 +108,7 @@
 
     def _tell(self, parts: HubSyncParts) -> None:
         self._told = getattr(self, "_told", 0) + 1
-        self.hub.sync_received(
+        self.hub.handle_sync(
             HubSync(
                 hub=HubState(
                     name="control-1", rpc_address="10.0.0.2:9000", zone="zone-01", incarnation=7
--- a/src/testbed/simulation/control_node.py
+++ b/src/testbed/simulation/control_node.py
@@ -194,7 +194,7 @@
             return
         settings = self.mirror.settings
         drains = [settings.draining_runners(name) for name in settings.names("services")]
-        self.hub.drains_set(runner for names in drains for runner in names)
+        self.hub.set_drains(runner for names in drains for runner in names)
 
     def _expire(self) -> None:
         self.hub.expire()
@@ -219,30 +219,30 @@
         )
         for name, peer in self.peers.items():
             if name != self.machine.name:
-                self._sync_hub(name, peer, self.hub.sync_for(name, state))
+                self._sync_hub(name, peer, self.hub.make_sync(name, state))
 
     def _sync_hub(self, name: str, peer: ControlNode, sync: HubSync) -> None:
         hub = self.hub
 
         def handle(reply: Reply) -> None:
-            reply(peer.hub.sync_received(sync))
+            reply(peer.hub.handle_sync(sync))
 
         def receive(result: object) -> None:
             assert isinstance(result, HubSyncReply | Failure)
-            hub.sync_answered(name, result)
+            hub.handle_sync_reply(name, result)
 
         self._network.call(self.machine, name, handle, receive, CALL_TIMEOUT_S)
 
     def _read_machines(self) -> None:
         hub = self.hub
-        asked_s = hub.listing_begins(MACHINE_LIST_INTERVAL_S)
+        asked_s = hub.begin_machine_list_read(MACHINE_LIST_INTERVAL_S)
 
         def handle(reply: Reply) -> None:
             reply(self._platform.listed())
 
         def receive(result: object) -> None:
             if isinstance(result, MachineList):
-                hub.machines_listed(result, asked_s)
+                hub.update_machine_list(result, asked_s)
 
         server = self._platform.machine.name
         self._network.call(self.machine, server, handle, receive, CALL_TIMEOUT_S)
--- a/tests/unit/test_control_fanout.py
+++ b/tests/unit/test_control_fanout.py
@@ -43,7 +43,7 @@
         for number in range(runners)
     ]  # fmt: skip
     view = Membership()
-    view.machines_listed(MachineList(as_of_ms=1, machines=machines))
+    view.update_machine_list(MachineList(as_of_ms=1, machines=machines))
     for machine in machines:
         view.runner_read(RunnerReading(runner_id=machine.id, reachable=True, models=["m"]))
     view.digests_heard(digest(machine.id) for machine in machines)
--- a/tests/unit/test_control_machine_source.py
+++ b/tests/unit/test_control_machine_source.py
@@ -60,7 +60,7 @@
         name="c2", rpc_address=peer_address, zone="z", incarnation=1,
         machine_list_as_of_ms=peer_as_of_ms,
     )  # fmt: skip
-    hub.sync_received(
+    hub.handle_sync(
         HubSync(
             hub=state, from_version=0, to_version=2, full=True, gateways=[], gone_gateways=[],
             readings=[], gone_readings=[], digests=[],
@@ -82,7 +82,7 @@
     server.start()
     try:
         hub = hub_beside(server.address, peer_as_of_ms=20)
-        hub.machines_listed(listed(10, "live"))
+        hub.update_machine_list(listed(10, "live"))
         assert not hub.runners()[0].leaving
         platform = Platform()
         source = MachineSource(cast(MachineListClient, platform), hub, RpcClient(KEY, 1), 0.5)
--- a/tests/unit/test_control_membership.py
+++ b/tests/unit/test_control_membership.py
@@ -117,11 +117,11 @@
 def test_a_stopping_gateway_stays_so_until_its_next_start() -> None:
     view = Membership()
     view.gateway_heard(gateway(stopping=True), 0.0)
-    view.sync_received(sync(0, 5, full=True, gateways=[gateway(stopping=False)]), 0.0)
+    view.handle_sync(sync(0, 5, full=True, gateways=[gateway(stopping=False)]), 0.0)
     merged = view.gateways.get("g1")
     assert merged is not None
     assert merged.stopping
-    view.sync_received(sync(5, 6, gateways=[gateway(incarnation=2)]), 0.0)
+    view.handle_sync(sync(5, 6, gateways=[gateway(incarnation=2)]), 0.0)
     merged = view.gateways.get("g1")
     assert merged is not None
     assert not merged.stopping
@@ -154,28 +154,28 @@
     listed: str, read: RunnerReading | None, draining: list[str], expected: bool | None
 ) -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
+    view.update_machine_list(machines(1, r1="live"))
     if read is not None:
         view.runner_read(read)
-    view.drains_set(draining)
-    view.machines_listed(machines(2) if listed == "missing" else machines(2, r1=listed))
+    view.set_drains(draining)
+    view.update_machine_list(machines(2) if listed == "missing" else machines(2, r1=listed))
     state = view.runners.get("r1")
     assert (state.leaving if state is not None else None) is expected
 
 
 def test_an_unlisted_runner_is_gone_once_it_stops_answering() -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
+    view.update_machine_list(machines(1, r1="live"))
     view.runner_read(reading())
-    view.machines_listed(machines(2))
+    view.update_machine_list(machines(2))
     view.runner_read(reading(reachable=False))
     assert "r1" not in view.runners
 
 
 def test_an_older_machine_list_changes_nothing() -> None:
     view = Membership()
-    view.machines_listed(machines(5, r1="leaving"))
-    view.machines_listed(machines(4, r1="live"))
+    view.update_machine_list(machines(5, r1="leaving"))
+    view.update_machine_list(machines(4, r1="live"))
     state = view.runners.get("r1")
     assert state is not None
     assert state.leaving
@@ -183,9 +183,9 @@
 
 def test_a_drain_mark_that_is_lifted_ends_the_leaving() -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
-    view.drains_set(["r1"])
-    view.drains_set([])
+    view.update_machine_list(machines(1, r1="live"))
+    view.set_drains(["r1"])
+    view.set_drains([])
     state = view.runners.get("r1")
     assert state is not None
     assert not state.leaving
@@ -193,9 +193,9 @@
 
 def test_the_newest_digest_stays_and_an_unhealthy_one_of_the_same_time_wins() -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
+    view.update_machine_list(machines(1, r1="live"))
     view.digests_heard([digest(5, running=3)])
-    view.sync_received(sync(0, 5, full=True, digests=[digest(4, running=9)]), 0.0)
+    view.handle_sync(sync(0, 5, full=True, digests=[digest(4, running=9)]), 0.0)
     assert view.digests.get("r1") == digest(5, running=3)
     view.digests_heard([digest(5, running=3, healthy=False)])
     assert view.digests.get("r1") == digest(5, running=3, healthy=False)
@@ -203,20 +203,20 @@
 
 def test_withdrawn_models_are_hidden_until_a_newer_leader_says_otherwise() -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
+    view.update_machine_list(machines(1, r1="live"))
     view.runner_read(reading(models=["m", "n"]))
     out = PlacementRecord(term=3, withdrawn=[Withdrawal("r1", "m")], orders=[])
-    view.sync_received(sync(0, 5, full=True, placement=out), 0.0)
+    view.handle_sync(sync(0, 5, full=True, placement=out), 0.0)
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == ["n"]
     # The leader falls silent: what it withdrew stays so, and an older leader is not believed.
     view.expire(HUB_TIMEOUT_S + 1)
-    view.placement_set(PlacementRecord(term=2, withdrawn=[], orders=[]))
+    view.set_placement(PlacementRecord(term=2, withdrawn=[], orders=[]))
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == ["n"]
-    view.placement_set(PlacementRecord(term=4, withdrawn=[], orders=[]))
+    view.set_placement(PlacementRecord(term=4, withdrawn=[], orders=[]))
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == ["m", "n"]
@@ -224,12 +224,12 @@
 
 def test_a_withdrawn_model_hides_its_adapters_too() -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
+    view.update_machine_list(machines(1, r1="live"))
     view.runner_read(reading(models=["m", "m:x", "mm:x", "n:x"]))
     out = PlacementRecord(
         term=3, withdrawn=[Withdrawal("r1", "m"), Withdrawal("r1", "n:x")], orders=[]
     )
-    view.placement_set(out)
+    view.set_placement(out)
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == ["mm:x"]
@@ -251,14 +251,14 @@
 )
 def test_messages_of_another_hub(message: HubSync, answer: int, known: set[str]) -> None:
     view = Membership()
-    view.sync_received(sync(0, 5, full=True, gateways=[gateway("g1")]), 0.0)
-    assert view.sync_received(message, 1.0) == answer
+    view.handle_sync(sync(0, 5, full=True, gateways=[gateway("g1")]), 0.0)
+    assert view.handle_sync(message, 1.0) == answer
     assert set(view.gateways.keys()) == known
 
 
 def test_a_silent_hub_takes_its_gateways_along() -> None:
     view = Membership()
-    view.sync_received(sync(0, 5, full=True, gateways=[gateway("g1"), gateway("g2")]), 0.0)
+    view.handle_sync(sync(0, 5, full=True, gateways=[gateway("g1"), gateway("g2")]), 0.0)
     view.gateway_heard(gateway("g2"), HUB_TIMEOUT_S)
     view.expire(HUB_TIMEOUT_S + 0.1)
     assert view.gateways.keys() == ["g2"]
@@ -268,8 +268,8 @@
 def test_the_last_reading_of_a_silent_hub_holds_until_another_hub_reads_the_runner() -> None:
     """Found in a trial: when the hub that watched a runner died, its models vanished for 0.8 s."""
     view = Membership()
-    view.machines_listed(machines(1, r1="live"))
-    view.sync_received(sync(0, 5, full=True, readings=[reading()]), 0.0)
+    view.update_machine_list(machines(1, r1="live"))
+    view.handle_sync(sync(0, 5, full=True, readings=[reading()]), 0.0)
     view.expire(HUB_TIMEOUT_S + 0.1)
     state = view.runners.get("r1")
     assert state is not None
@@ -282,8 +282,8 @@
 
 def test_an_entry_that_cannot_be_read_makes_no_machine_in_use_leave() -> None:
     view = Membership()
-    view.machines_listed(machines(1, r1="live", r2="live"))
-    view.machines_listed(MachineList(as_of_ms=2, machines=[], unreadable=["r1", "r9"]))
+    view.update_machine_list(machines(1, r1="live", r2="live"))
+    view.update_machine_list(MachineList(as_of_ms=2, machines=[], unreadable=["r1", "r9"]))
     state = view.runners.get("r1")
     assert state is not None
     assert state.leaving is False
--- a/tests/unit/test_control_placement_drain.py
+++ b/tests/unit/test_control_placement_drain.py
@@ -182,7 +182,7 @@
             )
             for runner_id, address in RUNNERS.items()
         ]  # fmt: skip
-        self.hub.machines_listed(MachineList(as_of_ms=self.wall_ms(), machines=machines))
+        self.hub.update_machine_list(MachineList(as_of_ms=self.wall_ms(), machines=machines))
         readings = [
             RunnerReading(
                 runner_id=runner_id, reachable=True, incarnation=1, models=[MODEL],
@@ -190,7 +190,7 @@
             )
             for runner_id, engine in self.engines.items()
         ]  # fmt: skip
-        self.hub.runners_read(readings, [], self.hub.standstills())
+        self.hub.update_readings(readings, [], self.hub.standstills())
 
     def _idle_digest(self, runner_id: str) -> RunnerDigest:
         return RunnerDigest(
@@ -290,7 +290,7 @@
 
 def test_the_other_hubs_are_told_of_a_withdrawal_at_once(world: World) -> None:
     told: list[float] = []
-    world.hub.on_news = lambda: told.append(world.now_s)
+    world.hub.on_change = lambda: told.append(world.now_s)
     world.run(ROUND_S)
     assert told == [world.now_s]
 
@@ -300,7 +300,7 @@
 ) -> None:
     world.run(ROUND_S)
     told: list[float] = []
-    world.hub.on_news = lambda: told.append(world.now_s)
+    world.hub.on_change = lambda: told.append(world.now_s)
     late = world.gateways.pop("g2")
     world.run(2 * ROUND_S)
     assert told == []
--- a/tests/unit/test_control_placement_fences.py
+++ b/tests/unit/test_control_placement_fences.py
@@ -94,8 +94,8 @@
 
     def tell(self, sender: str, receiver: str) -> None:
         hub = self.nodes[sender].hub
-        message = hub.sync_for(receiver, self.nodes[sender].state())
-        hub.sync_answered(receiver, self.nodes[receiver].hub.sync_received(message))
+        message = hub.make_sync(receiver, self.nodes[sender].state())
+        hub.handle_sync_reply(receiver, self.nodes[receiver].hub.handle_sync(message))
 
     def run(self, seconds: int, *live: str) -> None:
         for _ in range(seconds):
@@ -141,13 +141,13 @@
             id="r1", address="127.0.0.1:9", zone="z", service="s", state=MachineState.LIVE,
             incarnation=1,
         )  # fmt: skip
-        self.hub.machines_listed(MachineList(as_of_ms=self.world.wall_ms(), machines=[machine]))
+        self.hub.update_machine_list(MachineList(as_of_ms=self.world.wall_ms(), machines=[machine]))
         self.world.engine.advance(self.world.now_s)
         reading = RunnerReading(
             runner_id="r1", reachable=reachable, incarnation=self.world.engine_incarnation,
             models=self.world.engine.models(), versions=self.world.engine.versions(),
         )  # fmt: skip
-        self.hub.runners_read([reading], [], self.hub.standstills())
+        self.hub.update_readings([reading], [], self.hub.standstills())
 
     def state(self) -> HubState:
         return HubState(
@@ -207,11 +207,11 @@
     world.sync(*NAMES)
     node = world.nodes["c1"]
     while not world.fences:
-        early = node.hub.sync_for("c2", node.state())
+        early = node.hub.make_sync("c2", node.state())
         world.now_s += 0.5
         node.read()
         node.placement.tick()
-    node.hub.sync_answered("c2", world.nodes["c2"].hub.sync_received(early))
+    node.hub.handle_sync_reply("c2", world.nodes["c2"].hub.handle_sync(early))
     node.placement.tick()
     assert world.taken == []
     world.tell("c1", "c2")
--- a/tests/unit/test_control_settings_mirror.py
+++ b/tests/unit/test_control_settings_mirror.py
@@ -64,8 +64,8 @@
         zones={"c1": "z"}, job_groups=1,
     )  # fmt: skip
     hub = Hub(identity, mirror, SystemClock(), lambda: 0.0)
-    hub.machines_listed(MachineList(as_of_ms=1, machines=[]))
-    hub.runners_read([], [])
+    hub.update_machine_list(MachineList(as_of_ms=1, machines=[]))
+    hub.update_readings([], [])
     return hub
 
 
--- a/tests/unit/test_control_standstill.py
+++ b/tests/unit/test_control_standstill.py
@@ -59,8 +59,8 @@
         self.clock = FakeClock()
         self.hubs = {name: self._hub(name) for name in PEERS}
         for hub in self.hubs.values():
-            hub.machines_listed(machine_list())
-            hub.runners_read([], [])
+            hub.update_machine_list(machine_list())
+            hub.update_readings([], [])
 
     def _hub(self, name: str) -> Hub:
         identity = HubIdentity(
@@ -74,11 +74,11 @@
         return HubState(name=name, rpc_address=PEERS[name], zone="z", incarnation=1)
 
     def message(self, sender: str, receiver: str) -> HubSync:
-        return self.hubs[sender].sync_for(receiver, self.state(sender))
+        return self.hubs[sender].make_sync(receiver, self.state(sender))
 
     def deliver(self, message: HubSync, receiver: str) -> HubSyncReply:
-        reply = self.hubs[receiver].sync_received(message)
-        self.hubs[message.hub.name].sync_answered(receiver, reply)
+        reply = self.hubs[receiver].handle_sync(message)
+        self.hubs[message.hub.name].handle_sync_reply(receiver, reply)
         return reply
 
     def sync(self, *live: str) -> None:
@@ -115,7 +115,7 @@
 @pytest.fixture
 def cluster() -> Cluster:
     made = Cluster()
-    made.hubs["c1"].runners_read([reading("old")], [])
+    made.hubs["c1"].update_readings([reading("old")], [])
     made.sync(*PEERS)
     made.sync(*PEERS)
     assert isinstance(exchange(made.hubs["c1"]), ExchangeReply)
@@ -125,7 +125,7 @@
 
 def test_a_hub_that_was_frozen_tells_no_old_readings(cluster: Cluster) -> None:
     cluster.run(FROZEN_S, "c2", "c3")
-    cluster.hubs["c2"].runners_read([reading("new")], [])
+    cluster.hubs["c2"].update_readings([reading("new")], [])
     cluster.sync("c2", "c3")
     for receiver in ("c2", "c3"):
         assert cluster.message("c1", receiver).readings == []
@@ -138,9 +138,9 @@
     hub = cluster.hubs["c1"]
     before = hub.standstills()
     cluster.clock.now_s += FROZEN_S
-    hub.runners_read([reading("old")], [], before)
+    hub.update_readings([reading("old")], [], before)
     assert cluster.message("c1", "c2").readings == []
-    hub.runners_read([reading("new")], [], hub.standstills())
+    hub.update_readings([reading("new")], [], hub.standstills())
     assert cluster.message("c1", "c2").readings == [reading("new")]
 
 
@@ -154,7 +154,7 @@
     assert refused.kind is FailureKind.STALE
     cluster.sync(*PEERS)
     cluster.sync(*PEERS)
-    hub.runners_read([], [], hub.standstills())
+    hub.update_readings([], [], hub.standstills())
     assert isinstance(exchange(hub), ExchangeReply)
 
 
@@ -175,13 +175,13 @@
 ) -> None:
     """Its gateways asked first, and were told what it had known before the standstill."""
     hub = cluster.hubs["c1"]
-    hub.listing_begins(0.5)
+    hub.begin_machine_list_read(0.5)
     cluster.clock.now_s += 1.5
     refused = exchange(hub)
     assert isinstance(refused, Failure)
     assert refused.kind is FailureKind.STALE
-    asked_s = hub.listing_begins(2.0)
-    hub.machines_listed(machine_list(MachineState.LEAVING), asked_s)
+    asked_s = hub.begin_machine_list_read(2.0)
+    hub.update_machine_list(machine_list(MachineState.LEAVING), asked_s)
     told = exchange(hub)
     assert isinstance(told, ExchangeReply)
     assert [runner.leaving for runner in told.runners] == [True]
@@ -189,12 +189,12 @@
 
 def test_a_hub_that_cannot_read_the_machine_list_answers_all_the_same(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
-    hub.listing_begins(0.5)
+    hub.begin_machine_list_read(0.5)
     cluster.clock.now_s += 1.5
     assert isinstance(exchange(hub), Failure)
     for _ in range(4):
         cluster.clock.now_s += LIST_DOUBT_S / 4
-        hub.listing_begins(2.0)
+        hub.begin_machine_list_read(2.0)
     assert isinstance(exchange(hub), ExchangeReply)
 
 
@@ -235,7 +235,7 @@
 
     def call(self, _address: str, _kind: object, sync: HubSync, *_: object, **__: object) -> object:
         self.full.append(sync.full)
-        return self.receiver.sync_received(sync)
+        return self.receiver.handle_sync(sync)
 
 
 def test_a_hub_that_knows_nothing_any_more_is_told_all_at_once(cluster: Cluster) -> None:
@@ -261,7 +261,7 @@
         sequence=late.sequence,
     )  # fmt: skip
     cluster.sync("c1", "c2")
-    have = cluster.hubs["c2"].sync_received(late_full).have_version
+    have = cluster.hubs["c2"].handle_sync(late_full).have_version
     assert have == late.to_version
     assert cluster.runner("c2").models == ["old"]
 
@@ -273,17 +273,17 @@
 
 def test_an_older_placement_record_never_replaces_a_newer_one(cluster: Cluster) -> None:
     hub = cluster.hubs["c2"]
-    hub.placement_set(record(2, 5))
+    hub.set_placement(record(2, 5))
     for older in (record(2, 4), record(1, 9)):
-        hub.placement_set(older)
+        hub.set_placement(older)
         assert hub.placement_record() == record(2, 5)
-    hub.placement_set(record(3, 1))
+    hub.set_placement(record(3, 1))
     assert hub.placement_record() == record(3, 1)
 
 
 def test_placement_records_outlive_their_maker_and_are_told_once(cluster: Cluster) -> None:
     newest = record(2, 1)
-    cluster.hubs["c1"].placement_set(newest)
+    cluster.hubs["c1"].set_placement(newest)
     assert not cluster.hubs["c1"].placement_told_most(newest.stamp)
     cluster.sync("c1", "c2")
     assert cluster.hubs["c1"].placement_told_most(newest.stamp)
@@ -296,11 +296,11 @@
 def test_what_changed_at_first_hand_is_told_at_once(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
     told: list[str] = []
-    hub.on_news = lambda: told.append("woken")
+    hub.on_change = lambda: told.append("woken")
     exchange(hub)
-    hub.runners_read([reading("old")], [])
+    hub.update_readings([reading("old")], [])
     assert told == []
-    hub.runners_read([reading("new")], [])
+    hub.update_readings([reading("new")], [])
     assert len(told) == 1
     exchange(hub, stopping=True)
     assert len(told) == 2
