--- a/src/leverjunction/control/gateway_desk.py
+++ b/src/leverjunction/control/gateway_sessions.py
@@ -13,7 +13,7 @@
 from leverjunction.wire.messages import ExchangeReply, ExchangeRequest, GatewayState
 
 
-class GatewayDesk:
+class GatewaySessions:
     """One session for each gateway, so that replies are deltas. Not safe between threads by itself.
 
     Args:
--- a/src/leverjunction/control/hub.py
+++ b/src/leverjunction/control/hub.py
@@ -10,7 +10,7 @@
 
 from leverjunction.backends.machine_list import MachineList
 from leverjunction.clock import Clock
-from leverjunction.control.gateway_desk import GatewayDesk
+from leverjunction.control.gateway_sessions import GatewaySessions
 from leverjunction.control.hub_peers import PeerBook
 from leverjunction.control.hub_types import (
     ClusterSnapshot,
@@ -84,7 +84,7 @@
         self._lock = threading.Lock()
         self._membership = Membership()
         self._renewals = RenewalBook()
-        self._desk = GatewayDesk(identity, mirror, self._membership, self._renewals)
+        self._sessions = GatewaySessions(identity, mirror, self._membership, self._renewals)
         self.on_change: Callable[[], None] = _nobody_to_tell
         self._peers = PeerBook()
         self._warm_up = WarmUp(clock.monotonic_s())
@@ -130,7 +130,7 @@
             if not self._membership.gateway_heard(request.gateway, now_s):
                 return old_incarnation(request.gateway)
             self._tell_news(known)
-            reply = self._desk.answer(request, step, quorum_age_s)
+            reply = self._sessions.answer(request, step, quorum_age_s)
             if self._membership.own_in_force() != in_force:
                 self.on_change()
             return reply
@@ -261,13 +261,13 @@
                 return
             self._renewals.answered(group, answer)
             for lost in answer.lost:
-                self._desk.lose(lost.owner, lost.lease_ids)
+                self._sessions.lose(lost.owner, lost.lease_ids)
 
     def expire(self) -> None:
         """Drop gateways and hubs that have gone silent."""
         with self._lock:
             self._membership.expire(self._note_alive())
-            self._desk.forget_gone()
+            self._sessions.forget_gone()
 
     def machine_list(self) -> MachineList:
         """Return the last reading of the platform's machine list."""
