--- a/src/leverjunction/control/fanout.py
+++ b/src/leverjunction/control/fanout.py
@@ -107,7 +107,7 @@
         those told longest ago.
         """
         self._exchanges += 1
-        near = membership.near(zone)
+        near = membership.relevant_runners(zone)
         news = [digest for digest in map(membership.digests.get, near) if self._is_news(digest)]
         far = (membership.unhealthy | self._told_unhealthy).difference(near)
         news += [
--- a/src/leverjunction/control/gateway_sessions.py
+++ b/src/leverjunction/control/gateway_sessions.py
@@ -42,8 +42,8 @@
         """Take what a gateway says and return the reply, without settings rows."""
         session, since = self._session(request)
         session.report(request.digests)
-        self._membership.digests_heard(request.digests)
-        self._membership.withdrawals_heard(request.gateway.gateway_id, request.placement)
+        self._membership.update_digests(request.digests)
+        self._membership.record_applied_placement(request.gateway.gateway_id, request.placement)
         self._renewals.held(request.gateway.gateway_id, request.lease_ids)
         gateways = self._membership.gateways.since(since)
         runners = self._membership.runners.since(since)
--- a/src/leverjunction/control/hub.py
+++ b/src/leverjunction/control/hub.py
@@ -126,12 +126,12 @@
             if self._listing.is_in_doubt(now_s):
                 return list_unread()
             known = self._membership.own_counter.value
-            in_force = self._membership.own_in_force()
-            if not self._membership.gateway_heard(request.gateway, now_s):
+            in_force = self._membership.own_oldest_placement()
+            if not self._membership.update_gateway(request.gateway, now_s):
                 return old_incarnation(request.gateway)
             self._tell_news(known)
             reply = self._sessions.answer(request, step, quorum_age_s)
-            if self._membership.own_in_force() != in_force:
+            if self._membership.own_oldest_placement() != in_force:
                 self.on_change()
             return reply
 
@@ -197,10 +197,10 @@
                 return False
             known = self._membership.own_counter.value
             for reading in readings:
-                self._membership.runner_read(reading)
+                self._membership.update_reading(reading)
             self._tell_news(known)
             for runner_id in unwatched:
-                self._membership.runner_dropped(runner_id)
+                self._membership.remove_reading(runner_id)
             self._warm_up.runners_read = self._membership.machine_list_as_of_ms > 0
             return True
 
@@ -226,7 +226,7 @@
     def placement_in_force(self) -> PlacementStamp | None:
         """Return the oldest record whose withdrawals a live gateway has in force, None without."""
         with self._lock:
-            return self._membership.in_force()
+            return self._membership.oldest_placement_in_force()
 
     def placement_told_most(self, stamp: PlacementStamp) -> bool:
         """Return whether most hubs, this one included, have a record of placement or a later one.
@@ -272,7 +272,7 @@
     def machine_list(self) -> MachineList:
         """Return the last reading of the platform's machine list."""
         with self._lock:
-            return self._membership.listed()
+            return self._membership.machine_list()
 
     def machine_list_as_of_ms(self) -> int:
         """Return the platform's time of the last reading of the machine list."""
@@ -299,7 +299,7 @@
         with self._lock:
             now_s = self._clock.monotonic_s()
             names = [hub.name for hub in self._membership.live_hubs()]
-            heard = {name: self._membership.hub_heard_s(name) for name in names}
+            heard = {name: self._membership.hub_last_heard_s(name) for name in names}
             return {name: now_s - at_s for name, at_s in heard.items() if at_s is not None}
 
     def snapshot(self) -> ClusterSnapshot:
@@ -335,7 +335,7 @@
         stood_s = self._warm_up.alive(now_s)
         if stood_s > 0:
             logger.warning("this process stood still for {:.1f} s, warms up again", stood_s)
-            self._membership.own_readings_outdated()
+            self._membership.clear_own_readings()
             self._membership.expire(now_s)
         return now_s
 
--- a/src/leverjunction/control/hub_peers.py
+++ b/src/leverjunction/control/hub_peers.py
@@ -38,7 +38,9 @@
             record = None
         self._sequence += 1
         return HubSync(
-            hub=msgspec.structs.replace(state, placement=record, in_force=own.own_in_force()),
+            hub=msgspec.structs.replace(
+                state, placement=record, in_force=own.own_oldest_placement()
+            ),
             sequence=self._sequence,
             from_version=since,
             to_version=own.own_counter.value,
--- a/src/leverjunction/control/membership.py
+++ b/src/leverjunction/control/membership.py
@@ -1,14 +1,14 @@
-"""Which gateways and runners there are, as one hub sees it. Pure: time and readings are passed in.
+"""One hub's view of the gateways and runners. Pure: time and readings are passed in.
 
-Sources and how they are weighed:
+A hub is the control process of a zone. It merges these sources:
 
-* Gateways: their exchanges with this hub, and what the other hubs say of theirs. The highest
-  incarnation wins; within one incarnation a gateway that is stopping never comes back.
-* Runners: the platform's machine list, which lags, beside readings of the engines themselves.
-  A listed runner that does not answer stays listed, with an unhealthy digest. One that still
-  answers but is no longer listed is leaving, and gone once it stops answering.
-* ``leaving`` is true if the list, the engine or an operator's drain mark says so: taking no new
-  work too early costs little, taking new work too late breaks a promise.
+* Gateways: their exchanges with this hub, and the gateway states that the other hubs report. The
+  highest incarnation wins; within one incarnation, ``stopping`` is never reset.
+* Runners: the platform's machine list, which lags, and readings of the engines themselves. A
+  listed runner that does not answer stays listed, with an unhealthy digest. A runner that still
+  answers but is no longer listed counts as leaving, and is removed once it stops answering.
+* ``leaving`` is true if the machine list, the engine or an operator's drain mark says so. Stopping
+  new work too early costs little; sending new work to a runner that has left breaks a guarantee.
 """
 
 from __future__ import annotations
@@ -34,33 +34,33 @@
 )
 
 GATEWAY_TIMEOUT_S = 3.5
-"""A gateway is no longer live after this long without an exchange: three missed ones."""
+"""A gateway is no longer live after this long without an exchange: three missed exchanges."""
 
 HUB_TIMEOUT_S = 4.0
-"""What a silent hub said is forgotten after this long; its gateways have moved by then."""
+"""The state of a silent hub is dropped after this long; its gateways have moved by then."""
 
-FEW_RUNNERS = 16
-"""Up to this many runners their load is told to gateways of all zones: at most 1 KB/s."""
+SMALL_CLUSTER_RUNNERS = 16
+"""Up to this many runners, their load is sent to gateways of all zones: at most 1 KB/s."""
 
 
 class _PeerHub:
-    """What another hub last told."""
+    """The state that another hub last reported."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
         self.version = 0
         self.sequence = 0
-        self.heard_s = 0.0
+        self.last_heard_s = 0.0
         self.state: HubState | None = None
         self.gateways: dict[str, GatewayState] = {}
         self.readings: dict[str, RunnerReading] = {}
 
 
 class Membership:
-    """State of one hub's view of the cluster, changed by events, read as versioned maps.
+    """One hub's view of the cluster, updated by events and read as versioned maps.
 
-    ``view`` maps are what gateways get: everything in the region. ``own`` maps are what this hub
-    knows at first hand and tells the other hubs. Not safe between threads by itself.
+    The maps of ``view_counter`` are sent to gateways and cover the whole region. The ``own_`` maps
+    hold what this hub has observed itself and sends to the other hubs. Not thread-safe.
     """
 
     def __init__(self) -> None:
@@ -76,41 +76,41 @@
         self.machine_list_as_of_ms = 0
         self.placement: PlacementRecord | None = None
         self.unhealthy: set[str] = set()
-        self._heard_s: dict[str, float] = {}
+        self._last_heard_s: dict[str, float] = {}
         self._in_force: dict[str, PlacementStamp] = {}
         self._machines: dict[str, Machine] = {}
         self._unlisted: dict[str, Machine] = {}
         self._peers: dict[str, _PeerHub] = {}
         self._last_readings: dict[str, RunnerReading] = {}
-        self._near: dict[str, tuple[str, ...]] = {}
+        self._relevant_by_zone: dict[str, tuple[str, ...]] = {}
         self._draining: frozenset[str] = frozenset()
         self._withdrawn: frozenset[Withdrawal] = frozenset()
 
-    def gateway_heard(self, state: GatewayState, now_s: float) -> bool:
-        """Note an exchange of a gateway; return False when a newer incarnation is known."""
+    def update_gateway(self, state: GatewayState, now_s: float) -> bool:
+        """Record an exchange of a gateway; return False if a newer incarnation is known."""
         known = self.own_gateways.get(state.gateway_id)
         if known is not None and known.incarnation > state.incarnation:
             return False
-        self._heard_s[state.gateway_id] = now_s
+        self._last_heard_s[state.gateway_id] = now_s
         if self.own_gateways.put(state.gateway_id, state):
             self._merge_gateway(state.gateway_id)
         return True
 
-    def digests_heard(self, digests: Iterable[RunnerDigest]) -> None:
-        """Take load digests from an owner gateway of this hub."""
+    def update_digests(self, digests: Iterable[RunnerDigest]) -> None:
+        """Merge load digests from a gateway of this hub that owns the runners."""
         for digest in digests:
             if self._merge_digest(digest):
                 self.own_digests.put(digest.runner_id, digest)
 
     def update_machine_list(self, listed: MachineList) -> None:
-        """Take a reading of the platform's list; an older one than the last is ignored."""
+        """Apply a reading of the platform's machine list; ignore it if older than the last one."""
         if listed.as_of_ms < self.machine_list_as_of_ms:
             return
         self.machine_list_as_of_ms = listed.as_of_ms
         before = self._machines
         self._machines = {machine.id: machine for machine in listed.machines}
         for machine_id in listed.unreadable:
-            # An entry that cannot be read is no word that a machine in use has left.
+            # An unreadable entry does not mean that a machine in use has left.
             if machine_id in before:
                 self._machines.setdefault(machine_id, before[machine_id])
         for runner_id in self._machines:
@@ -118,37 +118,37 @@
         for runner_id, machine in before.items():
             if runner_id not in self._machines:
                 self._unlisted[runner_id] = machine
-        # In a fixed order, as below: a set's order differs from process to process, and with it
+        # Fixed order, here and below: the order of a set differs between processes, and with it
         # the order in which gateways learn of runners.
         for runner_id in dict.fromkeys([*before, *self._machines]):
             if before.get(runner_id) != self._machines.get(runner_id):
                 self._merge_runner(runner_id)
 
-    def listed(self) -> MachineList:
-        """Return the last reading of the platform's list."""
+    def machine_list(self) -> MachineList:
+        """Return the last reading of the platform's machine list."""
         return MachineList(
             as_of_ms=self.machine_list_as_of_ms, machines=list(self._machines.values())
         )
 
-    def own_readings_outdated(self) -> None:
-        """Forget this hub's own readings: it stood still, and others read the runners since."""
+    def clear_own_readings(self) -> None:
+        """Drop this hub's readings after a pause: other hubs have read the runners since."""
         outdated = self.own_readings.keys()
         for runner_id in outdated:
-            self.runner_dropped(runner_id)
+            self.remove_reading(runner_id)
 
-    def runner_read(self, reading: RunnerReading) -> None:
-        """Take this hub's own reading of a runner that it watches."""
+    def update_reading(self, reading: RunnerReading) -> None:
+        """Apply this hub's reading of a runner that it watches."""
         self._last_readings[reading.runner_id] = reading
         if self.own_readings.put(reading.runner_id, reading):
             self._merge_runner(reading.runner_id)
 
-    def runner_dropped(self, runner_id: str) -> None:
-        """Note that this hub no longer watches a runner."""
+    def remove_reading(self, runner_id: str) -> None:
+        """Remove the reading of a runner that this hub no longer watches."""
         if self.own_readings.remove(runner_id):
             self._merge_runner(runner_id)
 
     def set_drains(self, runner_ids: Iterable[str]) -> None:
-        """Take the operators' drain marks in force."""
+        """Replace the set of runners that operators have marked for draining."""
         draining = frozenset(runner_ids)
         changed = draining ^ self._draining
         self._draining = draining
@@ -156,9 +156,10 @@
             self._merge_runner(runner_id)
 
     def set_placement(self, record: PlacementRecord) -> None:
-        """Take a record of placement; one that is older than the known one is ignored.
+        """Apply a placement record; ignore it if it is older than the known one.
 
-        It stays in force when that process is silent, until a successor says something else.
+        The record stays in force while the process that leads placement is silent, until a
+        successor replaces it.
         """
         if record.stamp < self.placement_stamp:
             return
@@ -167,28 +168,29 @@
 
     @property
     def placement_stamp(self) -> PlacementStamp:
-        """Age of the newest record of placement that is known here."""
+        """Stamp of the newest placement record known to this hub."""
         return self.placement.stamp if self.placement is not None else PlacementStamp()
 
-    def withdrawals_heard(self, gateway_id: str, stamp: PlacementStamp) -> None:
-        """Note which placement record's withdrawals a gateway of this hub has in force."""
+    def record_applied_placement(self, gateway_id: str, stamp: PlacementStamp) -> None:
+        """Record which placement record a gateway of this hub has in force."""
         self._in_force[gateway_id] = stamp
 
-    def own_in_force(self) -> PlacementStamp | None:
-        """Return the oldest record that one of this hub's gateways has in force."""
+    def own_oldest_placement(self) -> PlacementStamp | None:
+        """Return the oldest placement record that a gateway of this hub has in force, or None."""
         return min(self._in_force.values(), default=None)
 
-    def in_force(self) -> PlacementStamp | None:
-        """Return the oldest record that any live gateway has in force, None without gateways."""
-        told = [hub.in_force for hub in self.live_hubs()]
-        known = [stamp for stamp in [*told, self.own_in_force()] if stamp is not None]
+    def oldest_placement_in_force(self) -> PlacementStamp | None:
+        """Return the oldest placement record that any live gateway has in force, or None."""
+        reported = [hub.in_force for hub in self.live_hubs()]
+        known = [stamp for stamp in [*reported, self.own_oldest_placement()] if stamp is not None]
         return min(known, default=None)
 
     def handle_sync(self, sync: HubSync, now_s: float) -> int:
-        """Take another hub's message; return the version that this hub now has of it.
+        """Apply another hub's message; return the version of its state that this hub now has.
 
-        Returns 0 when the message does not follow on what is known: the sender then sends all.
-        One that starts further back than what is known only repeats, and is taken.
+        Returns 0 if the message leaves a gap after the known version; the sender then sends its
+        full state. A message that starts before the known version repeats known changes and is
+        applied.
         """
         name = sync.hub.name
         peer = self._peers.get(name)
@@ -196,62 +198,65 @@
             return 0
         same_process = peer is not None and peer.incarnation == sync.hub.incarnation
         if peer is not None and same_process and sync.sequence < peer.sequence:
-            # A late one: what it says is older than what is known.
+            # The message was delayed and is older than the known state.
             return peer.version
         if sync.full or peer is None or peer.incarnation != sync.hub.incarnation:
             if not sync.full:
                 return 0
-            self._forget_peer(name)
+            self._remove_peer(name)
             peer = self._peers[name] = _PeerHub(sync.hub.incarnation)
         elif sync.from_version > peer.version:
             return 0
         elif sync.to_version < peer.version:
             return peer.version
-        peer.heard_s = now_s
+        peer.last_heard_s = now_s
         peer.sequence = sync.sequence
         peer.version = sync.to_version
         peer.state = sync.hub
-        self._take_lists(peer, sync)
+        self._apply_lists(peer, sync)
         if sync.hub.placement is not None:
             self.set_placement(sync.hub.placement)
         return peer.version
 
     def expire(self, now_s: float) -> None:
-        """Drop gateways and hubs that were not heard for their timeout."""
-        for gateway_id, heard_s in list(self._heard_s.items()):
+        """Drop gateways and hubs that have been silent for longer than their timeout."""
+        for gateway_id, heard_s in list(self._last_heard_s.items()):
             if now_s - heard_s > GATEWAY_TIMEOUT_S:
-                del self._heard_s[gateway_id]
+                del self._last_heard_s[gateway_id]
                 self._in_force.pop(gateway_id, None)
                 self.own_gateways.remove(gateway_id)
                 self._merge_gateway(gateway_id)
         for name, peer in list(self._peers.items()):
-            if now_s - peer.heard_s > HUB_TIMEOUT_S:
-                self._forget_peer(name)
+            if now_s - peer.last_heard_s > HUB_TIMEOUT_S:
+                self._remove_peer(name)
 
     def live_hubs(self) -> list[HubState]:
-        """Return the other hubs that are heard."""
+        """Return the state of each other hub that is live."""
         return [peer.state for peer in self._peers.values() if peer.state is not None]
 
-    def hub_heard_s(self, name: str) -> float | None:
-        """Return when another hub was last heard, or None when it is not live."""
+    def hub_last_heard_s(self, name: str) -> float | None:
+        """Return the monotonic time of another hub's last message, or None if it is not live."""
         peer = self._peers.get(name)
-        return peer.heard_s if peer is not None else None
+        return peer.last_heard_s if peer is not None else None
 
-    def near(self, zone: str) -> tuple[str, ...]:
-        """Return the runners whose load matters to gateways of a zone.
+    def relevant_runners(self, zone: str) -> tuple[str, ...]:
+        """Return the ids of the runners whose load is relevant to gateways of a zone.
 
-        Those of the zone; those of services that have no ready runner there; and all of them
-        where they are so few that it costs nothing.
+        These are the runners of the zone, the runners of services that have no ready runner in the
+        zone, and all runners of a cluster of up to ``SMALL_CLUSTER_RUNNERS``.
         """
-        known = self._near.get(zone)
+        known = self._relevant_by_zone.get(zone)
         if known is None:
-            known = self._near[zone] = tuple(_near(zone, self.runners.values()))
+            known = self._relevant_by_zone[zone] = tuple(
+                _relevant_runners(zone, self.runners.values())
+            )
         return known
 
     def reading(self, runner_id: str) -> RunnerReading | None:
-        """Return the best reading of a runner: one that reached it, and the newest engine.
+        """Return the best reading of a runner: a reachable one, of the newest incarnation.
 
-        When the hub that watched it has gone, its last reading holds until another hub reads it.
+        After the hub that watched the runner has gone, its last reading is used until another hub
+        reads the runner.
         """
         readings = [peer.readings.get(runner_id) for peer in self._peers.values()]
         readings.append(self.own_readings.get(runner_id))
@@ -262,7 +267,7 @@
             default=self._last_readings.get(runner_id),
         )
 
-    def _take_lists(self, peer: _PeerHub, sync: HubSync) -> None:
+    def _apply_lists(self, peer: _PeerHub, sync: HubSync) -> None:
         for state in sync.gateways:
             peer.gateways[state.gateway_id] = state
             self._merge_gateway(state.gateway_id)
@@ -279,7 +284,7 @@
         for digest in sync.digests:
             self._merge_digest(digest)
 
-    def _forget_peer(self, name: str) -> None:
+    def _remove_peer(self, name: str) -> None:
         peer = self._peers.pop(name, None)
         if peer is None:
             return
@@ -307,7 +312,8 @@
         newest = max(current, key=lambda state: state.settings_version)
         stopping = any(state.stopping for state in current)
         self.settings_versions[gateway_id] = newest.settings_version
-        # Other gateways have no use for it, and each change would go to all of them 340 times.
+        # Gateways do not use each other's settings version, and in a cluster of 340 gateways one
+        # settings change would send 340 updates to each of them.
         merged = msgspec.structs.replace(newest, stopping=stopping, settings_version=0)
         self.gateways.put(gateway_id, merged)
 
@@ -320,7 +326,7 @@
             self._unlisted.pop(runner_id, None)
             self._last_readings.pop(runner_id, None)
             if self.runners.remove(runner_id):
-                self._near.clear()
+                self._relevant_by_zone.clear()
             self.digests.remove(runner_id)
             self.unhealthy.discard(runner_id)
             return
@@ -341,10 +347,10 @@
             incarnation=max(machine.incarnation, reading.incarnation if reading else 0),
         )
         if self.runners.put(runner_id, state):
-            self._near.clear()
+            self._relevant_by_zone.clear()
 
     def _may_use(self, runner_id: str, model: str) -> bool:
-        # An adapter cannot run while the weights under it are replaced.
+        # An adapter cannot run while the weights of its base model are replaced.
         base = model.partition(":")[0]
         return not self._withdrawn & {Withdrawal(runner_id, model), Withdrawal(runner_id, base)}
 
@@ -359,9 +365,13 @@
         return self.digests.put(digest.runner_id, digest)
 
 
-def _near(zone: str, runners: list[RunnerState]) -> Iterator[str]:
-    here = {one.service for one in runners if one.zone == zone and one.models and not one.leaving}
-    few = len(runners) <= FEW_RUNNERS
+def _relevant_runners(zone: str, runners: list[RunnerState]) -> Iterator[str]:
+    served_in_zone = {
+        runner.service
+        for runner in runners
+        if runner.zone == zone and runner.models and not runner.leaving
+    }
+    is_small = len(runners) <= SMALL_CLUSTER_RUNNERS
     for runner in runners:
-        if few or runner.zone == zone or runner.service not in here:
+        if is_small or runner.zone == zone or runner.service not in served_in_zone:
             yield runner.runner_id
--- a/src/leverjunction/control/order_in_progress.py
+++ b/src/leverjunction/control/order_in_progress.py
@@ -7,7 +7,7 @@
 
 from leverjunction.backends.types import LoadReport
 from leverjunction.control.messages import PendingOrder, RunnerReading
-from leverjunction.control.placement import WantedOrder, is_done, listed_name
+from leverjunction.control.placement import WantedOrder, engine_model_name, is_done
 from leverjunction.wire.messages import PlacementStamp
 
 SEND_LIMIT_S = 30.0
@@ -42,9 +42,9 @@
     reached_s: float = 0.0
 
     @property
-    def listed_name(self) -> str:
+    def engine_model_name(self) -> str:
         """The name under which engines list what is to change."""
-        return listed_name(self.pending.order.model, self.pending.order.adapter)
+        return engine_model_name(self.pending.order.model, self.pending.order.adapter)
 
     def is_for_another_life(self, word: RunnerReading | LoadReport) -> bool:
         """Return whether the engine that gives its word is not the one that this was planned for.
--- a/src/leverjunction/control/placement.py
+++ b/src/leverjunction/control/placement.py
@@ -1,18 +1,20 @@
-"""Which models shall be loaded where, and the next steps towards it. Pure.
+"""Plans on which runners models are loaded, and the next orders to get there. Pure: no I/O.
 
-Rules:
+A runner is an inference engine process; a service is a pool of runners. Rules:
 
-* A model is wanted on ``replicas`` runners of its service, or on all of them. Runners that hold
-  the wanted version are kept first, so a change moves as little as possible.
-* Before a model is unloaded or reloaded on a runner it is withdrawn there: gateways stop using
-  it, and the change waits until all of them have and the runner is idle. So no request meets an
-  unloaded model.
-* A withdrawal of a model covers its adapters, and waits until another runner has each of them.
+* A model is placed on ``replicas`` runners of its service, or on all of them. Runners that already
+  hold the wanted version are chosen first, which keeps the number of changes low.
+* Before a model is unloaded or reloaded on a runner, it is withdrawn there: the change waits until
+  every gateway has stopped using the model on that runner and the runner is idle. No request
+  therefore reaches an unloaded model.
+* A withdrawal of a model also covers its adapters, and waits until other runners serve them.
 * A withdrawal never takes the last ready runner, and leaves three quarters of a larger pool. A
-  single replica is replaced by loading a spare runner first; without a spare the change is blocked
-  and says so.
-* Loads in progress are limited, since all share the rate of the weight store.
-* Each runner has at most one order in progress. Models that the settings do not name stay alone.
+  single replica is replaced by loading the model on a spare runner first. Without a spare, the
+  change is reported as blocked.
+* The number of loads in progress is limited, because all loads share the bandwidth of the weight
+  store.
+* Each runner has at most one order in progress. Models that are not in the settings are left
+  untouched.
 """
 
 from __future__ import annotations
@@ -27,28 +29,28 @@
 from leverjunction.control.messages import Withdrawal
 
 SETTLE_S = 3.0
-"""A withdrawal lasts at least this long before the change: a sync between hubs and an exchange, for
-gateways of which no hub knows at the moment.
+"""Minimum time between a withdrawal and the change. It covers one sync between hubs and one
+exchange, for gateways that no hub knows at the moment.
 """
 
 DRAIN_LIMIT_S = 60.0
-"""A withdrawn runner that is still in use after this long is changed all the same."""
+"""A runner that is still in use this long after the withdrawal is changed regardless."""
 
 START_GRACE_S = 3.0
-"""A runner that has just started may still be loading by itself."""
+"""No load is ordered this soon after a start: the runner may still be loading its own models."""
 
 MIN_READY_RATIO = 0.75
 
 
 class WantedModel(msgspec.Struct, frozen=True, kw_only=True):
-    """A model, or an adapter of one, that a service shall hold.
+    """A model, or an adapter of a model, that the settings assign to a service.
 
     Attributes:
         service: The service.
         model: Name of the model.
         adapter: Name of the adapter, empty for the model itself.
         version: Wanted version of the weights.
-        replicas: Runners that shall hold it; 0 means all. Adapters follow their model.
+        replicas: Number of runners that should hold it; 0 means all. Adapters follow their model.
     """
 
     service: str
@@ -59,20 +61,20 @@
 
     @property
     def name(self) -> str:
-        """The name under which engines list it."""
-        return listed_name(self.model, self.adapter)
+        """The name under which engines list this model or adapter."""
+        return engine_model_name(self.model, self.adapter)
 
 
-class RunnerFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a runner.
+class RunnerStatus(msgspec.Struct, frozen=True, kw_only=True):
+    """The state of a runner as the planner sees it.
 
     Attributes:
         runner_id: The runner.
         service: Its service.
-        usable: Listed, reachable and not leaving.
-        models: What is loaded and ready.
-        versions: Version of each.
-        busy: Requests that run or wait on it.
+        usable: True if the runner is listed, reachable and not leaving.
+        models: Models and adapters that are loaded and ready.
+        versions: Version of each loaded model or adapter, by name.
+        busy: Number of requests that run or wait on the runner.
         up_s: Seconds since this start of the engine was first seen.
         ordered: True while an order to it is in progress.
     """
@@ -88,7 +90,7 @@
 
 
 class WantedOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order that should be sent now; it has no fence yet."""
+    """An order that should be sent now and has no fencing token yet."""
 
     runner_id: str
     action: OrderAction
@@ -98,11 +100,11 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """The next steps.
+    """The result of one planning round.
 
     Attributes:
         orders: Orders to send.
-        withdrawn: All withdrawals in force from now on, each with its time of beginning.
+        withdrawn: All withdrawals in force from now on, each with its start time.
         blocked: Changes that cannot be made now, with the reason, for the operators.
     """
 
@@ -113,164 +115,179 @@
 
 def plan(
     wanted: Iterable[WantedModel],
-    runners: Iterable[RunnerFacts],
+    runners: Iterable[RunnerStatus],
     withdrawn: Mapping[Withdrawal, float],
-    kept_to: Collection[Withdrawal],
+    applied: Collection[Withdrawal],
     loads_in_progress: int,
     max_loads: int,
     now_s: float,
 ) -> Plan:
-    """Return the next steps towards what is wanted.
+    """Plan the next steps towards the wanted placement.
 
     Args:
         wanted: All models and adapters of all services.
         runners: All listed runners.
-        withdrawn: Withdrawals in force, with the time at which each began.
-        kept_to: Those of them that every gateway keeps to.
-        loads_in_progress: Load orders that are not done yet.
-        max_loads: Most loads in progress.
+        withdrawn: Withdrawals in force, each with its start time.
+        applied: The withdrawals that every gateway has applied.
+        loads_in_progress: Number of load orders that are not done yet.
+        max_loads: Maximum number of loads in progress.
         now_s: Monotonic time in seconds.
     """
-    entries = sorted(wanted, key=lambda one: (one.service, one.model, one.adapter))
-    adapters = [one for one in entries if one.adapter]
-    planner = _Planner(adapters, withdrawn, kept_to, max_loads - loads_in_progress, now_s)
-    known = list(runners)
-    placed: dict[tuple[str, str], list[RunnerFacts]] = {}
-    # Models before their adapters, which go where the model is.
+    entries = sorted(wanted, key=lambda entry: (entry.service, entry.model, entry.adapter))
+    adapters = [entry for entry in entries if entry.adapter]
+    planner = _Planner(adapters, withdrawn, applied, max_loads - loads_in_progress, now_s)
+    all_runners = list(runners)
+    placed: dict[tuple[str, str], list[RunnerStatus]] = {}
+    # Models sort before their adapters, which are placed on the runners of their model.
     for entry in entries:
-        pool = [one for one in known if one.service == entry.service and one.usable]
+        pool = [
+            runner for runner in all_runners if runner.service == entry.service and runner.usable
+        ]
         if entry.adapter:
             chosen = placed.get((entry.service, entry.model), [])
-            chosen = [one for one in chosen if entry.model in one.models]
+            chosen = [runner for runner in chosen if entry.model in runner.models]
         else:
-            chosen = _choose(entry, pool)
+            chosen = _choose_runners(entry, pool)
             placed[entry.service, entry.model] = chosen
         planner.place(entry, pool, chosen)
-    return Plan(orders=planner.orders, withdrawn=planner.kept, blocked=planner.blocked)
+    return Plan(orders=planner.orders, withdrawn=planner.withdrawn, blocked=planner.blocked)
 
 
 class _Planner:
-    """Collects the steps of one round."""
+    """Collects the orders, withdrawals and blocked changes of one planning round."""
 
     def __init__(
         self,
         adapters: list[WantedModel],
         withdrawn: Mapping[Withdrawal, float],
-        kept_to: Collection[Withdrawal],
+        applied: Collection[Withdrawal],
         load_slots: int,
         now_s: float,
     ) -> None:
         self.orders: list[WantedOrder] = []
-        self.kept: dict[Withdrawal, float] = {}
+        self.withdrawn: dict[Withdrawal, float] = {}
         self.blocked: list[str] = []
         self._adapters = adapters
-        self._withdrawn = withdrawn
-        self._kept_to = kept_to
+        self._previously_withdrawn = withdrawn
+        self._applied = applied
         self._load_slots = load_slots
         self._now_s = now_s
         self._ordered: set[str] = set()
 
-    def place(self, entry: WantedModel, pool: list[RunnerFacts], chosen: list[RunnerFacts]) -> None:
-        """Add the steps for one model or adapter."""
+    def place(
+        self, entry: WantedModel, pool: list[RunnerStatus], chosen: list[RunnerStatus]
+    ) -> None:
+        """Add the steps for one model or adapter.
+
+        Args:
+            entry: The model or adapter.
+            pool: Usable runners of its service.
+            chosen: Runners of the pool that should hold it.
+        """
         name = entry.name
         for runner in chosen:
             if name not in runner.models:
                 self._load(entry, runner)
-        serving = [one for one in pool if self._serves(one, entry)]
-        outdated = [one for one in chosen if name in one.models and not _is_current(entry, one)]
+        serving = [runner for runner in pool if self._serves(runner, entry)]
+        outdated = [
+            runner for runner in chosen if name in runner.models and not _is_current(entry, runner)
+        ]
         for runner in outdated:
-            if self._take_out(entry, runner, serving, len(chosen)):
+            if self._withdraw(entry, runner, serving, len(chosen)):
                 self._load(entry, runner)
         if outdated:
             self._add_spare(entry, pool, serving)
-        complete = all(name in one.models and _is_current(entry, one) for one in chosen)
+        complete = all(name in runner.models and _is_current(entry, runner) for runner in chosen)
         if chosen and complete:
             self._unload_surplus(entry, pool, chosen, serving)
 
     def _unload_surplus(
         self,
         entry: WantedModel,
-        pool: list[RunnerFacts],
-        chosen: list[RunnerFacts],
-        serving: list[RunnerFacts],
+        pool: list[RunnerStatus],
+        chosen: list[RunnerStatus],
+        serving: list[RunnerStatus],
     ) -> None:
         for runner in pool:
             surplus = entry.name in runner.models and runner not in chosen
-            if surplus and self._take_out(entry, runner, serving, len(chosen)):
+            if surplus and self._withdraw(entry, runner, serving, len(chosen)):
                 self._order(entry, runner, OrderAction.UNLOAD)
 
-    def _take_out(
-        self, entry: WantedModel, runner: RunnerFacts, serving: list[RunnerFacts], target: int
+    def _withdraw(
+        self, entry: WantedModel, runner: RunnerStatus, serving: list[RunnerStatus], target: int
     ) -> bool:
-        """Withdraw a model from a runner if that is allowed; return True once it may change."""
+        """Withdraw a model from a runner if allowed; return True once it may be changed there."""
         withdrawal = Withdrawal(runner.runner_id, entry.name)
-        since_s = self._withdrawn.get(withdrawal)
+        since_s = self._previously_withdrawn.get(withdrawal)
         if since_s is None:
-            if not _may_take_down(len(serving), target) or runner.ordered:
+            if not _may_withdraw_one(len(serving), target) or runner.ordered:
                 return False
             if self._is_last_with_an_adapter(entry, runner, serving):
                 return False
             serving.remove(runner)
-            self.kept[withdrawal] = self._now_s
+            self.withdrawn[withdrawal] = self._now_s
             return False
-        self.kept[withdrawal] = since_s
+        self.withdrawn[withdrawal] = since_s
         age_s = self._now_s - since_s
-        is_drained = withdrawal in self._kept_to and runner.busy == 0
+        is_drained = withdrawal in self._applied and runner.busy == 0
         return age_s >= SETTLE_S and (is_drained or age_s >= DRAIN_LIMIT_S)
 
-    def _serves(self, runner: RunnerFacts, entry: WantedModel) -> bool:
+    def _serves(self, runner: RunnerStatus, entry: WantedModel) -> bool:
         """Return whether gateways may use a model or an adapter on a runner."""
         covering = {
             Withdrawal(runner.runner_id, entry.name),
             Withdrawal(runner.runner_id, entry.model),
         }
-        is_withdrawn = any(one in self._withdrawn or one in self.kept for one in covering)
+        is_withdrawn = any(
+            withdrawal in self._previously_withdrawn or withdrawal in self.withdrawn
+            for withdrawal in covering
+        )
         return entry.name in runner.models and not is_withdrawn
 
     def _is_last_with_an_adapter(
-        self, entry: WantedModel, runner: RunnerFacts, serving: list[RunnerFacts]
+        self, entry: WantedModel, runner: RunnerStatus, serving: list[RunnerStatus]
     ) -> bool:
         """Return whether no other runner serves one of the wanted adapters of a model."""
         if entry.adapter:
             return False
         held = [
-            one
-            for one in self._adapters
-            if (one.service, one.model) == (entry.service, entry.model)
-            and one.name in runner.models
+            adapter
+            for adapter in self._adapters
+            if (adapter.service, adapter.model) == (entry.service, entry.model)
+            and adapter.name in runner.models
         ]
-        others = [one for one in serving if one is not runner]
-        return any(not any(self._serves(other, one) for other in others) for one in held)
+        others = [other for other in serving if other is not runner]
+        return any(not any(self._serves(other, adapter) for other in others) for adapter in held)
 
     def _add_spare(
-        self, entry: WantedModel, pool: list[RunnerFacts], serving: list[RunnerFacts]
+        self, entry: WantedModel, pool: list[RunnerStatus], serving: list[RunnerStatus]
     ) -> None:
-        """With a single ready runner left, load another one first, or say that there is none."""
+        """Load a spare runner if one ready runner is left, or report the change as blocked."""
         taken_down = any(
             withdrawal.model in (entry.name, entry.model)
             and withdrawal.runner_id in {o.runner_id for o in pool}
-            for withdrawal in self.kept
+            for withdrawal in self.withdrawn
         )
         if len(serving) != 1 or taken_down:
             return
-        spares = [one for one in pool if entry.name not in one.models]
+        spares = [spare for spare in pool if entry.name not in spare.models]
         if entry.adapter:
-            spares = [one for one in spares if entry.model in one.models]
+            spares = [spare for spare in spares if entry.model in spare.models]
         if not spares:
             self.blocked.append(
                 f"{entry.service}: {entry.name} version {entry.version} would leave no ready "
                 f"runner: {serving[0].runner_id} is the only one; add a runner"
             )
-        elif not any(one.ordered or one.runner_id in self._ordered for one in spares):
-            self._load(entry, min(spares, key=lambda one: _preference(entry, one)))
+        elif not any(spare.ordered or spare.runner_id in self._ordered for spare in spares):
+            self._load(entry, min(spares, key=lambda spare: _placement_rank(entry, spare)))
 
-    def _load(self, entry: WantedModel, runner: RunnerFacts) -> None:
+    def _load(self, entry: WantedModel, runner: RunnerStatus) -> None:
         if self._load_slots <= 0 or runner.up_s < START_GRACE_S:
             return
         if self._order(entry, runner, OrderAction.LOAD):
             self._load_slots -= 1
 
-    def _order(self, entry: WantedModel, runner: RunnerFacts, action: OrderAction) -> bool:
+    def _order(self, entry: WantedModel, runner: RunnerStatus, action: OrderAction) -> bool:
         if runner.ordered or runner.runner_id in self._ordered:
             return False
         self._ordered.add(runner.runner_id)
@@ -286,40 +303,40 @@
         return True
 
 
-def listed_name(model: str, adapter: str) -> str:
-    """Return the name under which engines list a model, or an adapter of one."""
+def engine_model_name(model: str, adapter: str) -> str:
+    """Return the name under which engines list a model or an adapter of a model."""
     return f"{model}:{adapter}" if adapter else model
 
 
 def is_done(order: WantedOrder, models: Iterable[str], versions: Mapping[str, str]) -> bool:
-    """Return whether an engine's reading shows that an order was carried out."""
-    name = listed_name(order.model, order.adapter)
+    """Return whether what an engine reports as loaded shows that an order was carried out."""
+    name = engine_model_name(order.model, order.adapter)
     if order.action is OrderAction.UNLOAD:
         return name not in models
     return name in models and versions.get(name, order.version) == order.version
 
 
-def _choose(entry: WantedModel, pool: list[RunnerFacts]) -> list[RunnerFacts]:
+def _choose_runners(entry: WantedModel, pool: list[RunnerStatus]) -> list[RunnerStatus]:
     count = entry.replicas or len(pool)
-    return sorted(pool, key=lambda one: _preference(entry, one))[:count]
+    return sorted(pool, key=lambda runner: _placement_rank(entry, runner))[:count]
 
 
-def _preference(entry: WantedModel, runner: RunnerFacts) -> tuple[int, int]:
-    """Order runners: those with the wanted version, then with any, then by a stable hash."""
+def _placement_rank(entry: WantedModel, runner: RunnerStatus) -> tuple[int, int]:
+    """Return a sort key: runners with the wanted version, then any version, then a stable hash."""
     held_rank = 0 if _is_current(entry, runner) else 1
     rank = held_rank if entry.name in runner.models else 2
     weight = xxhash.xxh64_intdigest(f"{entry.service}\0{entry.model}\0{runner.runner_id}".encode())
     return rank, weight
 
 
-def _is_current(entry: WantedModel, runner: RunnerFacts) -> bool:
-    # An engine that reports no version for it is taken to hold the wanted one.
+def _is_current(entry: WantedModel, runner: RunnerStatus) -> bool:
+    # An engine that reports no version for the model is assumed to hold the wanted version.
     return runner.versions.get(entry.name, entry.version) == entry.version
 
 
-def _may_take_down(serving: int, target: int) -> bool:
-    rest = serving - 1
-    if rest >= max(1, math.ceil(target * MIN_READY_RATIO)):
+def _may_withdraw_one(serving: int, target: int) -> bool:
+    remaining = serving - 1
+    if remaining >= max(1, math.ceil(target * MIN_READY_RATIO)):
         return True
-    # Small pools go one by one: nothing may be out when the next one goes.
-    return rest >= 1 and serving >= target
+    # Small pools are changed one runner at a time: all others must be serving.
+    return remaining >= 1 and serving >= target
--- a/src/leverjunction/control/placement_runner.py
+++ b/src/leverjunction/control/placement_runner.py
@@ -31,7 +31,7 @@
 from leverjunction.control.order_in_progress import OrderInProgress
 from leverjunction.control.placement import (
     DRAIN_LIMIT_S,
-    RunnerFacts,
+    RunnerStatus,
     WantedModel,
     WantedOrder,
     plan,
@@ -203,9 +203,9 @@
         self._withdrawals.heard(self._hub.placement_in_force(), now_s)
         steps = plan(
             wanted_models(self._mirror.settings),
-            self._facts(snapshot, now_s),
+            self._runner_statuses(snapshot, now_s),
             self._withdrawals.since_s,
-            self._withdrawals.kept_to(),
+            self._withdrawals.applied(),
             len(loads),
             self._max_loads,
             now_s,
@@ -285,7 +285,7 @@
         was lifted meanwhile is no longer wanted, and ends.
         """
         pending = order.pending
-        name = order.listed_name
+        name = order.engine_model_name
         if name not in report.models:
             return True
         withdrawal = Withdrawal(pending.runner_id, name)
@@ -299,7 +299,7 @@
         is_drained = is_idle and self._withdrawals.shows_all(withdrawal, now_s)
         return is_drained or now_s - since_s >= DRAIN_LIMIT_S
 
-    def _facts(self, snapshot: ClusterSnapshot, now_s: float) -> list[RunnerFacts]:
+    def _runner_statuses(self, snapshot: ClusterSnapshot, now_s: float) -> list[RunnerStatus]:
         busy = {one.runner_id: one.running + one.waiting for one in snapshot.digests}
         facts = []
         for runner in snapshot.runners:
@@ -307,7 +307,7 @@
             if reading is None:
                 continue
             facts.append(
-                RunnerFacts(
+                RunnerStatus(
                     runner_id=runner.runner_id,
                     service=runner.service,
                     usable=reading.reachable and not runner.leaving,
--- a/src/leverjunction/control/withdrawals.py
+++ b/src/leverjunction/control/withdrawals.py
@@ -52,7 +52,7 @@
             else:
                 self._in_force_s.pop(withdrawal, None)
 
-    def kept_to(self) -> set[Withdrawal]:
+    def applied(self) -> set[Withdrawal]:
         """Return those that all gateways have in force."""
         return set(self._in_force_s)
 
--- a/tests/unit/test_control_fanout.py
+++ b/tests/unit/test_control_fanout.py
@@ -10,7 +10,7 @@
 from leverjunction.backends.machine_list import Machine, MachineList, MachineState
 from leverjunction.control.fanout import REFRESH_MS, GatewaySession, is_material
 from leverjunction.control.layout import hubs_for_gateway
-from leverjunction.control.membership import FEW_RUNNERS, Membership
+from leverjunction.control.membership import SMALL_CLUSTER_RUNNERS, Membership
 from leverjunction.control.messages import RenewedLeases, RunnerReading
 from leverjunction.control.renewals import RenewalBook
 from leverjunction.wire.messages import PendingWork, RunnerDigest
@@ -45,8 +45,8 @@
     view = Membership()
     view.update_machine_list(MachineList(as_of_ms=1, machines=machines))
     for machine in machines:
-        view.runner_read(RunnerReading(runner_id=machine.id, reachable=True, models=["m"]))
-    view.digests_heard(digest(machine.id) for machine in machines)
+        view.update_reading(RunnerReading(runner_id=machine.id, reachable=True, models=["m"]))
+    view.update_digests(digest(machine.id) for machine in machines)
     return view
 
 
@@ -58,26 +58,26 @@
 
 
 def test_a_gateway_hears_of_its_zone_and_of_services_that_are_only_elsewhere() -> None:
-    view = cluster(4 * FEW_RUNNERS)
+    view = cluster(4 * SMALL_CLUSTER_RUNNERS)
     zones = {runner.runner_id: (runner.zone, runner.service) for runner in view.runners.values()}
     wanted = {name for name, (zone, service) in zones.items() if zone == "a" or service == "far"}
     assert told(GatewaySession(1), view) == wanted
 
 
 def test_a_gateway_of_a_small_cluster_hears_of_all_runners() -> None:
-    view = cluster(FEW_RUNNERS)
+    view = cluster(SMALL_CLUSTER_RUNNERS)
     assert told(GatewaySession(1), view) == set(view.runners.keys())
 
 
 def test_a_far_runner_that_turns_unhealthy_and_back_is_told() -> None:
-    view = cluster(4 * FEW_RUNNERS)
+    view = cluster(4 * SMALL_CLUSTER_RUNNERS)
     session = GatewaySession(1)
     told(session, view)
-    assert "r3" not in view.near("a")
-    view.digests_heard([digest("r3", healthy=False, as_of_ms=2)])
+    assert "r3" not in view.relevant_runners("a")
+    view.update_digests([digest("r3", healthy=False, as_of_ms=2)])
     assert [one.runner_id for one in session.digests(view, "a")] == ["r3"]
     assert session.digests(view, "a") == []
-    view.digests_heard([digest("r3", healthy=True, as_of_ms=3)])
+    view.update_digests([digest("r3", healthy=True, as_of_ms=3)])
     assert [one.healthy for one in session.digests(view, "a")] == [True]
 
 
@@ -103,9 +103,9 @@
     view = cluster(2)
     session = GatewaySession(1)
     told(session, view)
-    view.digests_heard([digest("r0", running=11, as_of_ms=2)])
+    view.update_digests([digest("r0", running=11, as_of_ms=2)])
     assert session.digests(view, "a") == []
-    view.digests_heard([digest("r0", running=12, as_of_ms=3)])
+    view.update_digests([digest("r0", running=12, as_of_ms=3)])
     assert [one.running for one in session.digests(view, "a")] == [12]
 
 
--- a/tests/unit/test_control_membership.py
+++ b/tests/unit/test_control_membership.py
@@ -98,7 +98,7 @@
 
 def test_a_silent_gateway_is_gone_after_its_timeout() -> None:
     view = Membership()
-    view.gateway_heard(gateway(), 0.0)
+    view.update_gateway(gateway(), 0.0)
     view.expire(GATEWAY_TIMEOUT_S)
     assert "g1" in view.gateways
     view.expire(GATEWAY_TIMEOUT_S + 0.1)
@@ -107,8 +107,8 @@
 
 def test_a_late_exchange_of_an_older_incarnation_is_refused() -> None:
     view = Membership()
-    assert view.gateway_heard(gateway(incarnation=2), 0.0)
-    assert not view.gateway_heard(gateway(incarnation=1), 0.1)
+    assert view.update_gateway(gateway(incarnation=2), 0.0)
+    assert not view.update_gateway(gateway(incarnation=1), 0.1)
     merged = view.gateways.get("g1")
     assert merged is not None
     assert merged.incarnation == 2
@@ -116,7 +116,7 @@
 
 def test_a_stopping_gateway_stays_so_until_its_next_start() -> None:
     view = Membership()
-    view.gateway_heard(gateway(stopping=True), 0.0)
+    view.update_gateway(gateway(stopping=True), 0.0)
     view.handle_sync(sync(0, 5, full=True, gateways=[gateway(stopping=False)]), 0.0)
     merged = view.gateways.get("g1")
     assert merged is not None
@@ -129,9 +129,9 @@
 
 def test_settings_versions_do_not_churn_the_gateways_view() -> None:
     view = Membership()
-    view.gateway_heard(gateway(settings_version=1), 0.0)
+    view.update_gateway(gateway(settings_version=1), 0.0)
     before = view.view_counter.value
-    view.gateway_heard(gateway(settings_version=2), 1.0)
+    view.update_gateway(gateway(settings_version=2), 1.0)
     assert view.view_counter.value == before
     assert view.settings_versions == {"g1": 2}
 
@@ -156,7 +156,7 @@
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
     if read is not None:
-        view.runner_read(read)
+        view.update_reading(read)
     view.set_drains(draining)
     view.update_machine_list(machines(2) if listed == "missing" else machines(2, r1=listed))
     state = view.runners.get("r1")
@@ -166,9 +166,9 @@
 def test_an_unlisted_runner_is_gone_once_it_stops_answering() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
-    view.runner_read(reading())
+    view.update_reading(reading())
     view.update_machine_list(machines(2))
-    view.runner_read(reading(reachable=False))
+    view.update_reading(reading(reachable=False))
     assert "r1" not in view.runners
 
 
@@ -194,17 +194,17 @@
 def test_the_newest_digest_stays_and_an_unhealthy_one_of_the_same_time_wins() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
-    view.digests_heard([digest(5, running=3)])
+    view.update_digests([digest(5, running=3)])
     view.handle_sync(sync(0, 5, full=True, digests=[digest(4, running=9)]), 0.0)
     assert view.digests.get("r1") == digest(5, running=3)
-    view.digests_heard([digest(5, running=3, healthy=False)])
+    view.update_digests([digest(5, running=3, healthy=False)])
     assert view.digests.get("r1") == digest(5, running=3, healthy=False)
 
 
 def test_withdrawn_models_are_hidden_until_a_newer_leader_says_otherwise() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
-    view.runner_read(reading(models=["m", "n"]))
+    view.update_reading(reading(models=["m", "n"]))
     out = PlacementRecord(term=3, withdrawn=[Withdrawal("r1", "m")], orders=[])
     view.handle_sync(sync(0, 5, full=True, placement=out), 0.0)
     state = view.runners.get("r1")
@@ -225,7 +225,7 @@
 def test_a_withdrawn_model_hides_its_adapters_too() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
-    view.runner_read(reading(models=["m", "m:x", "mm:x", "n:x"]))
+    view.update_reading(reading(models=["m", "m:x", "mm:x", "n:x"]))
     out = PlacementRecord(
         term=3, withdrawn=[Withdrawal("r1", "m"), Withdrawal("r1", "n:x")], orders=[]
     )
@@ -259,7 +259,7 @@
 def test_a_silent_hub_takes_its_gateways_along() -> None:
     view = Membership()
     view.handle_sync(sync(0, 5, full=True, gateways=[gateway("g1"), gateway("g2")]), 0.0)
-    view.gateway_heard(gateway("g2"), HUB_TIMEOUT_S)
+    view.update_gateway(gateway("g2"), HUB_TIMEOUT_S)
     view.expire(HUB_TIMEOUT_S + 0.1)
     assert view.gateways.keys() == ["g2"]
     assert view.live_hubs() == []
@@ -274,7 +274,7 @@
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == ["m"]
-    view.runner_read(reading(models=[]))
+    view.update_reading(reading(models=[]))
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == []
@@ -287,4 +287,4 @@
     state = view.runners.get("r1")
     assert state is not None
     assert state.leaving is False
-    assert [machine.id for machine in view.listed().machines] == ["r1"]
+    assert [machine.id for machine in view.machine_list().machines] == ["r1"]
--- a/tests/unit/test_control_placement.py
+++ b/tests/unit/test_control_placement.py
@@ -13,7 +13,7 @@
     DRAIN_LIMIT_S,
     SETTLE_S,
     Plan,
-    RunnerFacts,
+    RunnerStatus,
     WantedModel,
     is_done,
     plan,
@@ -26,8 +26,8 @@
     return WantedModel(service="s", model="m", adapter=adapter, version=version, replicas=replicas)
 
 
-def runner(name: str, version: str | None = None, **changes: object) -> RunnerFacts:
-    facts = RunnerFacts(
+def runner(name: str, version: str | None = None, **changes: object) -> RunnerStatus:
+    facts = RunnerStatus(
         runner_id=name,
         service="s",
         usable=True,
@@ -42,16 +42,16 @@
 
 def steps(
     entries: list[WantedModel],
-    runners: list[RunnerFacts],
+    runners: list[RunnerStatus],
     withdrawn: dict[Withdrawal, float] | None = None,
     *,
-    kept_to: Collection[Withdrawal] | None = None,
+    applied: Collection[Withdrawal] | None = None,
     loads: int = 0,
     max_loads: int = 4,
     now_s: float = 1000.0,
 ) -> Plan:
-    kept_to = (withdrawn or {}) if kept_to is None else kept_to
-    return plan(entries, runners, withdrawn or {}, kept_to, loads, max_loads, now_s)
+    applied = (withdrawn or {}) if applied is None else applied
+    return plan(entries, runners, withdrawn or {}, applied, loads, max_loads, now_s)
 
 
 OUT_A = Withdrawal("a", "m")
@@ -71,7 +71,7 @@
     ids=["missing", "one slot", "no slot", "unusable", "ordered", "just started", "elsewhere"],
 )
 def test_loads_what_is_missing(
-    runners: list[RunnerFacts], loads: int, expected: list[str] | int
+    runners: list[RunnerStatus], loads: int, expected: list[str] | int
 ) -> None:
     orders = steps([wanted()], runners, loads=loads).orders
     assert all(order.action is OrderAction.LOAD for order in orders)
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize(("age_s", "reloaded"), [(SETTLE_S, False), (DRAIN_LIMIT_S, True)])
 def test_a_withdrawal_that_a_gateway_does_not_keep_to_waits(age_s: float, reloaded: bool) -> None:
     runners = [runner("a", "1"), runner("b", "1"), runner("c", "1")]
-    result = steps([wanted("2")], runners, {OUT_A: 1000.0 - age_s}, kept_to=())
+    result = steps([wanted("2")], runners, {OUT_A: 1000.0 - age_s}, applied=())
     assert [order.runner_id for order in result.orders] == (["a"] if reloaded else [])
 
 
