--- a/src/leverjunction/control/gateway_sessions.py
+++ b/src/leverjunction/control/gateway_sessions.py
@@ -1,4 +1,4 @@
-"""Makes the replies to the gateways of one hub from its view. Pure."""
+"""Builds the replies to the exchanges of one hub's gateways. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from leverjunction.control.hub_types import HubIdentity
 from leverjunction.control.layout import hubs_for_gateway
 from leverjunction.control.membership import Membership
-from leverjunction.control.renewals import RenewalBook
+from leverjunction.control.renewals import RenewalBuffer
 from leverjunction.control.settings_mirror import SettingsMirror, SettingsStep
 from leverjunction.wire.messages import ExchangeReply, ExchangeRequest, GatewayState
 
 
 class GatewaySessions:
-    """One session for each gateway, so that replies are deltas. Not safe between threads by itself.
+    """Keeps a session for each gateway, so that replies are deltas. Not thread-safe.
 
     Args:
-        identity: The hub.
-        mirror: Settings in force here.
-        membership: The hub's view.
-        renewals: Takes renewals, gives cancelled jobs.
+        identity: Identity of the hub.
+        mirror: Settings in force in this process.
+        membership: The hub's view of the cluster.
+        renewals: Collects lease renewals and provides cancelled jobs and pending work.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         identity: HubIdentity,
         mirror: SettingsMirror,
         membership: Membership,
-        renewals: RenewalBook,
+        renewals: RenewalBuffer,
     ) -> None:
         self._identity = identity
         self._mirror = mirror
@@ -36,18 +36,24 @@
         self._renewals = renewals
         self._sessions: dict[str, GatewaySession] = {}
 
-    def answer(
+    def make_reply(
         self, request: ExchangeRequest, step: SettingsStep, quorum_age_s: float
     ) -> ExchangeReply:
-        """Take what a gateway says and return the reply, without settings rows."""
+        """Apply a gateway's exchange request and return the reply, without settings rows.
+
+        Args:
+            request: The request.
+            step: Settings step for the gateway.
+            quorum_age_s: Seconds since the last contact with the root group's leader.
+        """
         session, since = self._session(request)
-        session.report(request.digests)
+        session.record_reported(request.digests)
         self._membership.update_digests(request.digests)
         self._membership.record_applied_placement(request.gateway.gateway_id, request.placement)
-        self._renewals.held(request.gateway.gateway_id, request.lease_ids)
+        self._renewals.record(request.gateway.gateway_id, request.lease_ids)
         gateways = self._membership.gateways.since(since)
         runners = self._membership.runners.since(since)
-        # A stamp of its own for each reply: the next request tells whether this one arrived.
+        # Each reply gets its own stamp, so the next request shows whether this reply arrived.
         session.stamp = self._membership.view_counter.next()
         return ExchangeReply(
             settings_version=step.version,
@@ -61,30 +67,30 @@
             runners=runners.changed,
             gone_runners=runners.removed if since else [],
             digests=session.digests(self._membership, request.gateway.zone),
-            lost_lease_ids=session.take_lost(),
-            cancelled_jobs=session.untold_jobs(self._renewals.cancelled_jobs()),
-            hubs=self._hubs_news(request.gateway, session),
+            lost_lease_ids=session.take_lost_leases(),
+            cancelled_jobs=session.new_cancelled_jobs(self._renewals.cancelled_jobs()),
+            hubs=self._changed_hubs(request.gateway, session),
             quorum_age_s=round(quorum_age_s, 2),
             job_groups=self._identity.job_groups,
-            pending_work=session.untold_work(self._renewals.pending_work()),
+            pending_work=session.changed_pending_work(self._renewals.pending_work()),
             hub_settings_version=self._mirror.version,
-            placement=session.untold_placement(self._membership.placement_stamp),
+            placement=session.changed_placement(self._membership.placement_stamp),
         )
 
-    def lose(self, owner: str, lease_ids: Iterable[str]) -> None:
-        """Note leases that a gateway holds no longer."""
+    def record_lost_leases(self, owner: str, lease_ids: Iterable[str]) -> None:
+        """Record leases that a gateway has lost, for its next reply."""
         session = self._sessions.get(owner)
         if session is not None:
-            session.lose(lease_ids)
+            session.add_lost_leases(lease_ids)
 
-    def forget_gone(self) -> None:
-        """Drop the sessions of gateways that exchange with this hub no longer."""
+    def drop_expired(self) -> None:
+        """Drop the sessions of gateways that no longer exchange with this hub."""
         for gateway_id in list(self._sessions):
             if gateway_id not in self._membership.own_gateways:
                 del self._sessions[gateway_id]
 
     def _session(self, request: ExchangeRequest) -> tuple[GatewaySession, int]:
-        """Return the gateway's session, and the view version since which to send changes."""
+        """Return the gateway's session and the view version after which changes are sent."""
         gateway = request.gateway
         session = self._sessions.get(gateway.gateway_id)
         if session is None or session.incarnation != gateway.incarnation:
@@ -94,13 +100,13 @@
             return session, 0
         if request.view_version != session.stamp:
             session.reset()
-        known = self._membership
-        covered = known.gateways.covers(request.view_version)
-        covered = covered and known.runners.covers(request.view_version)
+        membership = self._membership
+        covered = membership.gateways.covers(request.view_version)
+        covered = covered and membership.runners.covers(request.view_version)
         return session, request.view_version if covered else 0
 
-    def _hubs_news(self, gateway: GatewayState, session: GatewaySession) -> list[str]:
-        """Return the hubs for a gateway if it does not know them in this order yet."""
+    def _changed_hubs(self, gateway: GatewayState, session: GatewaySession) -> list[str]:
+        """Return the hubs for a gateway in order of preference, or [] if it has this order."""
 
         def order() -> list[str]:
             identity, settings = self._identity, self._mirror.settings
@@ -112,4 +118,4 @@
                 settings.region_of_zone,
             )
 
-        return session.untold_hubs(self._mirror.version, order)
+        return session.changed_hubs(self._mirror.version, order)
--- a/src/leverjunction/control/hub_peers.py
+++ b/src/leverjunction/control/hub_peers.py
@@ -1,4 +1,4 @@
-"""What this hub has told each other hub, so that messages are deltas. Pure."""
+"""Tracks what each other hub has acknowledged, so that sync messages are deltas. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,21 @@
 from leverjunction.wire.messages import PlacementStamp
 
 
-class PeerBook:
-    """Versions and placement records that the other hubs confirmed.
-
-    Not safe between threads by itself.
-    """
+class PeerVersions:
+    """Versions and placement records that the other hubs have acknowledged. Not thread-safe."""
 
     def __init__(self) -> None:
         self._acknowledged: dict[str, int] = {}
         self._placement: dict[str, PlacementStamp] = {}
         self._sequence = 0
 
-    def message(self, peer: str, state: HubState, own: Membership) -> HubSync:
-        """Return the message for another hub: what changed since its last answer.
+    def make_sync(self, peer: str, state: HubState, own: Membership) -> HubSync:
+        """Return the sync message for another hub: the changes since its last reply.
 
         Args:
             peer: Name of the other hub.
-            state: This process as it is now.
-            own: What this hub knows.
+            state: Current state of this process.
+            own: This hub's view of the cluster.
         """
         since = self._acknowledged.get(peer, 0)
         if not (own.own_gateways.covers(since) and own.own_readings.covers(since)):
@@ -52,11 +49,13 @@
             digests=own.own_digests.since(since).changed,
         )
 
-    def answered(self, peer: str, reply: HubSyncReply) -> None:
-        """Note what another hub has."""
+    def record_reply(self, peer: str, reply: HubSyncReply) -> None:
+        """Record the versions that another hub has acknowledged."""
         self._acknowledged[peer] = reply.have_version
         self._placement[peer] = reply.placement
 
-    def placement_known_by(self, stamp: PlacementStamp) -> int:
-        """Return how many other hubs have a record of placement, or a later one of its term."""
-        return sum(1 for at in self._placement.values() if at.term == stamp.term and at >= stamp)
+    def count_with_placement(self, stamp: PlacementStamp) -> int:
+        """Return how many other hubs have a placement record, or a later one of the same term."""
+        return sum(
+            1 for known in self._placement.values() if known.term == stamp.term and known >= stamp
+        )
--- a/src/leverjunction/control/hub_sync.py
+++ b/src/leverjunction/control/hub_sync.py
@@ -1,4 +1,4 @@
-"""Tells the other hubs what this one knows, and passes lease renewals to the group leaders."""
+"""Background tasks that sync the hubs and send lease renewals to the job group leaders."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 SYNC_INTERVAL_S = 1.0
 SYNC_TIMEOUT_S = 0.8
-NOTHING_KNOWN = 0
-"""Version that a hub answers with when a message does not follow on what it knows."""
+UNKNOWN_STATE_VERSION = 0
+"""Version in the reply of a hub that cannot apply a delta and needs the full state."""
 
 RENEWAL_INTERVAL_S = 0.5
 RENEWAL_TIMEOUT_S = 1.0
 
 
 class HubSyncTasks:
-    """One loop for each other hub, so that one that is frozen delays no other.
+    """Sends sync messages to the other hubs, one loop per hub: a slow hub delays no other hub.
 
     Args:
-        hub: What is told.
-        rpc: Client towards the other hubs.
+        hub: The hub whose state is sent.
+        rpc: RPC client for the other hubs.
         peers: RPC addresses of the other hubs, by name.
-        state: Returns this process's state as it is now.
+        state: Returns the current state of this process.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
             task.start()
 
     def wake(self) -> None:
-        """Tell the other hubs soon: something changed that they should not hear a second late."""
+        """Sync with the other hubs now instead of at the end of the interval."""
         for task in self._tasks:
             task.wake()
 
@@ -66,14 +66,15 @@
         stop_all(self._tasks)
 
     def _loop_for(self, name: str, address: str) -> Callable[[], None]:
-        return lambda: self._tell(name, address)
+        return lambda: self._sync_with(name, address)
 
-    def _tell(self, name: str, address: str) -> None:
+    def _sync_with(self, name: str, address: str) -> None:
         reply = self._send(name, address)
-        if isinstance(reply, HubSyncReply) and reply.have_version == NOTHING_KNOWN:
-            # It has just started, or stood still, and gives out no view before it has heard all.
+        if isinstance(reply, HubSyncReply) and reply.have_version == UNKNOWN_STATE_VERSION:
+            # The hub has just started or was paused. It serves no view until it has received the
+            # full state of all hubs, so it gets this one without waiting for the interval.
             reply = self._send(name, address)
-        self._note(name, reply)
+        self._log_reachability(name, reply)
 
     def _send(self, name: str, address: str) -> HubSyncReply | Failure:
         message = self._hub.make_sync(name, self._state())
@@ -83,20 +84,21 @@
         self._hub.handle_sync_reply(name, reply)
         return reply
 
-    def _note(self, name: str, reply: HubSyncReply | Failure) -> None:
+    def _log_reachability(self, name: str, reply: HubSyncReply | Failure) -> None:
         if isinstance(reply, Failure):
             if name not in self._silent:
-                logger.warning("hub {} does not answer: {}", name, reply.reason)
+                logger.warning("hub {} does not respond: {}", name, reply.reason)
             self._silent.add(name)
         elif name in self._silent:
-            logger.info("hub {} answers again", name)
+            logger.info("hub {} responds again", name)
             self._silent.discard(name)
 
 
 class RenewalTask:
-    """Sends the renewals of this hub's gateways to each job group's leader, in batches.
+    """Sends the lease renewals of this hub's gateways to each job group's leader, in batches.
 
-    It asks also when there is nothing to renew, because the answer names the cancelled jobs.
+    Batches are sent even if there is nothing to renew, because the reply lists the cancelled jobs
+    and the services with pending work.
     """
 
     def __init__(self, hub: Hub, host: GroupHost, expiry: LeaseExpiry, groups: list[str]) -> None:
@@ -127,12 +129,12 @@
             group,
             MessageKind.RENEW_LEASES,
             encode(renewals),
-            lambda: _encoded(self._expiry.renew(group, renewals)),
+            lambda: _encode_answer(self._expiry.renew(group, renewals)),
             RENEWAL_TIMEOUT_S,
         )
         answer = raw if isinstance(raw, Failure) else decode_reply(raw, RenewedLeases)
-        self._hub.renewals_answered(group, held, answer)
+        self._hub.handle_renewal_reply(group, held, answer)
 
 
-def _encoded(answer: RenewedLeases | Failure) -> bytes | Failure:
+def _encode_answer(answer: RenewedLeases | Failure) -> bytes | Failure:
     return answer if isinstance(answer, Failure) else encode_reply(answer)
--- a/src/leverjunction/control/hub_types.py
+++ b/src/leverjunction/control/hub_types.py
@@ -1,4 +1,4 @@
-"""Who a hub is, its picture of the cluster, and its refusals."""
+"""Identity of a hub, snapshots of its view, and the failures with which it refuses requests."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class HubIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """What does not change while this process runs.
+    """The properties of a control process that are fixed for its lifetime.
 
     Attributes:
         name: Name of this control process.
         rpc_address: ``host:port`` of its internal RPC.
-        zone: Zone it runs in.
+        zone: Zone in which it runs.
         incarnation: Start time in milliseconds.
-        peers: RPC addresses of all control processes, by name, this one included.
-        zones: Their zones, by name.
+        peers: RPC addresses of all control processes, including this one, by name.
+        zones: Zones of all control processes, by name.
         job_groups: Number of job groups.
     """
 
@@ -32,7 +32,7 @@
 
 
 class ClusterSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """A copy of the hub's view for status, placement and the watch of runners."""
+    """A copy of a hub's view, for status reports and placement."""
 
     gateways: list[GatewayState]
     runners: list[RunnerState]
@@ -41,8 +41,8 @@
     hubs: list[HubState]
 
 
-def warming_up() -> Failure:
-    """Return the refusal of a hub that knows too little to give a full view."""
+def warming_up_failure() -> Failure:
+    """Return the failure of a hub that does not know enough to serve a full view."""
     return Failure(
         kind=FailureKind.STALE,
         reason="this hub has just started and does not know the cluster yet",
@@ -51,28 +51,28 @@
     )
 
 
-def list_unread() -> Failure:
-    """Return the refusal of a hub that has not read the machine list since it stood still."""
+def machine_list_stale_failure() -> Failure:
+    """Return the failure of a hub that has not read the machine list since it was paused."""
     return Failure(
         kind=FailureKind.STALE,
-        reason="this hub stood still and reads the machine list first",
+        reason="this hub was paused and has to read the machine list first",
         step=Step.EXCHANGING,
         retry_after_s=0.1,
     )
 
 
-def settings_held_back(retry_after_s: float) -> Failure:
-    """Return the refusal of a large settings step while others are given out."""
+def settings_throttled_failure(retry_after_s: float) -> Failure:
+    """Return the failure for a large settings read while too many others are in progress."""
     return Failure(
         kind=FailureKind.OVERLOADED,
-        reason="many ask this hub for all settings at once",
+        reason="too many full settings reads in progress at this hub",
         step=Step.QUERYING,
         retry_after_s=retry_after_s,
     )
 
 
-def old_incarnation(gateway: GatewayState) -> Failure:
-    """Return the refusal of a gateway whose name a newer process bears."""
+def old_incarnation_failure(gateway: GatewayState) -> Failure:
+    """Return the failure for a gateway whose name is used by a newer process."""
     return Failure(
         kind=FailureKind.CONFLICT,
         reason=f"a newer process named {gateway.gateway_id} is known; names must be unique",
--- a/src/leverjunction/control/placement_runner.py
+++ b/src/leverjunction/control/placement_runner.py
@@ -200,7 +200,7 @@
         loads = [
             one for one in self._orders.values() if one.pending.order.action is OrderAction.LOAD
         ]
-        self._withdrawals.heard(self._hub.placement_in_force(), now_s)
+        self._withdrawals.heard(self._hub.oldest_placement_in_force(), now_s)
         steps = plan(
             wanted_models(self._mirror.settings),
             self._runner_statuses(snapshot, now_s),
@@ -249,7 +249,7 @@
 
     def _send_told(self) -> None:
         for order in list(self._orders.values()):
-            told = order.told is not None and self._hub.placement_told_most(order.told)
+            told = order.told is not None and self._hub.is_placement_known_to_majority(order.told)
             if told and not order.sent and self._led_term() == self._term:
                 self._send(order)
 
--- a/src/leverjunction/control/renewals.py
+++ b/src/leverjunction/control/renewals.py
@@ -1,4 +1,4 @@
-"""Collects the gateways' lease renewals at a hub, and what the group leaders answer. Pure."""
+"""Buffers the gateways' lease renewals at a hub, and the group leaders' replies. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from leverjunction.wire.messages import PendingWork
 
 
-class RenewalBook:
-    """Renewals since the last batch, by job group and owner; by group also the jobs cancelled
-    lately and the services with pending work.
+class RenewalBuffer:
+    """Holds the renewals since the last batch, by job group and owner. Not thread-safe.
 
-    Not safe between threads by itself.
+    For each job group it also holds the recently cancelled jobs and the services with pending work,
+    as last reported by the group's leader.
     """
 
     def __init__(self) -> None:
@@ -18,25 +18,25 @@
         self._cancelled: dict[str, list[str]] = {}
         self._pending: dict[str, list[str]] = {}
 
-    def held(self, owner: str, lease_ids: dict[str, list[str]]) -> None:
-        """Note what a gateway says it holds; a later word replaces an earlier one."""
+    def record(self, owner: str, lease_ids: dict[str, list[str]]) -> None:
+        """Record the leases that a gateway holds, by job group; replaces its earlier report."""
         for group, ids in lease_ids.items():
             if ids:
                 self._held.setdefault(group, {})[owner] = ids
 
     def take(self, group: str) -> list[HeldLeases]:
-        """Return and clear the renewals for a group's leader."""
+        """Return and clear the renewals for the leader of a job group."""
         owners = self._held.pop(group, {})
         return [HeldLeases(owner, ids) for owner, ids in owners.items()]
 
-    def put_back(self, group: str, held: list[HeldLeases]) -> None:
-        """Keep a batch that the leader did not get, unless a newer word came meanwhile."""
+    def restore(self, group: str, held: list[HeldLeases]) -> None:
+        """Put back a batch that did not reach the leader; newer reports take precedence."""
         owners = self._held.setdefault(group, {})
-        for one in held:
-            owners.setdefault(one.owner, one.lease_ids)
+        for leases in held:
+            owners.setdefault(leases.owner, leases.lease_ids)
 
-    def answered(self, group: str, answer: RenewedLeases) -> None:
-        """Take the leader's word of cancelled jobs and of pending work, whole."""
+    def record_reply(self, group: str, answer: RenewedLeases) -> None:
+        """Replace the cancelled jobs and the pending work of a group by the leader's reply."""
         self._cancelled[group] = answer.cancelled_jobs
         if answer.pending_services is None:
             self._pending.pop(group, None)
@@ -44,9 +44,9 @@
             self._pending[group] = answer.pending_services
 
     def cancelled_jobs(self) -> list[str]:
-        """Return the jobs cancelled lately in all groups."""
+        """Return the recently cancelled jobs of all groups."""
         return [job for jobs in self._cancelled.values() for job in jobs]
 
     def pending_work(self) -> list[PendingWork]:
-        """Return where work is pending, for the groups whose leader has told it."""
+        """Return the services with pending work, for each group whose leader has reported them."""
         return [PendingWork(group, self._pending[group]) for group in sorted(self._pending)]
--- a/src/leverjunction/control/versioned.py
+++ b/src/leverjunction/control/versioned.py
@@ -1,4 +1,4 @@
-"""A map that remembers at which version each key last changed, so that deltas are cheap. Pure."""
+"""A map that tracks the version of each key's last change, for cheap deltas. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 V = TypeVar("V")
 
 MAX_REMOVED_KEYS = 4096
-"""Removed keys that are remembered; readers from before the oldest one get everything."""
+"""Number of removed keys that are remembered. A reader whose version precedes the oldest of them
+gets the complete map.
+"""
 
 
 class VersionCounter:
-    """Counts up; shared by the maps of one view, so that one number stands for all of them.
+    """A counter shared by the maps of one view, so that a single version covers all of them.
 
-    It starts at 1: 0 is what a reader sends that has nothing yet.
+    It starts at 1; readers that have no data yet send 0.
     """
 
     def __init__(self) -> None:
@@ -29,16 +31,17 @@
 
 
 class MapDelta(msgspec.Struct, Generic[V], frozen=True):
-    """What changed in a map after a version: new or changed values, and removed keys."""
+    """The changes of a map after a version: new or changed values, and removed keys."""
 
     changed: list[V]
     removed: list[str]
 
 
 class VersionedMap(Generic[V]):
-    """Values by key, ordered by the version of their last change.
+    """A map ordered by the version of each key's last change.
 
-    Finding what changed after a version costs as much as there are changes, not entries.
+    The cost of finding the changes after a version depends on the number of changes, not on the
+    number of entries.
     """
 
     def __init__(self, counter: VersionCounter) -> None:
@@ -55,7 +58,7 @@
         return key in self._values
 
     def get(self, key: str) -> V | None:
-        """Return the value of a key, or None."""
+        """Return the value of a key, or None if the key is absent."""
         return self._values.get(key)
 
     def keys(self) -> list[str]:
@@ -67,18 +70,18 @@
         return list(self._values.values())
 
     def put(self, key: str, value: V) -> bool:
-        """Set a key; return False, and take no new version, when the value is unchanged."""
+        """Set a key; return False, without taking a new version, if the value is unchanged."""
         if key in self._values and self._values[key] == value:
             return False
         self._values[key] = value
-        # Taken out first, so that the order of this dict stays the order of the versions.
+        # Removed first, so that the dict stays in order of the versions.
         self._versions.pop(key, None)
         self._versions[key] = self._counter.next()
         self._removed.pop(key, None)
         return True
 
     def remove(self, key: str) -> bool:
-        """Remove a key; return False when it was not there."""
+        """Remove a key; return False if it was absent."""
         if key not in self._values:
             return False
         del self._values[key]
@@ -90,11 +93,11 @@
         return True
 
     def covers(self, version: int) -> bool:
-        """Return whether ``since(version)`` names every removal after ``version``."""
+        """Return whether ``since(version)`` contains every removal after ``version``."""
         return version >= self._floor
 
     def since(self, version: int) -> MapDelta[V]:
-        """Return what changed after ``version``, newest first."""
+        """Return the changes after ``version``, newest first."""
         changed = [self._values[key] for key in _newer(self._versions, version)]
         return MapDelta(changed, list(_newer(self._removed, version)))
 
--- a/src/leverjunction/control/warm_up.py
+++ b/src/leverjunction/control/warm_up.py
@@ -1,54 +1,61 @@
-"""When a hub knows enough to give out its view. Pure.
+"""Decides whether a hub knows enough to serve its view. Pure: the time is passed in.
 
-A gateway replaces its view by a full one, so a hub that has just started must not hand out an
-empty one: the gateway then stays with, or goes to, another hub. The same holds for a process that
-was frozen: its gateways have left and others watch its runners by then.
+A gateway replaces its whole view by a full view, so a hub that has just started must not serve an
+empty one. While it refuses, the gateway uses another hub. The same applies after the process was
+paused (a standstill): by then its gateways use other hubs, and other hubs watch its runners.
 """
 
 from __future__ import annotations
 
 WARM_UP_S = 3.0
-"""A hub that started less than this ago, and has not heard all others, gives no view yet."""
+"""Longest warm-up: after it, the view is served even if other hubs have not been heard."""
 
 STANDSTILL_S = 2.0
-"""A process in which nothing happened for this long was frozen: its tasks run twice a second."""
+"""A process without activity for this long was paused: its tasks run twice a second."""
 
 
 class WarmUp:
-    """Follows one process from its start, and from each standstill. Not safe between threads.
+    """Tracks the warm-up of a process after its start and after each pause. Not thread-safe.
 
     Attributes:
-        standstills: How often the process was found to have stood still.
-        runners_read: Whether the runners were read since the start or the last standstill.
+        standstills: Number of pauses that were detected.
+        runners_read: Whether the runners were read since the start or the last pause.
     """
 
     def __init__(self, now_s: float) -> None:
         self.standstills = 0
         self.runners_read = False
-        self._began_s = now_s
-        self._alive_s = now_s
-        self._warm = False
-
-    def alive(self, now_s: float) -> float:
-        """Note that something happens in this process; return how long it stood still, or 0."""
-        stood_s = now_s - self._alive_s
-        self._alive_s = now_s
-        if stood_s <= STANDSTILL_S:
+        self._started_s = now_s
+        self._last_activity_s = now_s
+        self._is_warm = False
+
+    def record_activity(self, now_s: float) -> float:
+        """Record activity of this process; return the length of a pause before it, or 0.
+
+        Args:
+            now_s: Monotonic time in seconds.
+
+        Returns:
+            Seconds since the last activity if that was a pause, 0 otherwise.
+        """
+        paused_s = now_s - self._last_activity_s
+        self._last_activity_s = now_s
+        if paused_s <= STANDSTILL_S:
             return 0.0
         self.standstills += 1
         self.runners_read = False
-        self._began_s = now_s
-        self._warm = False
-        return stood_s
+        self._started_s = now_s
+        self._is_warm = False
+        return paused_s
 
     def is_warm(self, now_s: float, heard_all: bool) -> bool:
-        """Return whether the view may be given out; it stays so until a standstill.
+        """Return whether the view may be served; once true, it stays true until the next pause.
 
         Args:
             now_s: Monotonic time in seconds.
-            heard_all: Whether all other hubs were heard.
+            heard_all: Whether all other hubs have been heard.
         """
-        if not self._warm:
+        if not self._is_warm:
             complete = self.runners_read and heard_all
-            self._warm = complete or now_s - self._began_s > WARM_UP_S
-        return self._warm
+            self._is_warm = complete or now_s - self._started_s > WARM_UP_S
+        return self._is_warm
--- a/tests/unit/test_control_fanout.py
+++ b/tests/unit/test_control_fanout.py
@@ -12,7 +12,7 @@
 from leverjunction.control.layout import hubs_for_gateway
 from leverjunction.control.membership import SMALL_CLUSTER_RUNNERS, Membership
 from leverjunction.control.messages import RenewedLeases, RunnerReading
-from leverjunction.control.renewals import RenewalBook
+from leverjunction.control.renewals import RenewalBuffer
 from leverjunction.wire.messages import PendingWork, RunnerDigest
 
 ZONES = [f"zone-{number:02}" for number in range(15)]
@@ -135,13 +135,13 @@
 
 
 def test_pending_work_is_told_once_and_again_after_a_lost_reply() -> None:
-    book, session = RenewalBook(), GatewaySession(1)
-    assert session.untold_work(book.pending_work()) == []
-    book.answered("jobs-0", RenewedLeases([], [], ["llm"]))
+    renewals, session = RenewalBuffer(), GatewaySession(1)
+    assert session.changed_pending_work(renewals.pending_work()) == []
+    renewals.record_reply("jobs-0", RenewedLeases([], [], ["llm"]))
     work = [PendingWork("jobs-0", ["llm"])]
-    assert session.untold_work(book.pending_work()) == work
-    assert session.untold_work(book.pending_work()) is None
+    assert session.changed_pending_work(renewals.pending_work()) == work
+    assert session.changed_pending_work(renewals.pending_work()) is None
     session.reset()
-    assert session.untold_work(book.pending_work()) == work
-    book.answered("jobs-0", RenewedLeases([], []))
-    assert session.untold_work(book.pending_work()) == []
+    assert session.changed_pending_work(renewals.pending_work()) == work
+    renewals.record_reply("jobs-0", RenewedLeases([], []))
+    assert session.changed_pending_work(renewals.pending_work()) == []
--- a/tests/unit/test_control_standstill.py
+++ b/tests/unit/test_control_standstill.py
@@ -8,7 +8,7 @@
 
 from leverjunction.backends.machine_list import Machine, MachineList, MachineState
 from leverjunction.backends.types import LoadReport
-from leverjunction.control.hub import LIST_DOUBT_S, Hub, HubIdentity
+from leverjunction.control.hub import LIST_REFUSAL_LIMIT_S, Hub, HubIdentity
 from leverjunction.control.hub_sync import HubSyncTasks
 from leverjunction.control.messages import (
     HubState,
@@ -193,7 +193,7 @@
     cluster.clock.now_s += 1.5
     assert isinstance(exchange(hub), Failure)
     for _ in range(4):
-        cluster.clock.now_s += LIST_DOUBT_S / 4
+        cluster.clock.now_s += LIST_REFUSAL_LIMIT_S / 4
         hub.begin_machine_list_read(2.0)
     assert isinstance(exchange(hub), ExchangeReply)
 
@@ -248,7 +248,7 @@
         {},
         lambda: cluster.state("c1"),
     )
-    tasks._tell("c2", PEERS["c2"])
+    tasks._sync_with("c2", PEERS["c2"])
     assert peer.full == [False, True]
     assert [hub.name for hub in cluster.hubs["c2"].live_hubs()] == ["c1"]
 
@@ -284,10 +284,10 @@
 def test_placement_records_outlive_their_maker_and_are_told_once(cluster: Cluster) -> None:
     newest = record(2, 1)
     cluster.hubs["c1"].set_placement(newest)
-    assert not cluster.hubs["c1"].placement_told_most(newest.stamp)
+    assert not cluster.hubs["c1"].is_placement_known_to_majority(newest.stamp)
     cluster.sync("c1", "c2")
-    assert cluster.hubs["c1"].placement_told_most(newest.stamp)
-    assert not cluster.hubs["c1"].placement_told_most(record(1, 1).stamp)
+    assert cluster.hubs["c1"].is_placement_known_to_majority(newest.stamp)
+    assert not cluster.hubs["c1"].is_placement_known_to_majority(record(1, 1).stamp)
     cluster.sync("c2", "c3")
     assert cluster.hubs["c3"].placement_record() == newest
     assert cluster.message("c2", "c3").hub.placement is None
