--- a/src/leverjunction/control/lease_expiry.py
+++ b/src/leverjunction/control/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Expiry of batch leases and deadlines on the leaders of the job groups.
+"""Expires batch leases and job deadlines on the leaders of the job groups.
 
 Each control process runs one ``LeaseExpiry`` for the job groups that it holds; it acts only for
 those that it leads. Leases are kept by the leader's monotonic clock (``batch.lease_keeper``).
@@ -34,16 +34,17 @@
 
 TICK_INTERVAL_S = 0.5
 RECONCILE_INTERVAL_S = 2.0
-"""How often the open leases of the applied state are compared with those that are kept."""
+"""Interval at which the timers are reconciled with the open leases of the applied state."""
 
 DEADLINE_INTERVAL_S = 1.0
-"""Between two commands for what has fallen due: deadlines, abandoned uploads, old results."""
+"""Minimum interval between commands that process due deadlines, abandoned uploads and old results.
+"""
 
 PENDING_INTERVAL_S = 0.25
-"""How long a list of the services with pending work is told again: every hub asks for it."""
+"""The list of services with pending work is cached for this long, since every hub queries it."""
 
-CANCELLED_TOLD_S = 30.0
-"""How long a cancelled job is told to the hubs: far longer than any exchange takes."""
+CANCELLED_REPORT_S = 30.0
+"""A cancelled job is reported to the hubs for this long: far longer than any exchange takes."""
 
 COMMAND_TIMEOUT_S = 2.0
 LEADER = "leader"
@@ -53,7 +54,7 @@
 
 
 class _LedGroup:
-    """What the leader of one job group keeps in memory."""
+    """The in-memory state of the leader of one job group."""
 
     def __init__(self, duration_s: float) -> None:
         self.lock = threading.Lock()
@@ -69,12 +70,12 @@
 
 
 class LeaseExpiry:
-    """Ends leases that were not renewed, and knows what holders have lost.
+    """Expires leases that were not renewed, and tells holders which leases they have lost.
 
     Args:
         replicas: Local replicas of the job groups, by group.
         clock: Source of monotonic time.
-        duration_s: How long a lease holds without renewal: what holders are told with the grant.
+        duration_s: Duration of a lease without renewal, in seconds, as stated in its grant.
     """
 
     def __init__(
@@ -88,12 +89,12 @@
         self._groups = {group: _LedGroup(duration_s) for group in replicas}
 
     def tick(self) -> None:
-        """Do what is due in each group that this process leads. Called by a background task."""
+        """Process what is due in each group that this process leads. Run by a background task."""
         for group, replica in self._replicas.items():
             self._tick_group(group, replica, self._groups[group])
 
     def committed(self, group: str, command: bytes, reply: bytes) -> None:
-        """Note a proposal that was applied on this leader (see ``GroupHost``)."""
+        """Record a proposal that was applied on this leader (see ``GroupHost``)."""
         led = self._groups.get(group)
         if led is None:
             return
@@ -106,10 +107,10 @@
         elif command.startswith(_CANCEL_PREFIX):
             job_id = msgspec.json.decode(command, type=CancelJob).job_id
             with led.lock:
-                led.cancelled[job_id] = now_s + CANCELLED_TOLD_S
+                led.cancelled[job_id] = now_s + CANCELLED_REPORT_S
 
     def renew(self, group: str, renewals: RenewLeases) -> RenewedLeases | Failure:
-        """Renew leases for a hub's gateways; refused unless this process leads the group."""
+        """Renew leases for a hub's gateways; fails unless this process leads the group."""
         replica = self._replicas.get(group)
         if replica is None:
             return _not_leader(group, "")
@@ -120,7 +121,7 @@
         lost = [self._renew_owner(replica, led, held) for held in renewals.held]
         now_s = self._clock.monotonic_s()
         with led.lock:
-            led.cancelled = {job: until for job, until in led.cancelled.items() if until > now_s}
+            led.cancelled = {job: end_s for job, end_s in led.cancelled.items() if end_s > now_s}
             cancelled = list(led.cancelled)
         pending = self._pending_services(replica, led, now_s)
         return RenewedLeases([held for held in lost if held.lease_ids], cancelled, pending)
@@ -128,7 +129,7 @@
     def _pending_services(
         self, replica: ReplicatedGroup, led: _LedGroup, now_s: float
     ) -> list[str] | None:
-        """Return the services with pending work, None when that cannot be read."""
+        """Return the services with pending work, or None if they cannot be read."""
         with led.lock:
             if now_s - led.pending_read_s < PENDING_INTERVAL_S:
                 return led.pending
@@ -147,7 +148,7 @@
         with led.lock:
             unknown = led.keeper.renewed(held.lease_ids, now_s)
         if unknown:
-            # A grant whose proposer timed out is in the applied state though nobody told of it.
+            # A grant whose proposal timed out may be applied without a call to ``committed``.
             self._reconcile(replica, led)
             with led.lock:
                 unknown = led.keeper.renewed(unknown, now_s)
@@ -173,10 +174,10 @@
     def _take_over(
         self, group: str, replica: ReplicatedGroup, led: _LedGroup, status: GroupStatus
     ) -> None:
-        """Start to lead: every open lease gets a whole duration, since renewals are not logged."""
+        """Take over as leader; open leases get a full duration, because renewals are not logged."""
         with led.lock:
             led.granted_lately.clear()
-        # Read through the quorum: by then all that earlier leaders committed is applied here.
+        # Read through the quorum, so everything that earlier leaders committed is applied here.
         backlog = _query(replica, GetBacklog(), Backlog)
         if isinstance(backlog, Failure):
             return
@@ -185,11 +186,11 @@
         with led.lock:
             led.keeper.became_leader(open_leases | led.granted_lately, now_s)
             for job_id in backlog.cancelled_jobs:
-                led.cancelled[job_id] = now_s + CANCELLED_TOLD_S
+                led.cancelled[job_id] = now_s + CANCELLED_REPORT_S
             led.due_ms = backlog.next_due_ms
             led.reconciled_s = now_s
             led.term = status.term
-        logger.info("leads {} in term {}: {} open leases", group, status.term, len(open_leases))
+        logger.info("leading {} in term {}: {} open leases", group, status.term, len(open_leases))
 
     def _reconcile(self, replica: ReplicatedGroup, led: _LedGroup) -> None:
         with led.lock:
@@ -200,7 +201,7 @@
             return
         now_s = self._clock.monotonic_s()
         with led.lock:
-            # Granted while the state was read: not in it yet, and open all the same.
+            # Leases granted while the state was read are open but may be missing from it.
             led.keeper.retain(_open_leases(backlog) | led.granted_lately, now_s)
             led.due_ms = backlog.next_due_ms
             led.reconciled_s = now_s
@@ -237,7 +238,7 @@
 def _not_leader(group: str, leader: str) -> Failure:
     return Failure(
         kind=FailureKind.NOT_LEADER,
-        reason=f"this process does not lead {group}, or has only just begun to",
+        reason=f"this process does not lead {group}, or has only just become its leader",
         step=Step.LEASING,
         detail=leader,
     )
--- a/src/leverjunction/control/placement_runner.py
+++ b/src/leverjunction/control/placement_runner.py
@@ -1,9 +1,10 @@
-"""Carries out placement on the process that leads group root.
+"""Carries out placement orders on the process that leads group root.
 
-An order gets its own fence from group root, is told to most of the other hubs, and only then is
-sent. So a successor finds every order that may have been sent: it sends it again with the same
-fence and id, which an engine takes as a resend, before it gives orders of its own. An engine
-refuses fences below the highest it has seen, so late orders can neither double nor overtake.
+Each order gets a fencing token (fence) from group root, is announced to a majority of the hubs,
+and only then is sent. A successor therefore knows every order that may have been sent. Before it
+sends orders of its own, it resends these with the same fence and id, which the engine recognises
+as a resend. An engine refuses fences below the highest it has seen, so a delayed order can be
+neither executed twice nor overtake a newer one.
 """
 
 from __future__ import annotations
@@ -45,25 +46,27 @@
 
 FENCE_TIMEOUT_S = 2.0
 REFUSED_PAUSE_S = 10.0
-"""A runner whose engine refused an order gets no other one for this long."""
+"""A runner whose engine refused an order gets no further order for this long."""
 
 LEADER = "leader"
 
 
 class PlacementRunner:
-    """One round of placement for each tick. Called by one background task.
+    """Runs one round of placement per tick, on the process that leads group root.
+
+    ``tick`` is called by a single background task.
 
     Args:
         name: Name of this process.
-        replica: Local replica of group root; None on a process that holds none.
-        host: Takes fences through group root.
-        hub: Gives the snapshot of the cluster, takes withdrawals.
+        replica: Local replica of group root; None on a process without one.
+        host: Obtains fences and reads settings through group root.
+        hub: Provides snapshots of the cluster and distributes placement records.
         mirror: Settings in force.
-        engines: Sends orders.
+        engines: Client that sends orders to engines.
         clock: Source of monotonic time.
         random: Source of order ids.
-        counters: Counts orders.
-        max_loads: Weight loads in progress at most.
+        counters: Counts orders by outcome.
+        max_loads: Maximum number of weight loads in progress.
     """
 
     def __init__(
@@ -99,8 +102,8 @@
         self._first_seen: dict[str, tuple[int, float]] = {}
 
     def tick(self) -> None:
-        """Do one round if this process leads group root."""
-        term = self._led_term()
+        """Run one round if this process leads group root."""
+        term = self._current_leader_term()
         if term == 0:
             self._step_down()
             return
@@ -108,13 +111,13 @@
             return
         now_s = self._clock.monotonic_s()
         snapshot = self._hub.snapshot()
-        self._settle(snapshot, now_s)
+        self._drop_ended_orders(snapshot, now_s)
         self._plan(snapshot, now_s)
         self._publish(term)
-        self._send_told()
+        self._send_announced()
 
     def _publish(self, term: int) -> None:
-        """Give the hubs what they have to know, under a new revision if it changed."""
+        """Pass the placement record to the hub, under a new revision if it changed."""
         last = self._record
         record = PlacementRecord(
             term=term,
@@ -126,26 +129,26 @@
             self._revision += 1
             record = msgspec.structs.replace(record, revision=self._revision)
             self._record = record
-            self._withdrawals.told(record.stamp)
+            self._withdrawals.record_announced(record.stamp)
             for order in self._orders.values():
-                order.told = order.told or record.stamp
+                order.announced = order.announced or record.stamp
         self._hub.set_placement(record)
 
     def status(self) -> PlacementStatus:
-        """Return what the operators see."""
+        """Return the state of placement for operators."""
         orders = [order.pending for order in list(self._orders.values())]
         return PlacementStatus(
             leads=self._term != 0,
             in_progress=[
-                f"{one.runner_id}: {one.order.action} {one.order.model} {one.order.adapter} "
-                f"version {one.order.version}"
-                for one in orders
+                f"{pending.runner_id}: {pending.order.action} {pending.order.model} "
+                f"{pending.order.adapter} version {pending.order.version}"
+                for pending in orders
             ],
             withdrawn=sorted(self._withdrawals.since_s),
             blocked=self._blocked,
         )
 
-    def _led_term(self) -> int:
+    def _current_leader_term(self) -> int:
         if self._replica is None:
             return 0
         status = self._replica.status()
@@ -154,7 +157,7 @@
     def _step_down(self) -> None:
         if self._term == 0:
             return
-        logger.info("placement: no longer leads")
+        logger.info("placement: this process no longer leads")
         self._term = 0
         self._record = None
         self._orders.clear()
@@ -162,15 +165,15 @@
         self._blocked = []
 
     def _take_over(self, term: int) -> bool:
-        """Go on where the last leader was; return False while this process is not up to date.
+        """Continue the work of the last leader; return False while this process is not up to date.
 
-        Each order was told to most hubs before it was sent. So a process that has heard most of
-        them since it started knows each order that may have been sent.
+        Each order was announced to a majority of hubs before it was sent. A process that has heard
+        from a majority since its start therefore knows every order that may have been sent.
         """
         if not self._hub.hears_majority():
             return False
         query = GetSettings(after_version=self._mirror.version)
-        # Answered through the quorum: tells whether a change is committed but not applied here.
+        # Answered through the quorum, so it shows committed changes that are not applied here yet.
         delta = self._host.query(ROOT_GROUP, query, SettingsDelta, FENCE_TIMEOUT_S)
         if isinstance(delta, Failure) or delta.version > self._mirror.version:
             return False
@@ -179,28 +182,30 @@
         self._withdrawals.take_over(last, now_s)
         orders = last.orders if last is not None else []
         self._orders = {
-            order.runner_id: OrderInProgress(pending=order, began_s=now_s) for order in orders
+            order.runner_id: OrderInProgress(pending=order, started_s=now_s) for order in orders
         }
         self._term = term
         self._record = None
-        # Within one term records go on from the last one: an older one would not be taken.
+        # Within a term, revisions continue from the last record: hubs ignore an older record.
         self._revision = last.revision if last is not None and last.term == term else 0
-        logger.info("placement: leads in term {}, {} orders in progress", term, len(orders))
+        logger.info("placement: leading in term {}, {} orders in progress", term, len(orders))
         return True
 
-    def _settle(self, snapshot: ClusterSnapshot, now_s: float) -> None:
-        """Forget orders that are done, lost with a restart of the engine, or out of time."""
+    def _drop_ended_orders(self, snapshot: ClusterSnapshot, now_s: float) -> None:
+        """Drop orders that are done, were lost with a restart of the engine, or timed out."""
         listed = {runner.runner_id for runner in snapshot.runners}
         for runner_id, order in list(self._orders.items()):
             reading = snapshot.readings.get(runner_id)
-            if runner_id not in listed or order.is_over(reading, now_s):
+            if runner_id not in listed or order.has_ended(reading, now_s):
                 del self._orders[runner_id]
 
     def _plan(self, snapshot: ClusterSnapshot, now_s: float) -> None:
         loads = [
-            one for one in self._orders.values() if one.pending.order.action is OrderAction.LOAD
+            order
+            for order in self._orders.values()
+            if order.pending.order.action is OrderAction.LOAD
         ]
-        self._withdrawals.heard(self._hub.oldest_placement_in_force(), now_s)
+        self._withdrawals.update_in_force(self._hub.oldest_placement_in_force(), now_s)
         steps = plan(
             wanted_models(self._mirror.settings),
             self._runner_statuses(snapshot, now_s),
@@ -224,11 +229,13 @@
                 return
             reading = snapshot.readings[wanted.runner_id]
             self._orders[wanted.runner_id] = OrderInProgress(
-                pending=self._pending(wanted, addresses[wanted.runner_id], reading, fence),
-                began_s=self._clock.monotonic_s(),
+                pending=self._make_pending_order(
+                    wanted, addresses[wanted.runner_id], reading, fence
+                ),
+                started_s=self._clock.monotonic_s(),
             )
 
-    def _pending(
+    def _make_pending_order(
         self, wanted: WantedOrder, address: str, reading: RunnerReading, fence: Fence
     ) -> PendingOrder:
         order = Order(
@@ -247,10 +254,12 @@
             incarnation=reading.incarnation,
         )
 
-    def _send_told(self) -> None:
+    def _send_announced(self) -> None:
         for order in list(self._orders.values()):
-            told = order.told is not None and self._hub.is_placement_known_to_majority(order.told)
-            if told and not order.sent and self._led_term() == self._term:
+            announced = order.announced is not None and self._hub.is_placement_known_to_majority(
+                order.announced
+            )
+            if announced and not order.sent and self._current_leader_term() == self._term:
                 self._send(order)
 
     def _send(self, order: OrderInProgress) -> None:
@@ -259,14 +268,14 @@
         if isinstance(report, Failure):
             self._counters.orders.labels("failed").inc()
             return
-        if order.is_for_another_life(report):
-            # The reading of the hub that watches it will tell, and the order ends.
+        if order.targets_other_incarnation(report):
+            # The order ends as soon as the hub that watches the runner reports the restart.
             return
-        if not self._may_change(order, report):
+        if not self._may_send(order, report):
             return
         outcome = self._engines.order(pending.address, pending.order)
         if isinstance(outcome, Failure):
-            # Sent again as it is in the next round: the engine knows a resend by fence and id.
+            # Resent unchanged in the next round: the engine recognises a resend by fence and id.
             self._counters.orders.labels("failed").inc()
             return
         if outcome.accepted:
@@ -274,15 +283,15 @@
             order.sent = True
             return
         self._counters.orders.labels("refused").inc()
-        logger.warning("placement: {} refused the order: {}", pending.runner_id, outcome.reason)
+        logger.warning("placement: {} refused its order: {}", pending.runner_id, outcome.reason)
         del self._orders[pending.runner_id]
         self._paused_until_s[pending.runner_id] = self._clock.monotonic_s() + REFUSED_PAUSE_S
 
-    def _may_change(self, order: OrderInProgress, report: LoadReport) -> bool:
-        """Return whether no request meets the change by the engine's own word.
+    def _may_send(self, order: OrderInProgress, report: LoadReport) -> bool:
+        """Return whether the engine's own report shows that no request uses the model.
 
-        The planner knows its load from digests, which are seconds old. An order whose withdrawal
-        was lifted meanwhile is no longer wanted, and ends.
+        The planner knows the load only from digests, which are seconds old. An order whose
+        withdrawal has been lifted in the meantime is obsolete and is dropped.
         """
         pending = order.pending
         name = order.engine_model_name
@@ -291,22 +300,24 @@
         withdrawal = Withdrawal(pending.runner_id, name)
         since_s = self._withdrawals.since_s.get(withdrawal)
         if since_s is None:
-            logger.info("placement: {} is in use on {}, its order ends", name, pending.runner_id)
+            logger.info(
+                "placement: {} is in use again on {}; order dropped", name, pending.runner_id
+            )
             del self._orders[pending.runner_id]
             return False
         now_s = self._clock.monotonic_s()
         is_idle = report.running + report.waiting == 0
-        is_drained = is_idle and self._withdrawals.shows_all(withdrawal, now_s)
+        is_drained = is_idle and self._withdrawals.report_covers_all_requests(withdrawal, now_s)
         return is_drained or now_s - since_s >= DRAIN_LIMIT_S
 
     def _runner_statuses(self, snapshot: ClusterSnapshot, now_s: float) -> list[RunnerStatus]:
-        busy = {one.runner_id: one.running + one.waiting for one in snapshot.digests}
-        facts = []
+        busy = {digest.runner_id: digest.running + digest.waiting for digest in snapshot.digests}
+        statuses = []
         for runner in snapshot.runners:
             reading = snapshot.readings.get(runner.runner_id)
             if reading is None:
                 continue
-            facts.append(
+            statuses.append(
                 RunnerStatus(
                     runner_id=runner.runner_id,
                     service=runner.service,
@@ -314,14 +325,14 @@
                     models=reading.models,
                     versions=reading.versions,
                     busy=busy.get(runner.runner_id, 0),
-                    up_s=now_s - self._seen_since(reading, now_s),
+                    up_s=now_s - self._first_seen_s(reading, now_s),
                     ordered=runner.runner_id in self._orders
                     or self._paused_until_s.get(runner.runner_id, now_s) > now_s,
                 )
             )
-        return facts
+        return statuses
 
-    def _seen_since(self, reading: RunnerReading, now_s: float) -> float:
+    def _first_seen_s(self, reading: RunnerReading, now_s: float) -> float:
         known = self._first_seen.get(reading.runner_id)
         if known is None or known[0] != reading.incarnation:
             known = self._first_seen[reading.runner_id] = (reading.incarnation, now_s)
@@ -329,7 +340,7 @@
 
 
 def wanted_models(settings: ResolvedSettings) -> list[WantedModel]:
-    """Return every model and adapter that the settings want loaded."""
+    """Return every model and adapter that the settings assign to a service."""
     wanted: list[WantedModel] = []
     for service in settings.names("services"):
         for model in settings.models(service):
--- a/src/leverjunction/control/quorum.py
+++ b/src/leverjunction/control/quorum.py
@@ -1,8 +1,9 @@
-"""Where this hub reads settings from, and how long ago it heard the root group's leader.
+"""Sources of settings for a hub, and the age of its contact with the leader of group root.
 
-A hub that holds a replica of group root uses it. With more control processes than voters the
-others follow the voters: they read the applied settings of the one that is furthest, and their
-age of contact is the best age that a voter told, plus the time since it told it.
+A hub that holds a replica of group root reads from that replica. If there are more control
+processes than voters, the other hubs follow the voters: they read the applied settings of the most
+advanced voter, and their contact age is the lowest age that a voter reported, plus the time since
+that report.
 """
 
 from __future__ import annotations
@@ -19,82 +20,86 @@
 from leverjunction.wire.envelope import Envelope, MessageKind
 from leverjunction.wire.rpc_client import RpcClient
 
-NEVER_HEARD_S = 3600.0
+NO_CONTACT_AGE_S = 3600.0
 READ_TIMEOUT_S = 1.0
 FULL_READ_TIMEOUT_S = 3.0
-"""For the first read of a process that has just started: all settings, some megabytes."""
+"""Timeout for the first read after a start, which returns all settings: some megabytes."""
 
 
 class RootFollower(Protocol):
-    """Reads of group root that need no leader."""
+    """Reads settings of group root without contacting its leader."""
 
     def read(self, query: GetSettings) -> SettingsDelta | Failure:
-        """Return applied settings after a version."""
+        """Return the applied settings that changed after a version."""
         ...
 
     def quorum_age_s(self) -> float:
-        """Return the seconds since the leader was heard."""
+        """Return the age of the last contact with the leader, in seconds."""
         ...
 
 
 class LocalRoot:
-    """Follows the replica of group root that lives in this process.
+    """Reads settings from this process's own replica of group root.
 
     Args:
         replica: The replica.
-        clock: Source of monotonic time; without one the age is unknown during an election.
+        clock: Source of monotonic time; without it the age is unknown during an election.
     """
 
     def __init__(self, replica: ReplicatedGroup, clock: Clock | None = None) -> None:
         self._replica = replica
         self._clock = clock
-        self._heard_s: float | None = None
-        self._read_heard_s: float | None = None
-        """When the leader had been heard of what was read last; None before the first reading."""
+        self._leader_contact_s: float | None = None
+        self._read_contact_s: float | None = None
+        """Time of the leader contact that the last read reflects; None before the first read."""
 
     def read(self, query: GetSettings) -> SettingsDelta | Failure:
-        """Return what the local replica has applied."""
+        """Return the settings that the local replica has applied after a version."""
         age_s = self._contact_age_s()
         delta = decode_reply(self._replica.query_local(encode(query)), SettingsDelta)
         if self._clock is not None and not isinstance(delta, Failure):
-            self._read_heard_s = self._clock.monotonic_s() - age_s
+            self._read_contact_s = self._clock.monotonic_s() - age_s
         return delta
 
     def quorum_age_s(self) -> float:
-        """Return how old what is served here may be, in seconds.
+        """Return the maximum age of the settings served by this hub, in seconds.
 
-        A replica that has caught up makes nothing fresh that was read from it before: a gateway
-        that takes a hub for fresh asks again only after a second.
+        Counts from the leader contact before the last read: when a replica catches up, settings
+        read from it earlier remain old. A gateway that considers a hub fresh asks it again only
+        after a second.
         """
         age_s = self._contact_age_s()
-        if self._clock is None or self._read_heard_s is None:
+        if self._clock is None or self._read_contact_s is None:
             return age_s
-        return min(max(age_s, self._clock.monotonic_s() - self._read_heard_s), NEVER_HEARD_S)
+        return min(max(age_s, self._clock.monotonic_s() - self._read_contact_s), NO_CONTACT_AGE_S)
 
     def _contact_age_s(self) -> float:
-        """Return the seconds since a leader was heard; a blank replica has never heard one.
+        """Return the seconds since the last leader contact, or ``NO_CONTACT_AGE_S`` without one.
 
-        No leader is known during an election. The age goes on from the last contact then, so
-        that a short election makes no hub stale and moves no gateway.
+        No leader is known during an election. The age then continues from the last contact, so
+        that a short election neither makes a hub stale nor causes gateways to switch hubs.
         """
         status = self._replica.status()
         if self._clock is None:
-            return status.leader_contact_age_s if status.leader_address else NEVER_HEARD_S
+            return status.leader_contact_age_s if status.leader_address else NO_CONTACT_AGE_S
         now_s = self._clock.monotonic_s()
         if status.leader_address:
             contact_s = now_s - status.leader_contact_age_s
-            self._heard_s = max(contact_s, self._heard_s or contact_s)
-        return NEVER_HEARD_S if self._heard_s is None else now_s - self._heard_s
+            self._leader_contact_s = max(contact_s, self._leader_contact_s or contact_s)
+        return (
+            NO_CONTACT_AGE_S if self._leader_contact_s is None else now_s - self._leader_contact_s
+        )
 
 
 class RemoteRoot:
-    """Follows the voters of group root, which are other processes.
+    """Reads settings from the voters of group root, which are other processes.
 
-    ``hub`` is set once it exists: it is where the voters' states come in.
+    Attributes:
+        hub: The hub that receives the voters' states; set once it has been created.
 
     Args:
-        rpc: Client towards the voters.
-        voters: Their RPC addresses.
+        rpc: RPC client for the voters.
+        voters: RPC addresses of the voters.
         clock: Source of monotonic time.
     """
 
@@ -102,16 +107,16 @@
         self._rpc = rpc
         self._voters = voters
         self._clock = clock
-        self._level_s: float | None = None
+        self._read_sent_s: float | None = None
         self.hub: Hub | None = None
 
     def read(self, query: GetSettings) -> SettingsDelta | Failure:
-        """Read from the voter that is furthest ahead, if it is ahead of the asker at all."""
+        """Read from the most advanced voter if it is ahead of the requested version."""
         sent_s = self._clock.monotonic_s()
         delta = self._read(query)
         if not isinstance(delta, Failure):
-            # What it shows is at least as new as the sending.
-            self._level_s = sent_s
+            # The reply is at least as new as the time at which the query was sent.
+            self._read_sent_s = sent_s
         return delta
 
     def _read(self, query: GetSettings) -> SettingsDelta | Failure:
@@ -133,35 +138,36 @@
         )
 
     def quorum_age_s(self) -> float:
-        """Return the best age of contact that a live voter told, with the time since then.
+        """Return the lowest contact age that a live voter reported, plus the time since then.
 
-        It is at least the time since the last read that succeeded: a voter may be heard while the
-        calls to it fail, and the settings here then fall behind.
+        It is never less than the time since the last successful read: if messages from a voter
+        arrive while calls to it fail, the settings of this hub fall behind.
         """
-        if self.hub is None or self._level_s is None:
-            return NEVER_HEARD_S
-        read_age_s = self._clock.monotonic_s() - self._level_s
+        if self.hub is None or self._read_sent_s is None:
+            return NO_CONTACT_AGE_S
+        read_age_s = self._clock.monotonic_s() - self._read_sent_s
         heard = self.hub.hub_heard_ages_s()
         ages = [
             state.quorum_age_s + heard[state.name]
             for state in self.hub.live_hubs()
             if state.rpc_address in self._voters and state.name in heard
         ]
-        return max(min(ages, default=NEVER_HEARD_S), read_age_s)
+        return max(min(ages, default=NO_CONTACT_AGE_S), read_age_s)
 
 
 def serve_local_query(hub: Hub, envelope: Envelope, peer: str) -> bytes:
-    """RPC handler of LOCAL_QUERY: give applied settings, which may lag, to a hub without a voter.
+    """Handle the RPC LOCAL_QUERY: return applied settings, which may lag, to a hub without a voter.
 
-    Served as to gateways: the step is read and encoded once, and few large ones go out at once.
+    Served in the same way as gateways: each settings step is read and encoded only once, and the
+    number of large replies in progress is limited.
     """
     if envelope.group != ROOT_GROUP:
-        return encode_reply(_no_such_query(envelope.group))
+        return encode_reply(_no_local_query_failure(envelope.group))
     query = decode(envelope.body, GetSettings, peer)
     return encode_reply(query) if isinstance(query, Failure) else hub.settings_encoded(query)
 
 
-def _no_such_query(group: str) -> Failure:
+def _no_local_query_failure(group: str) -> Failure:
     return Failure(
         kind=FailureKind.NOT_FOUND,
         reason=f"group {group!r} has no local queries",
--- a/tests/unit/test_control_quorum.py
+++ b/tests/unit/test_control_quorum.py
@@ -9,7 +9,7 @@
 from leverjunction.consensus.api import GroupStatus, ReplicatedGroup
 from leverjunction.control.hub import Hub
 from leverjunction.control.messages import HubState
-from leverjunction.control.quorum import NEVER_HEARD_S, LocalRoot, RemoteRoot
+from leverjunction.control.quorum import NO_CONTACT_AGE_S, LocalRoot, RemoteRoot
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.settings.commands import GetSettings, SettingsDelta
 from leverjunction.wire.codec import encode_reply
@@ -49,7 +49,7 @@
     """Found in a trial: a hub said 3,600 s as soon as the leader was gone, so gateways left it."""
     replica = Replica()
     root = LocalRoot(cast(ReplicatedGroup, replica), replica)
-    assert root.quorum_age_s() == NEVER_HEARD_S
+    assert root.quorum_age_s() == NO_CONTACT_AGE_S
     replica.hear("a:1")
     assert root.quorum_age_s() == 0.0
     replica.now_s += 0.5
@@ -122,7 +122,7 @@
     clock, voter = Replica(), Voter()
     root = RemoteRoot(cast(RpcClient, voter), ["v:1"], clock)
     root.hub = cast(Hub, voter)
-    assert root.quorum_age_s() == NEVER_HEARD_S
+    assert root.quorum_age_s() == NO_CONTACT_AGE_S
     root.read(GetSettings(after_version=1))
     assert root.quorum_age_s() == pytest.approx(0.3)
     voter.version, voter.is_reached = 2, False
