--- a/tests/unit/test_control_fanout.py
+++ b/tests/unit/test_control_fanout.py
@@ -1,4 +1,4 @@
-"""What a hub tells one gateway of load, and which hubs it names to it."""
+"""Tests of the load digests and the list of hubs that a hub sends to a gateway."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def region_of(zone: str) -> str:
-    """Six regions of two or three zones each."""
+    """Return the region of a zone: six regions of two or three zones each."""
     return f"region-{ZONES.index(zone) * 6 // 15}"
 
 
@@ -34,7 +34,7 @@
 
 
 def cluster(runners: int) -> Membership:
-    """Two zones with every other runner; service ``far`` is only in zone b."""
+    """Return a view with runners in alternating zones; service ``far`` exists only in zone b."""
     machines = [
         Machine(
             id=f"r{number}", address="127.0.0.1:9", zone="ab"[number % 2],
@@ -50,35 +50,35 @@
     return view
 
 
-def told(session: GatewaySession, view: Membership) -> set[str]:
+def drain_digests(session: GatewaySession, view: Membership) -> set[str]:
     ids: set[str] = set()
-    while news := session.digests(view, "a"):
-        ids |= {digest.runner_id for digest in news}
+    while digests := session.digests(view, "a"):
+        ids |= {digest.runner_id for digest in digests}
     return ids
 
 
-def test_a_gateway_hears_of_its_zone_and_of_services_that_are_only_elsewhere() -> None:
+def test_a_gateway_gets_digests_of_its_zone_and_of_services_that_exist_only_elsewhere() -> None:
     view = cluster(4 * SMALL_CLUSTER_RUNNERS)
     zones = {runner.runner_id: (runner.zone, runner.service) for runner in view.runners.values()}
-    wanted = {name for name, (zone, service) in zones.items() if zone == "a" or service == "far"}
-    assert told(GatewaySession(1), view) == wanted
+    expected = {name for name, (zone, service) in zones.items() if zone == "a" or service == "far"}
+    assert drain_digests(GatewaySession(1), view) == expected
 
 
-def test_a_gateway_of_a_small_cluster_hears_of_all_runners() -> None:
+def test_a_gateway_of_a_small_cluster_gets_digests_of_all_runners() -> None:
     view = cluster(SMALL_CLUSTER_RUNNERS)
-    assert told(GatewaySession(1), view) == set(view.runners.keys())
+    assert drain_digests(GatewaySession(1), view) == set(view.runners.keys())
 
 
-def test_a_far_runner_that_turns_unhealthy_and_back_is_told() -> None:
+def test_health_changes_of_a_runner_in_another_zone_are_sent() -> None:
     view = cluster(4 * SMALL_CLUSTER_RUNNERS)
     session = GatewaySession(1)
-    told(session, view)
+    drain_digests(session, view)
     assert "r3" not in view.relevant_runners("a")
     view.update_digests([digest("r3", healthy=False, as_of_ms=2)])
-    assert [one.runner_id for one in session.digests(view, "a")] == ["r3"]
+    assert [digest.runner_id for digest in session.digests(view, "a")] == ["r3"]
     assert session.digests(view, "a") == []
     view.update_digests([digest("r3", healthy=True, as_of_ms=3)])
-    assert [one.healthy for one in session.digests(view, "a")] == [True]
+    assert [digest.healthy for digest in session.digests(view, "a")] == [True]
 
 
 @pytest.mark.parametrize(
@@ -95,18 +95,18 @@
         ({"as_of_ms": REFRESH_MS + 1}, True),
     ],
 )
-def test_only_a_material_change_is_news(changes: dict[str, object], expected: bool) -> None:
+def test_only_material_changes_are_sent(changes: dict[str, object], expected: bool) -> None:
     assert is_material(digest("r"), digest("r", **changes)) is expected
 
 
-def test_changes_that_are_small_one_by_one_are_told_once_they_add_up() -> None:
+def test_small_changes_are_sent_once_they_add_up() -> None:
     view = cluster(2)
     session = GatewaySession(1)
-    told(session, view)
+    drain_digests(session, view)
     view.update_digests([digest("r0", running=11, as_of_ms=2)])
     assert session.digests(view, "a") == []
     view.update_digests([digest("r0", running=12, as_of_ms=3)])
-    assert [one.running for one in session.digests(view, "a")] == [12]
+    assert [digest.running for digest in session.digests(view, "a")] == [12]
 
 
 def hubs_of(gateway: str) -> list[str]:
@@ -116,16 +116,16 @@
     return [addresses[hub] for hub in hubs]
 
 
-def test_the_own_zones_hub_comes_first_then_the_regions() -> None:
+def test_hubs_of_the_zone_come_first_then_hubs_of_the_region() -> None:
     for gateway, zone in GATEWAY_ZONES.items():
         zones = [ZONE_OF[hub] for hub in hubs_of(gateway)]
         assert sorted(zones) == ZONES
         assert zones[0] == zone
-        regions = [region_of(one) == region_of(zone) for one in zones]
+        regions = [region_of(other) == region_of(zone) for other in zones]
         assert regions == sorted(regions, reverse=True)
 
 
-def test_gateways_of_dead_hubs_spread_over_the_rest() -> None:
+def test_gateways_of_dead_hubs_spread_over_the_remaining_hubs() -> None:
     dead = {hub for hub, zone in ZONE_OF.items() if region_of(zone) == "region-0"}
     used = Counter(
         next(hub for hub in hubs_of(gateway) if hub not in dead) for gateway in GATEWAY_ZONES
@@ -134,7 +134,7 @@
     assert max(used.values()) < 1.35 * 340 / len(used)
 
 
-def test_pending_work_is_told_once_and_again_after_a_lost_reply() -> None:
+def test_pending_work_is_sent_once_and_again_after_a_lost_reply() -> None:
     renewals, session = RenewalBuffer(), GatewaySession(1)
     assert session.changed_pending_work(renewals.pending_work()) == []
     renewals.record_reply("jobs-0", RenewedLeases([], [], ["llm"]))
--- a/tests/unit/test_control_lease_expiry.py
+++ b/tests/unit/test_control_lease_expiry.py
@@ -1,4 +1,4 @@
-"""The leader of a job group ends leases and what has fallen due, and only then."""
+"""Tests that only the leader of a job group expires leases and deadlines, and only when due."""
 
 from __future__ import annotations
 
@@ -89,9 +89,7 @@
         expiry.tick()
 
 
-def test_nothing_is_proposed_before_something_falls_due(
-    expiry: LeaseExpiry, replica: Replica
-) -> None:
+def test_nothing_is_proposed_before_it_is_due(expiry: LeaseExpiry, replica: Replica) -> None:
     replica.due_ms = replica.wall_ms() + 60_000
     run(expiry, replica, 50)
     assert replica.proposed == []
@@ -100,7 +98,7 @@
     assert len(replica.proposed) <= 15 / DEADLINE_INTERVAL_S
 
 
-def test_a_lease_that_is_not_renewed_is_ended_after_its_duration(
+def test_a_lease_that_is_not_renewed_expires_after_its_duration(
     expiry: LeaseExpiry, replica: Replica
 ) -> None:
     run(expiry, replica, LEASE_DURATION_S - 1, renew=False)
@@ -109,7 +107,7 @@
     assert encode(ExpireLeases(lease_ids=["lease-1"])) in replica.proposed
 
 
-def test_a_renewal_of_an_unknown_lease_says_that_it_is_lost(
+def test_a_renewal_of_an_unknown_lease_reports_it_as_lost(
     expiry: LeaseExpiry, replica: Replica
 ) -> None:
     answer = expiry.renew(GROUP, RenewLeases([HeldLeases("g1", ["lease-1", "other"])]))
@@ -117,7 +115,7 @@
     assert [held.lease_ids for held in answer.lost] == [["other"]]
 
 
-def test_a_grant_is_kept_from_its_commit_though_the_read_state_lacks_it(
+def test_a_committed_grant_is_held_before_it_appears_in_the_applied_state(
     expiry: LeaseExpiry, replica: Replica
 ) -> None:
     grant = msgspec.structs.replace(GrantLease("", "", "", [], 0), lease_id="fresh")
@@ -127,7 +125,7 @@
     assert answer.lost == []
 
 
-def test_a_process_that_does_not_lead_ends_and_renews_nothing(
+def test_a_process_that_does_not_lead_neither_expires_nor_renews_leases(
     expiry: LeaseExpiry, replica: Replica
 ) -> None:
     replica.role = "follower"
@@ -138,7 +136,7 @@
     assert refused.kind is FailureKind.NOT_LEADER
 
 
-def test_a_new_leader_gives_every_lease_a_whole_duration(
+def test_a_new_leader_gives_every_lease_a_full_duration(
     expiry: LeaseExpiry, replica: Replica
 ) -> None:
     run(expiry, replica, LEASE_DURATION_S - 1, renew=False)
@@ -147,21 +145,23 @@
     assert replica.proposed == []
 
 
-def test_a_new_leader_tells_of_the_last_cancels(expiry: LeaseExpiry, replica: Replica) -> None:
+def test_a_new_leader_reports_recently_cancelled_jobs(
+    expiry: LeaseExpiry, replica: Replica
+) -> None:
     answer = expiry.renew(GROUP, RenewLeases([]))
     assert not isinstance(answer, Failure)
     assert answer.cancelled_jobs == ["old-job"]
 
 
-def test_the_answer_to_renewals_names_the_services_with_pending_work(
+def test_the_reply_to_renewals_lists_the_services_with_pending_work(
     expiry: LeaseExpiry, replica: Replica
 ) -> None:
-    def told() -> list[str] | None:
+    def pending_services() -> list[str] | None:
         answer = expiry.renew(GROUP, RenewLeases([]))
         assert not isinstance(answer, Failure)
         return answer.pending_services
 
-    assert told() == ["s"]
+    assert pending_services() == ["s"]
     replica.pending = {}
     replica.now_s += PENDING_INTERVAL_S
-    assert told() == []
+    assert pending_services() == []
--- a/tests/unit/test_control_membership.py
+++ b/tests/unit/test_control_membership.py
@@ -1,4 +1,4 @@
-"""One hub's view of the cluster, event by event."""
+"""Tests of one hub's view of the cluster, event by event."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
     return msgspec.structs.replace(base, **lists)
 
 
-def test_versioned_map_gives_what_changed() -> None:
+def test_versioned_map_returns_changes_since_a_version() -> None:
     known: VersionedMap[int] = VersionedMap(VersionCounter())
     known.put("a", 1)
     known.put("b", 1)
@@ -96,7 +96,7 @@
     assert known.since(0).changed == [3, 2]
 
 
-def test_a_silent_gateway_is_gone_after_its_timeout() -> None:
+def test_a_silent_gateway_is_removed_after_its_timeout() -> None:
     view = Membership()
     view.update_gateway(gateway(), 0.0)
     view.expire(GATEWAY_TIMEOUT_S)
@@ -105,7 +105,7 @@
     assert "g1" not in view.gateways
 
 
-def test_a_late_exchange_of_an_older_incarnation_is_refused() -> None:
+def test_a_delayed_exchange_of_an_older_incarnation_is_refused() -> None:
     view = Membership()
     assert view.update_gateway(gateway(incarnation=2), 0.0)
     assert not view.update_gateway(gateway(incarnation=1), 0.1)
@@ -114,7 +114,7 @@
     assert merged.incarnation == 2
 
 
-def test_a_stopping_gateway_stays_so_until_its_next_start() -> None:
+def test_a_gateway_stays_stopping_until_its_next_start() -> None:
     view = Membership()
     view.update_gateway(gateway(stopping=True), 0.0)
     view.handle_sync(sync(0, 5, full=True, gateways=[gateway(stopping=False)]), 0.0)
@@ -127,7 +127,7 @@
     assert not merged.stopping
 
 
-def test_settings_versions_do_not_churn_the_gateways_view() -> None:
+def test_settings_versions_do_not_change_the_gateways_view() -> None:
     view = Membership()
     view.update_gateway(gateway(settings_version=1), 0.0)
     before = view.view_counter.value
@@ -163,7 +163,7 @@
     assert (state.leaving if state is not None else None) is expected
 
 
-def test_an_unlisted_runner_is_gone_once_it_stops_answering() -> None:
+def test_an_unlisted_runner_is_removed_once_it_stops_responding() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
     view.update_reading(reading())
@@ -172,7 +172,7 @@
     assert "r1" not in view.runners
 
 
-def test_an_older_machine_list_changes_nothing() -> None:
+def test_an_older_machine_list_is_ignored() -> None:
     view = Membership()
     view.update_machine_list(machines(5, r1="leaving"))
     view.update_machine_list(machines(4, r1="live"))
@@ -181,7 +181,7 @@
     assert state.leaving
 
 
-def test_a_drain_mark_that_is_lifted_ends_the_leaving() -> None:
+def test_removing_a_drain_mark_resets_leaving() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
     view.set_drains(["r1"])
@@ -191,7 +191,7 @@
     assert not state.leaving
 
 
-def test_the_newest_digest_stays_and_an_unhealthy_one_of_the_same_time_wins() -> None:
+def test_the_newest_digest_wins_and_an_unhealthy_one_of_the_same_time_replaces_it() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
     view.update_digests([digest(5, running=3)])
@@ -201,7 +201,7 @@
     assert view.digests.get("r1") == digest(5, running=3, healthy=False)
 
 
-def test_withdrawn_models_are_hidden_until_a_newer_leader_says_otherwise() -> None:
+def test_withdrawn_models_are_hidden_until_a_newer_leader_lifts_the_withdrawal() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
     view.update_reading(reading(models=["m", "n"]))
@@ -210,7 +210,7 @@
     state = view.runners.get("r1")
     assert state is not None
     assert state.models == ["n"]
-    # The leader falls silent: what it withdrew stays so, and an older leader is not believed.
+    # While the leader is silent its withdrawals stay in force, and older records are ignored.
     view.expire(HUB_TIMEOUT_S + 1)
     view.set_placement(PlacementRecord(term=2, withdrawn=[], orders=[]))
     state = view.runners.get("r1")
@@ -249,14 +249,14 @@
     ],
     ids=["next", "repeats", "gone", "late", "gap", "restarted", "full", "old incarnation"],
 )
-def test_messages_of_another_hub(message: HubSync, answer: int, known: set[str]) -> None:
+def test_sync_messages_of_another_hub(message: HubSync, answer: int, known: set[str]) -> None:
     view = Membership()
     view.handle_sync(sync(0, 5, full=True, gateways=[gateway("g1")]), 0.0)
     assert view.handle_sync(message, 1.0) == answer
     assert set(view.gateways.keys()) == known
 
 
-def test_a_silent_hub_takes_its_gateways_along() -> None:
+def test_a_silent_hub_is_removed_with_its_gateways() -> None:
     view = Membership()
     view.handle_sync(sync(0, 5, full=True, gateways=[gateway("g1"), gateway("g2")]), 0.0)
     view.update_gateway(gateway("g2"), HUB_TIMEOUT_S)
@@ -265,8 +265,8 @@
     assert view.live_hubs() == []
 
 
-def test_the_last_reading_of_a_silent_hub_holds_until_another_hub_reads_the_runner() -> None:
-    """Found in a trial: when the hub that watched a runner died, its models vanished for 0.8 s."""
+def test_the_last_reading_of_a_silent_hub_is_used_until_another_hub_reads_the_runner() -> None:
+    """Guards against models vanishing for 0.8 s after the hub that watched their runner died."""
     view = Membership()
     view.update_machine_list(machines(1, r1="live"))
     view.handle_sync(sync(0, 5, full=True, readings=[reading()]), 0.0)
@@ -280,7 +280,7 @@
     assert state.models == []
 
 
-def test_an_entry_that_cannot_be_read_makes_no_machine_in_use_leave() -> None:
+def test_an_unreadable_entry_does_not_mark_a_machine_in_use_as_leaving() -> None:
     view = Membership()
     view.update_machine_list(machines(1, r1="live", r2="live"))
     view.update_machine_list(MachineList(as_of_ms=2, machines=[], unreadable=["r1", "r9"]))
--- a/tests/unit/test_control_placement.py
+++ b/tests/unit/test_control_placement.py
@@ -1,4 +1,4 @@
-"""The planner step by step, and whole rollouts against a model of engines."""
+"""Tests of single planner steps, and of whole rollouts against simulated engines."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def runner(name: str, version: str | None = None, **changes: object) -> RunnerStatus:
-    facts = RunnerStatus(
+    status = RunnerStatus(
         runner_id=name,
         service="s",
         usable=True,
@@ -37,7 +37,7 @@
         up_s=LONG_UP_S,
         ordered=False,
     )
-    return msgspec.structs.replace(facts, **changes)
+    return msgspec.structs.replace(status, **changes)
 
 
 def steps(
@@ -54,7 +54,7 @@
     return plan(entries, runners, withdrawn or {}, applied, loads, max_loads, now_s)
 
 
-OUT_A = Withdrawal("a", "m")
+WITHDRAWN_FROM_A = Withdrawal("a", "m")
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
     ],
     ids=["missing", "one slot", "no slot", "unusable", "ordered", "just started", "elsewhere"],
 )
-def test_loads_what_is_missing(
+def test_missing_models_are_loaded(
     runners: list[RunnerStatus], loads: int, expected: list[str] | int
 ) -> None:
     orders = steps([wanted()], runners, loads=loads).orders
@@ -90,46 +90,50 @@
 )
 def test_a_withdrawn_runner_is_changed_once_idle(age_s: float, busy: int, reloaded: bool) -> None:
     runners = [runner("a", "1", busy=busy), runner("b", "1"), runner("c", "1")]
-    result = steps([wanted("2")], runners, {OUT_A: 1000.0 - age_s})
+    result = steps([wanted("2")], runners, {WITHDRAWN_FROM_A: 1000.0 - age_s})
     assert [order.runner_id for order in result.orders] == (["a"] if reloaded else [])
-    assert result.withdrawn == {OUT_A: 1000.0 - age_s}
+    assert result.withdrawn == {WITHDRAWN_FROM_A: 1000.0 - age_s}
 
 
 @pytest.mark.parametrize(("age_s", "reloaded"), [(SETTLE_S, False), (DRAIN_LIMIT_S, True)])
-def test_a_withdrawal_that_a_gateway_does_not_keep_to_waits(age_s: float, reloaded: bool) -> None:
+def test_a_withdrawal_waits_until_every_gateway_has_applied_it(
+    age_s: float, reloaded: bool
+) -> None:
     runners = [runner("a", "1"), runner("b", "1"), runner("c", "1")]
-    result = steps([wanted("2")], runners, {OUT_A: 1000.0 - age_s}, applied=())
+    result = steps([wanted("2")], runners, {WITHDRAWN_FROM_A: 1000.0 - age_s}, applied=())
     assert [order.runner_id for order in result.orders] == (["a"] if reloaded else [])
 
 
-def test_a_change_taken_back_lifts_the_withdrawal() -> None:
+def test_a_reverted_change_lifts_the_withdrawal() -> None:
     runners = [runner("a", "1"), runner("b", "1")]
-    result = steps([wanted("1")], runners, {OUT_A: 999.0})
+    result = steps([wanted("1")], runners, {WITHDRAWN_FROM_A: 999.0})
     assert (result.orders, result.withdrawn) == ([], {})
 
 
-def test_the_only_ready_runner_is_never_taken() -> None:
+def test_the_only_ready_runner_is_never_withdrawn() -> None:
     result = steps([wanted("2")], [runner("a", "1")])
     assert (result.orders, result.withdrawn) == ([], {})
     assert "only one" in result.blocked[0]
 
 
-def test_a_single_replica_is_replaced_by_way_of_a_spare_runner() -> None:
+def test_a_single_replica_is_replaced_through_a_spare_runner() -> None:
     result = steps([wanted("2", replicas=1)], [runner("a", "1"), runner("b")])
-    assert [(one.runner_id, one.version) for one in result.orders] == [("b", "2")]
+    assert [(order.runner_id, order.version) for order in result.orders] == [("b", "2")]
     after = steps([wanted("2", replicas=1)], [runner("a", "1"), runner("b", "2")])
-    assert list(after.withdrawn) == [OUT_A]
-    last = steps([wanted("2", replicas=1)], [runner("a", "1"), runner("b", "2")], {OUT_A: 0.0})
-    assert [(one.runner_id, one.action) for one in last.orders] == [("a", OrderAction.UNLOAD)]
+    assert list(after.withdrawn) == [WITHDRAWN_FROM_A]
+    last = steps(
+        [wanted("2", replicas=1)], [runner("a", "1"), runner("b", "2")], {WITHDRAWN_FROM_A: 0.0}
+    )
+    assert [(order.runner_id, order.action) for order in last.orders] == [("a", OrderAction.UNLOAD)]
 
 
-def test_surplus_stays_until_the_chosen_ones_are_ready() -> None:
+def test_surplus_models_stay_until_the_chosen_runners_are_ready() -> None:
     entry = wanted("2", replicas=2)
     result = steps([entry], [runner("a", "1"), runner("b", "2"), runner("c", "1")])
-    assert all(one.action is not OrderAction.UNLOAD for one in result.orders)
+    assert all(order.action is not OrderAction.UNLOAD for order in result.orders)
 
 
-def test_models_that_the_settings_do_not_name_stay() -> None:
+def test_models_that_are_not_in_the_settings_are_left_loaded() -> None:
     result = steps([], [runner("a", "1")])
     assert (result.orders, result.withdrawn) == ([], {})
 
@@ -137,11 +141,11 @@
 def test_an_adapter_is_loaded_where_its_model_is() -> None:
     entries = [wanted(), wanted(adapter="x")]
     orders = steps(entries, [runner("a", "1"), runner("b")]).orders
-    assert {(one.runner_id, one.adapter) for one in orders} == {("a", "x"), ("b", "")}
+    assert {(order.runner_id, order.adapter) for order in orders} == {("a", "x"), ("b", "")}
 
 
 @pytest.mark.parametrize("holder", ["a", "b", "c"])
-def test_the_only_runner_of_an_adapter_is_not_taken_for_its_model(holder: str) -> None:
+def test_the_only_runner_of_an_adapter_is_not_withdrawn_for_its_model(holder: str) -> None:
     entries = [wanted("2"), wanted(adapter="x")]
     held = {"models": ["m", "m:x"], "versions": {"m": "1", "m:x": "1"}}
     runners = [runner(name, "1", **(held if name == holder else {})) for name in "abc"]
@@ -151,16 +155,16 @@
     assert taken != [holder]
 
 
-def test_an_adapter_that_the_settings_do_not_name_holds_up_no_rollout() -> None:
+def test_an_adapter_that_is_not_in_the_settings_does_not_delay_a_rollout() -> None:
     alone = runner("a", "1", models=["m", "m:x"], versions={"m": "1", "m:x": "1"})
     result = steps([wanted("2")], [alone, runner("b", "2")])
-    assert list(result.withdrawn) == [OUT_A]
+    assert list(result.withdrawn) == [WITHDRAWN_FROM_A]
 
 
 @pytest.mark.parametrize("count", [2, 3, 6, 9, 20])
 @pytest.mark.parametrize("replicas", [0, 2])
 def test_a_rollout_always_leaves_ready_runners(count: int, replicas: int) -> None:
-    """Engines that drop a model while they reload it, each load taking five rounds."""
+    """The simulated engines drop a model while they reload it; each load takes five rounds."""
     versions: dict[str, str | None] = {f"r{i}": "1" for i in range(count)}
     loading: dict[str, tuple[int, str]] = {}
     withdrawn: dict[Withdrawal, float] = {}
@@ -170,10 +174,10 @@
             if now_s >= done_at:
                 versions[name] = version
                 del loading[name]
-        facts = [
+        status = [
             runner(name, version, ordered=name in loading) for name, version in versions.items()
         ]
-        result = steps([entry], facts, withdrawn, loads=len(loading), now_s=float(now_s))
+        result = steps([entry], status, withdrawn, loads=len(loading), now_s=float(now_s))
         withdrawn = result.withdrawn
         for order in result.orders:
             if order.action is OrderAction.LOAD:
--- a/tests/unit/test_control_placement_drain.py
+++ b/tests/unit/test_control_placement_drain.py
@@ -1,4 +1,7 @@
-"""A model is changed on a runner only when no request can be there, whoever is late with news."""
+"""Tests that a model is changed on a runner only when no request can be using it.
+
+This must hold even if gateways, hubs or engines report late.
+"""
 
 from __future__ import annotations
 
@@ -34,11 +37,11 @@
 MODEL = "m"
 ROUND_S = 0.5
 ROLLOUT_S = 20.0
-"""Far more than both runners need one after the other."""
+"""Far more time than sequential changes of both runners need."""
 
 
 class Engine:
-    """A runner's engine: what it says at once, and the orders that it took."""
+    """A simulated engine with its current load, and the orders that it accepted."""
 
     def __init__(self) -> None:
         self.running = 0
@@ -47,12 +50,12 @@
 
     @property
     def version(self) -> str:
-        """Version of the model that it holds; loads take no time."""
+        """Version of the loaded model; loads take no time."""
         return self.orders[-1].version if self.orders else "1"
 
 
 class Gateway:
-    """A gateway's side of the exchange, with the product's own view."""
+    """The gateway's side of the exchange, using the production ``ClusterView``."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -79,14 +82,14 @@
         return runner is not None and MODEL in runner.models
 
 
-class World:
-    """One control process that leads placement, two runners, two gateways; a rollout is due."""
+class Simulation:
+    """A control process that leads placement, two runners and two gateways."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
         self.engines = {runner_id: Engine() for runner_id in RUNNERS}
         self.gateways = {name: Gateway(name) for name in ("g1", "g2")}
-        self.used_at_order: list[tuple[str, list[str]]] = []
+        self.users_at_order: list[tuple[str, list[str]]] = []
         self.fences = 0
         self.version = "1"
         self.settings_version = 1
@@ -116,7 +119,7 @@
             self.now_s += ROUND_S
             self.hub.expire()
             self._read_engines()
-            # A reading that says idle, as of a moment before any request came.
+            # An outdated digest that reports the runner as idle, from before any request.
             idle = [self._idle_digest(runner_id) for runner_id in RUNNERS]
             for gateway in self.gateways.values():
                 gateway.exchange(self.hub, idle)
@@ -127,7 +130,7 @@
         self.settings_version += 1
         assert self._mirror.refresh()
 
-    def changed(self) -> list[str]:
+    def changed_runners(self) -> list[str]:
         return [runner_id for runner_id, engine in self.engines.items() if engine.orders]
 
     def monotonic_s(self) -> float:
@@ -137,7 +140,7 @@
         return int(self.now_s * 1000)
 
     def load(self, address: str, *_timeout: float) -> LoadReport | Failure:
-        """Stand in for the client of the engines."""
+        """Replaces ``EngineClient.load``."""
         engine = self._engine(address)
         if engine.is_silent:
             return Failure(kind=FailureKind.TIMEOUT, reason="silent", step=Step.RESPONDING)
@@ -148,13 +151,17 @@
         )  # fmt: skip
 
     def order(self, address: str, order: Order) -> OrderOutcome:
-        users = [one.name for one in self.gateways.values() if one.uses(self._runner(address))]
-        self.used_at_order.append((self._runner(address), users))
+        users = [
+            gateway.name
+            for gateway in self.gateways.values()
+            if gateway.uses(self._runner(address))
+        ]
+        self.users_at_order.append((self._runner(address), users))
         self._engine(address).orders.append(order)
         return OrderOutcome(accepted=True, status_code=200)
 
     def status(self) -> GroupStatus:
-        """Stand in for the replica of group root."""
+        """Replaces ``ReplicatedGroup.status`` of group root."""
         return GroupStatus(
             group="root", replica_id="c1", role=self.role, term=1, leader_address="c1:1",
             commit_index=1, applied_index=1, voters=["c1:1"], learners=[],
@@ -162,7 +169,7 @@
         )  # fmt: skip
 
     def propose(self, *_call: Any) -> Fence:
-        """Stand in for the host of the groups: the next fence."""
+        """Replaces ``GroupHost.propose``: returns the next fence."""
         self.fences += 1
         return Fence(term=1, sequence=self.fences)
 
@@ -206,104 +213,110 @@
 
 
 @pytest.fixture
-def world() -> World:
-    """A cluster at rest whose operator has just asked for another version."""
-    made = World()
+def simulation() -> Simulation:
+    """A stable cluster whose operator has just requested another version of the model."""
+    made = Simulation()
     made.run(10)
     assert made.placement.status().leads
-    assert all(one.uses(runner) for one in made.gateways.values() for runner in RUNNERS)
+    assert all(gateway.uses(runner) for gateway in made.gateways.values() for runner in RUNNERS)
     made.change_version("2")
     return made
 
 
-def test_both_runners_are_changed_one_after_the_other(world: World) -> None:
-    world.run(ROLLOUT_S)
-    assert sorted(world.changed()) == sorted(RUNNERS)
-    assert [users for _, users in world.used_at_order] == [[], []]
+def test_both_runners_are_changed_sequentially(simulation: Simulation) -> None:
+    simulation.run(ROLLOUT_S)
+    assert sorted(simulation.changed_runners()) == sorted(RUNNERS)
+    assert [users for _, users in simulation.users_at_order] == [[], []]
 
 
-def test_an_old_reading_that_says_idle_does_not_let_a_load_meet_requests(world: World) -> None:
-    for engine in world.engines.values():
+def test_an_outdated_idle_digest_does_not_permit_a_load_on_a_busy_runner(
+    simulation: Simulation,
+) -> None:
+    for engine in simulation.engines.values():
         engine.running = 3
-    world.run(ROLLOUT_S)
-    assert world.changed() == []
-    for engine in world.engines.values():
+    simulation.run(ROLLOUT_S)
+    assert simulation.changed_runners() == []
+    for engine in simulation.engines.values():
         engine.running = 0
-    world.run(ROLLOUT_S)
-    assert sorted(world.changed()) == sorted(RUNNERS)
+    simulation.run(ROLLOUT_S)
+    assert sorted(simulation.changed_runners()) == sorted(RUNNERS)
 
 
-def test_an_engine_that_does_not_tell_its_load_is_not_taken_for_idle(world: World) -> None:
-    for engine in world.engines.values():
+def test_an_engine_that_does_not_report_its_load_does_not_count_as_idle(
+    simulation: Simulation,
+) -> None:
+    for engine in simulation.engines.values():
         engine.is_silent = True
-    world.run(ROLLOUT_S)
-    assert world.changed() == []
+    simulation.run(ROLLOUT_S)
+    assert simulation.changed_runners() == []
 
 
-def test_a_runner_that_stays_busy_is_changed_at_the_limit(world: World) -> None:
-    for engine in world.engines.values():
+def test_a_runner_that_stays_busy_is_changed_at_the_drain_limit(simulation: Simulation) -> None:
+    for engine in simulation.engines.values():
         engine.running = 1
-    world.run(DRAIN_LIMIT_S + SETTLE_S)
-    assert len(world.changed()) == 1
+    simulation.run(DRAIN_LIMIT_S + SETTLE_S)
+    assert len(simulation.changed_runners()) == 1
 
 
-def test_an_order_whose_change_was_taken_back_is_not_sent(world: World) -> None:
-    for engine in world.engines.values():
+def test_an_order_whose_change_was_reverted_is_not_sent(simulation: Simulation) -> None:
+    for engine in simulation.engines.values():
         engine.running = 1
-    while not world.fences:
-        world.run(ROUND_S)
-    world.change_version("1")
-    for engine in world.engines.values():
+    while not simulation.fences:
+        simulation.run(ROUND_S)
+    simulation.change_version("1")
+    for engine in simulation.engines.values():
         engine.running = 0
-    world.run(ROLLOUT_S)
-    assert world.changed() == []
-
+    simulation.run(ROLLOUT_S)
+    assert simulation.changed_runners() == []
 
-def test_a_live_gateway_that_was_not_told_yet_holds_up_the_change(world: World) -> None:
-    late = world.gateways["g2"]
-    late.loses_replies = True
-    world.run(ROLLOUT_S)
-    assert world.changed() == []
-    late.loses_replies = False
-    world.run(ROLLOUT_S)
-    assert sorted(world.changed()) == sorted(RUNNERS)
-    assert [users for _, users in world.used_at_order] == [[], []]
 
+def test_a_live_gateway_without_the_withdrawal_delays_the_change(simulation: Simulation) -> None:
+    lagging = simulation.gateways["g2"]
+    lagging.loses_replies = True
+    simulation.run(ROLLOUT_S)
+    assert simulation.changed_runners() == []
+    lagging.loses_replies = False
+    simulation.run(ROLLOUT_S)
+    assert sorted(simulation.changed_runners()) == sorted(RUNNERS)
+    assert [users for _, users in simulation.users_at_order] == [[], []]
 
-def test_a_gateway_that_ended_holds_up_nothing(world: World) -> None:
-    del world.gateways["g2"]
-    world.run(ROLLOUT_S)
-    assert sorted(world.changed()) == sorted(RUNNERS)
 
+def test_a_stopped_gateway_does_not_delay_the_change(simulation: Simulation) -> None:
+    del simulation.gateways["g2"]
+    simulation.run(ROLLOUT_S)
+    assert sorted(simulation.changed_runners()) == sorted(RUNNERS)
 
-def test_a_leader_that_steps_down_and_leads_on_in_its_term_is_still_heard(world: World) -> None:
-    """Its records went on from revision 1, which is older than what all knew: none was taken."""
-    world.run(ROLLOUT_S)
-    world.role = "follower"
-    world.run(ROUND_S)
-    world.role = "leader"
-    world.change_version("3")
-    before = len(world.used_at_order)
-    world.run(ROLLOUT_S)
-    assert [users for _, users in world.used_at_order[before:]] == [[], []]
 
-
-def test_the_other_hubs_are_told_of_a_withdrawal_at_once(world: World) -> None:
-    told: list[float] = []
-    world.hub.on_change = lambda: told.append(world.now_s)
-    world.run(ROUND_S)
-    assert told == [world.now_s]
-
-
-def test_the_other_hubs_are_told_at_once_when_its_last_gateway_has_a_withdrawal(
-    world: World,
+def test_records_of_a_leader_that_resumes_within_its_term_are_applied(
+    simulation: Simulation,
+) -> None:
+    """Guards against restarting revisions at 1 within a term: hubs then ignored the new records."""
+    simulation.run(ROLLOUT_S)
+    simulation.role = "follower"
+    simulation.run(ROUND_S)
+    simulation.role = "leader"
+    simulation.change_version("3")
+    before = len(simulation.users_at_order)
+    simulation.run(ROLLOUT_S)
+    assert [users for _, users in simulation.users_at_order[before:]] == [[], []]
+
+
+def test_a_withdrawal_triggers_a_sync_with_the_other_hubs_at_once(simulation: Simulation) -> None:
+    notified_at_s: list[float] = []
+    simulation.hub.on_change = lambda: notified_at_s.append(simulation.now_s)
+    simulation.run(ROUND_S)
+    assert notified_at_s == [simulation.now_s]
+
+
+def test_the_last_gateway_to_apply_a_withdrawal_triggers_a_sync_at_once(
+    simulation: Simulation,
 ) -> None:
-    world.run(ROUND_S)
-    told: list[float] = []
-    world.hub.on_change = lambda: told.append(world.now_s)
-    late = world.gateways.pop("g2")
-    world.run(2 * ROUND_S)
-    assert told == []
-    late.exchange(world.hub, [])
-    late.exchange(world.hub, [])
-    assert len(told) == 1
+    simulation.run(ROUND_S)
+    notified_at_s: list[float] = []
+    simulation.hub.on_change = lambda: notified_at_s.append(simulation.now_s)
+    lagging = simulation.gateways.pop("g2")
+    simulation.run(2 * ROUND_S)
+    assert notified_at_s == []
+    lagging.exchange(simulation.hub, [])
+    lagging.exchange(simulation.hub, [])
+    assert len(notified_at_s) == 1
--- a/tests/unit/test_control_quorum.py
+++ b/tests/unit/test_control_quorum.py
@@ -1,4 +1,4 @@
-"""How long ago a hub heard the leader, also while nobody leads."""
+"""Tests of the age of a hub's contact with the leader, also while there is no leader."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
         self.contact_s = self.now_s
 
 
-def test_the_age_goes_on_through_an_election() -> None:
-    """Found in a trial: a hub said 3,600 s as soon as the leader was gone, so gateways left it."""
+def test_the_contact_age_continues_during_an_election() -> None:
+    """Guards against an age of 3,600 s once the leader is gone: gateways then left the hub."""
     replica = Replica()
     root = LocalRoot(cast(ReplicatedGroup, replica), replica)
     assert root.quorum_age_s() == NO_CONTACT_AGE_S
@@ -61,24 +61,25 @@
     assert root.quorum_age_s() == 0.0
 
 
-def test_a_leader_that_loses_the_lead_counts_from_its_last_quorum() -> None:
+def test_the_age_of_a_former_leader_counts_from_its_last_quorum() -> None:
     replica = Replica()
     root = LocalRoot(cast(ReplicatedGroup, replica), replica)
     replica.hear("a:1")
     root.quorum_age_s()
     replica.now_s += 1.0
-    # What a follower remembers of its last leader may be from long before its own lead.
+    # The last leader contact of a former leader may date from long before its own term.
     replica.leader = "a:2"
     replica.contact_s = -500.0
     assert root.quorum_age_s() == pytest.approx(1.0)
 
 
-def test_what_a_hub_serves_is_as_old_as_its_last_reading() -> None:
-    """A gateway had settings one version too old for 4.1 s, a second of it for this.
+def test_the_age_counts_from_the_contact_before_the_last_read() -> None:
+    """Guards against a hub that reports itself fresh while it still serves old settings.
 
-    A hub whose disk was lost had caught up, and told gateways that it heard a quorum 0.08 s ago.
-    It read the settings from its replica 0.2 s later: what it served until then was its blank
-    replica's, and a gateway that takes a hub for fresh asks again only after a second.
+    A hub that had lost its disk caught up and reported a quorum age of 0.08 s, but read the
+    settings from its replica only 0.2 s later. Until then it served the settings of its blank
+    replica, and a gateway asks a hub that it considers fresh again only after a second. A gateway
+    had outdated settings for 4.1 s, one second of it for this reason.
     """
     replica = Replica()
     root = LocalRoot(cast(ReplicatedGroup, replica), replica)
@@ -95,11 +96,11 @@
 
 
 class Voter:
-    """A voter that is heard, through a hub and an RPC client that reaches it or not."""
+    """A voter whose states reach the hub; RPC calls to it succeed only while it is reachable."""
 
     def __init__(self) -> None:
         self.version = 1
-        self.is_reached = True
+        self.is_reachable = True
 
     def live_hubs(self) -> list[HubState]:
         state = HubState(
@@ -112,23 +113,23 @@
         return {"v": 0.2}
 
     def call(self, *_arguments: object, **_options: object) -> SettingsDelta | Failure:
-        if self.is_reached:
+        if self.is_reachable:
             return SettingsDelta(version=self.version, rows=[])
         return Failure(kind=FailureKind.TIMEOUT, reason="cut", step=Step.RESPONDING)
 
 
-def test_a_hub_that_hears_a_voter_but_cannot_read_grows_stale() -> None:
-    """The cut of one direction: the voter's messages arrive, the calls to it do not."""
+def test_a_hub_that_hears_a_voter_but_cannot_read_becomes_stale() -> None:
+    """One-way partition: messages from the voter arrive, but calls to it fail."""
     clock, voter = Replica(), Voter()
     root = RemoteRoot(cast(RpcClient, voter), ["v:1"], clock)
     root.hub = cast(Hub, voter)
     assert root.quorum_age_s() == NO_CONTACT_AGE_S
     root.read(GetSettings(after_version=1))
     assert root.quorum_age_s() == pytest.approx(0.3)
-    voter.version, voter.is_reached = 2, False
+    voter.version, voter.is_reachable = 2, False
     clock.now_s += 5.0
     root.read(GetSettings(after_version=1))
     assert root.quorum_age_s() == pytest.approx(5.0)
-    voter.is_reached = True
+    voter.is_reachable = True
     root.read(GetSettings(after_version=1))
     assert root.quorum_age_s() == pytest.approx(0.3)
--- a/tests/unit/test_control_standstill.py
+++ b/tests/unit/test_control_standstill.py
@@ -1,4 +1,4 @@
-"""A hub that was frozen, and messages between hubs that come late, bring nothing old back."""
+"""Tests that neither a paused hub nor delayed messages between hubs restore outdated state."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from leverjunction.wire.messages import ExchangeReply, ExchangeRequest, GatewayState, RunnerState
 
 PEERS = {"c1": "a:1", "c2": "a:2", "c3": "a:3"}
-FROZEN_S = 60.0
+PAUSE_S = 60.0
 
 
 class FakeClock:
@@ -53,7 +53,7 @@
 
 
 class Cluster:
-    """Three hubs that sync by hand."""
+    """Three hubs that sync only on request."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -123,8 +123,8 @@
     return made
 
 
-def test_a_hub_that_was_frozen_tells_no_old_readings(cluster: Cluster) -> None:
-    cluster.run(FROZEN_S, "c2", "c3")
+def test_a_paused_hub_sends_no_outdated_readings(cluster: Cluster) -> None:
+    cluster.run(PAUSE_S, "c2", "c3")
     cluster.hubs["c2"].update_readings([reading("new")], [])
     cluster.sync("c2", "c3")
     for receiver in ("c2", "c3"):
@@ -134,21 +134,21 @@
     assert [cluster.runner(name).models for name in PEERS] == [["new"]] * 3
 
 
-def test_a_reading_that_began_before_the_freeze_is_dropped(cluster: Cluster) -> None:
+def test_a_reading_that_started_before_the_pause_is_dropped(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
     before = hub.standstills()
-    cluster.clock.now_s += FROZEN_S
+    cluster.clock.now_s += PAUSE_S
     hub.update_readings([reading("old")], [], before)
     assert cluster.message("c1", "c2").readings == []
     hub.update_readings([reading("new")], [], hub.standstills())
     assert cluster.message("c1", "c2").readings == [reading("new")]
 
 
-def test_a_hub_that_was_frozen_gives_no_view_until_it_has_heard_the_others(
+def test_a_paused_hub_serves_no_view_until_it_has_heard_the_other_hubs(
     cluster: Cluster,
 ) -> None:
     hub = cluster.hubs["c1"]
-    cluster.run(FROZEN_S, "c2", "c3")
+    cluster.run(PAUSE_S, "c2", "c3")
     refused = exchange(hub)
     assert isinstance(refused, Failure)
     assert refused.kind is FailureKind.STALE
@@ -158,11 +158,11 @@
     assert isinstance(exchange(hub), ExchangeReply)
 
 
-def test_a_hub_that_was_cut_off_after_a_freeze_serves_again_after_the_warm_up(
+def test_a_hub_that_is_partitioned_after_a_pause_serves_again_after_the_warm_up(
     cluster: Cluster,
 ) -> None:
     hub = cluster.hubs["c1"]
-    cluster.clock.now_s += FROZEN_S
+    cluster.clock.now_s += PAUSE_S
     assert isinstance(exchange(hub), Failure)
     for _ in range(int(WARM_UP_S) + 1):
         cluster.clock.now_s += STANDSTILL_S / 2
@@ -170,10 +170,10 @@
     assert isinstance(exchange(hub), ExchangeReply)
 
 
-def test_a_hub_that_stood_still_reads_the_machine_list_before_it_answers(
+def test_a_paused_hub_reads_the_machine_list_before_it_answers(
     cluster: Cluster,
 ) -> None:
-    """Its gateways asked first, and were told what it had known before the standstill."""
+    """Guards against a paused hub that answers gateways with its outdated machine list."""
     hub = cluster.hubs["c1"]
     hub.begin_machine_list_read(0.5)
     cluster.clock.now_s += 1.5
@@ -182,12 +182,12 @@
     assert refused.kind is FailureKind.STALE
     asked_s = hub.begin_machine_list_read(2.0)
     hub.update_machine_list(machine_list(MachineState.LEAVING), asked_s)
-    told = exchange(hub)
-    assert isinstance(told, ExchangeReply)
-    assert [runner.leaving for runner in told.runners] == [True]
+    reply = exchange(hub)
+    assert isinstance(reply, ExchangeReply)
+    assert [runner.leaving for runner in reply.runners] == [True]
 
 
-def test_a_hub_that_cannot_read_the_machine_list_answers_all_the_same(cluster: Cluster) -> None:
+def test_a_hub_that_cannot_read_the_machine_list_answers_after_a_limit(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
     hub.begin_machine_list_read(0.5)
     cluster.clock.now_s += 1.5
@@ -199,35 +199,35 @@
 
 
 class Engines:
-    """Stands for the client of engines; the process may stand still while it reads."""
+    """Replaces ``EngineClient``; the process can be paused during a read."""
 
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
-        self.stands_s: list[float] = []
+        self.pauses_s: list[float] = []
 
     def load(self, _address: str, _timeout_s: float) -> LoadReport:
-        self.clock.now_s += self.stands_s.pop() if self.stands_s else 0.0
+        self.clock.now_s += self.pauses_s.pop() if self.pauses_s else 0.0
         return LoadReport(
             as_of_ms=1, incarnation=1, running=0, waiting=0, batch_running=0, batch_waiting=0,
             kv_blocks_used=0, kv_blocks_total=1, step_ms=1.0, models=["new"],
         )  # fmt: skip
 
 
-def test_runners_are_read_again_at_once_when_a_standstill_met_their_reading(
+def test_runners_are_read_again_at_once_after_a_pause_during_a_reading(
     cluster: Cluster,
 ) -> None:
-    """Until the next interval the hub gave out no view, and gateways went on with theirs."""
+    """Guards against a hub that serves no view until the next interval of readings."""
     hub, engines = cluster.hubs["c1"], Engines(cluster.clock)
     zones = {"c1": "z", "c2": "y", "c3": "y"}
     watch = RunnerWatch(hub, engines, "c1", zones)  # type: ignore[arg-type]
-    engines.stands_s = [FROZEN_S]
+    engines.pauses_s = [PAUSE_S]
     watch.tick()
     watch.close()
     assert cluster.message("c1", "c2").readings == [reading("new")]
 
 
 class Peer:
-    """Stands for the RPC client: a hub that takes deltas only of what it knows."""
+    """Replaces ``RpcClient``; passes sync messages to a hub and records which of them were full."""
 
     def __init__(self, receiver: Hub) -> None:
         self.receiver = receiver
@@ -238,9 +238,9 @@
         return self.receiver.handle_sync(sync)
 
 
-def test_a_hub_that_knows_nothing_any_more_is_told_all_at_once(cluster: Cluster) -> None:
-    """It gives out no view before, which took the interval until the next message."""
-    cluster.run(FROZEN_S, "c1", "c3")
+def test_a_hub_without_state_gets_the_full_state_at_once(cluster: Cluster) -> None:
+    """Guards against a hub that serves no view until the next sync interval."""
+    cluster.run(PAUSE_S, "c1", "c3")
     peer = Peer(cluster.hubs["c2"])
     tasks = HubSyncTasks(
         cluster.hubs["c1"],
@@ -253,7 +253,7 @@
     assert [hub.name for hub in cluster.hubs["c2"].live_hubs()] == ["c1"]
 
 
-def test_a_late_message_of_a_hub_changes_nothing(cluster: Cluster) -> None:
+def test_a_delayed_message_of_a_hub_is_ignored(cluster: Cluster) -> None:
     late = cluster.message("c1", "c2")
     late_full = HubSync(
         hub=late.hub, from_version=0, to_version=late.to_version, full=True, gateways=[],
@@ -281,7 +281,7 @@
     assert hub.placement_record() == record(3, 1)
 
 
-def test_placement_records_outlive_their_maker_and_are_told_once(cluster: Cluster) -> None:
+def test_placement_records_outlive_their_author_and_are_sent_once(cluster: Cluster) -> None:
     newest = record(2, 1)
     cluster.hubs["c1"].set_placement(newest)
     assert not cluster.hubs["c1"].is_placement_known_to_majority(newest.stamp)
@@ -293,22 +293,22 @@
     assert cluster.message("c2", "c3").hub.placement is None
 
 
-def test_what_changed_at_first_hand_is_told_at_once(cluster: Cluster) -> None:
+def test_own_changes_trigger_a_sync_at_once(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
-    told: list[str] = []
-    hub.on_change = lambda: told.append("woken")
+    notifications: list[str] = []
+    hub.on_change = lambda: notifications.append("woken")
     exchange(hub)
     hub.update_readings([reading("old")], [])
-    assert told == []
+    assert notifications == []
     hub.update_readings([reading("new")], [])
-    assert len(told) == 1
+    assert len(notifications) == 1
     exchange(hub, stopping=True)
-    assert len(told) == 2
+    assert len(notifications) == 2
 
 
-def test_a_woken_task_runs_before_its_interval() -> None:
+def test_a_woken_task_runs_before_its_interval_ends() -> None:
     runs: queue.Queue[int] = queue.Queue()
-    task = PeriodicTask("test", FROZEN_S, lambda: runs.put(1))
+    task = PeriodicTask("test", PAUSE_S, lambda: runs.put(1))
     task.start()
     runs.get(timeout=10)
     task.wake()
