--- a/src/leverjunction/control/placement_runner.py
+++ b/src/leverjunction/control/placement_runner.py
@@ -288,9 +288,10 @@
         self._paused_until_s[pending.runner_id] = self._clock.monotonic_s() + REFUSED_PAUSE_S
 
     def _may_send(self, order: OrderInProgress, report: LoadReport) -> bool:
-        """Return whether the engine's own report shows that no request uses the model.
+        """Return whether the order may be sent, judged by the engine's own load report.
 
-        The planner knows the load only from digests, which are seconds old. An order whose
+        The planner knows the load only from digests, which are seconds old, so the report must
+        show that no request uses the model, unless ``DRAIN_LIMIT_S`` has passed. An order whose
         withdrawal has been lifted in the meantime is obsolete and is dropped.
         """
         pending = order.pending
--- a/src/leverjunction/control/withdrawals.py
+++ b/src/leverjunction/control/withdrawals.py
@@ -9,7 +9,7 @@
 
 REPORT_LAG_S = 1.0
 """Engines report their load with a lag. A report made this long after the last gateway applied a
-withdrawal includes every request that was sent before the withdrawal.
+withdrawal includes every request that gateways sent before they applied it.
 """
 
 
@@ -67,6 +67,6 @@
         return set(self._in_force_s)
 
     def report_covers_all_requests(self, withdrawal: Withdrawal, now_s: float) -> bool:
-        """Return whether a load report made now includes all requests sent before a withdrawal."""
+        """Return whether a load report made now includes all requests from before a withdrawal."""
         since_s = self._in_force_s.get(withdrawal)
         return since_s is not None and now_s - since_s >= REPORT_LAG_S
