--- a/tests/unit/test_control_standstill.py
+++ b/tests/unit/test_control_standstill.py
@@ -1,4 +1,4 @@
-"""A hub that was frozen, and messages between hubs that come late, bring nothing old back."""
+"""Tests that neither a paused hub nor delayed messages between hubs restore outdated state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from leverjunction.backends.machine_list import Machine, MachineList, MachineState
 from leverjunction.backends.types import LoadReport
-from leverjunction.control.hub import LIST_DOUBT_S, Hub, HubIdentity
+from leverjunction.control.hub import LIST_REFUSAL_LIMIT_S, Hub, HubIdentity
 from leverjunction.control.hub_sync import HubSyncTasks
 from leverjunction.control.messages import (
     HubState,
@@ -27,7 +27,7 @@
 from leverjunction.wire.messages import ExchangeReply, ExchangeRequest, GatewayState, RunnerState
 
 PEERS = {"c1": "a:1", "c2": "a:2", "c3": "a:3"}
-FROZEN_S = 60.0
+PAUSE_S = 60.0
 
 
 class FakeClock:
@@ -53,14 +53,14 @@
 
 
 class Cluster:
-    """Three hubs that sync by hand."""
+    """Three hubs that sync only on request."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
         self.hubs = {name: self._hub(name) for name in PEERS}
         for hub in self.hubs.values():
-            hub.machines_listed(machine_list())
-            hub.runners_read([], [])
+            hub.update_machine_list(machine_list())
+            hub.update_readings([], [])
 
     def _hub(self, name: str) -> Hub:
         identity = HubIdentity(
@@ -74,11 +74,11 @@
         return HubState(name=name, rpc_address=PEERS[name], zone="z", incarnation=1)
 
     def message(self, sender: str, receiver: str) -> HubSync:
-        return self.hubs[sender].sync_for(receiver, self.state(sender))
+        return self.hubs[sender].make_sync(receiver, self.state(sender))
 
     def deliver(self, message: HubSync, receiver: str) -> HubSyncReply:
-        reply = self.hubs[receiver].sync_received(message)
-        self.hubs[message.hub.name].sync_answered(receiver, reply)
+        reply = self.hubs[receiver].handle_sync(message)
+        self.hubs[message.hub.name].handle_sync_reply(receiver, reply)
         return reply
 
     def sync(self, *live: str) -> None:
@@ -115,7 +115,7 @@
 @pytest.fixture
 def cluster() -> Cluster:
     made = Cluster()
-    made.hubs["c1"].runners_read([reading("old")], [])
+    made.hubs["c1"].update_readings([reading("old")], [])
     made.sync(*PEERS)
     made.sync(*PEERS)
     assert isinstance(exchange(made.hubs["c1"]), ExchangeReply)
@@ -123,9 +123,9 @@
     return made
 
 
-def test_a_hub_that_was_frozen_tells_no_old_readings(cluster: Cluster) -> None:
-    cluster.run(FROZEN_S, "c2", "c3")
-    cluster.hubs["c2"].runners_read([reading("new")], [])
+def test_a_paused_hub_sends_no_outdated_readings(cluster: Cluster) -> None:
+    cluster.run(PAUSE_S, "c2", "c3")
+    cluster.hubs["c2"].update_readings([reading("new")], [])
     cluster.sync("c2", "c3")
     for receiver in ("c2", "c3"):
         assert cluster.message("c1", receiver).readings == []
@@ -134,35 +134,35 @@
     assert [cluster.runner(name).models for name in PEERS] == [["new"]] * 3
 
 
-def test_a_reading_that_began_before_the_freeze_is_dropped(cluster: Cluster) -> None:
+def test_a_reading_that_started_before_the_pause_is_dropped(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
     before = hub.standstills()
-    cluster.clock.now_s += FROZEN_S
-    hub.runners_read([reading("old")], [], before)
+    cluster.clock.now_s += PAUSE_S
+    hub.update_readings([reading("old")], [], before)
     assert cluster.message("c1", "c2").readings == []
-    hub.runners_read([reading("new")], [], hub.standstills())
+    hub.update_readings([reading("new")], [], hub.standstills())
     assert cluster.message("c1", "c2").readings == [reading("new")]
 
 
-def test_a_hub_that_was_frozen_gives_no_view_until_it_has_heard_the_others(
+def test_a_paused_hub_serves_no_view_until_it_has_heard_the_other_hubs(
     cluster: Cluster,
 ) -> None:
     hub = cluster.hubs["c1"]
-    cluster.run(FROZEN_S, "c2", "c3")
+    cluster.run(PAUSE_S, "c2", "c3")
     refused = exchange(hub)
     assert isinstance(refused, Failure)
     assert refused.kind is FailureKind.STALE
     cluster.sync(*PEERS)
     cluster.sync(*PEERS)
-    hub.runners_read([], [], hub.standstills())
+    hub.update_readings([], [], hub.standstills())
     assert isinstance(exchange(hub), ExchangeReply)
 
 
-def test_a_hub_that_was_cut_off_after_a_freeze_serves_again_after_the_warm_up(
+def test_a_hub_that_is_partitioned_after_a_pause_serves_again_after_the_warm_up(
     cluster: Cluster,
 ) -> None:
     hub = cluster.hubs["c1"]
-    cluster.clock.now_s += FROZEN_S
+    cluster.clock.now_s += PAUSE_S
     assert isinstance(exchange(hub), Failure)
     for _ in range(int(WARM_UP_S) + 1):
         cluster.clock.now_s += STANDSTILL_S / 2
@@ -170,64 +170,64 @@
     assert isinstance(exchange(hub), ExchangeReply)
 
 
-def test_a_hub_that_stood_still_reads_the_machine_list_before_it_answers(
+def test_a_paused_hub_reads_the_machine_list_before_it_answers(
     cluster: Cluster,
 ) -> None:
-    """Its gateways asked first, and were told what it had known before the standstill."""
+    """Guards against a paused hub that answers gateways with its outdated machine list."""
     hub = cluster.hubs["c1"]
-    hub.listing_begins(0.5)
+    hub.begin_machine_list_read(0.5)
     cluster.clock.now_s += 1.5
     refused = exchange(hub)
     assert isinstance(refused, Failure)
     assert refused.kind is FailureKind.STALE
-    asked_s = hub.listing_begins(2.0)
-    hub.machines_listed(machine_list(MachineState.LEAVING), asked_s)
-    told = exchange(hub)
-    assert isinstance(told, ExchangeReply)
-    assert [runner.leaving for runner in told.runners] == [True]
+    asked_s = hub.begin_machine_list_read(2.0)
+    hub.update_machine_list(machine_list(MachineState.LEAVING), asked_s)
+    reply = exchange(hub)
+    assert isinstance(reply, ExchangeReply)
+    assert [runner.leaving for runner in reply.runners] == [True]
 
 
-def test_a_hub_that_cannot_read_the_machine_list_answers_all_the_same(cluster: Cluster) -> None:
+def test_a_hub_that_cannot_read_the_machine_list_answers_after_a_limit(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
-    hub.listing_begins(0.5)
+    hub.begin_machine_list_read(0.5)
     cluster.clock.now_s += 1.5
     assert isinstance(exchange(hub), Failure)
     for _ in range(4):
-        cluster.clock.now_s += LIST_DOUBT_S / 4
-        hub.listing_begins(2.0)
+        cluster.clock.now_s += LIST_REFUSAL_LIMIT_S / 4
+        hub.begin_machine_list_read(2.0)
     assert isinstance(exchange(hub), ExchangeReply)
 
 
 class Engines:
-    """Stands for the client of engines; the process may stand still while it reads."""
+    """Replaces ``EngineClient``; the process can be paused during a read."""
 
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
-        self.stands_s: list[float] = []
+        self.pauses_s: list[float] = []
 
     def load(self, _address: str, _timeout_s: float) -> LoadReport:
-        self.clock.now_s += self.stands_s.pop() if self.stands_s else 0.0
+        self.clock.now_s += self.pauses_s.pop() if self.pauses_s else 0.0
         return LoadReport(
             as_of_ms=1, incarnation=1, running=0, waiting=0, batch_running=0, batch_waiting=0,
             kv_blocks_used=0, kv_blocks_total=1, step_ms=1.0, models=["new"],
         )  # fmt: skip
 
 
-def test_runners_are_read_again_at_once_when_a_standstill_met_their_reading(
+def test_runners_are_read_again_at_once_after_a_pause_during_a_reading(
     cluster: Cluster,
 ) -> None:
-    """Until the next interval the hub gave out no view, and gateways went on with theirs."""
+    """Guards against a hub that serves no view until the next interval of readings."""
     hub, engines = cluster.hubs["c1"], Engines(cluster.clock)
     zones = {"c1": "z", "c2": "y", "c3": "y"}
     watch = RunnerWatch(hub, engines, "c1", zones)  # type: ignore[arg-type]
-    engines.stands_s = [FROZEN_S]
+    engines.pauses_s = [PAUSE_S]
     watch.tick()
     watch.close()
     assert cluster.message("c1", "c2").readings == [reading("new")]
 
 
 class Peer:
-    """Stands for the RPC client: a hub that takes deltas only of what it knows."""
+    """Replaces ``RpcClient``; passes sync messages to a hub and records which of them were full."""
 
     def __init__(self, receiver: Hub) -> None:
         self.receiver = receiver
@@ -235,12 +235,12 @@
 
     def call(self, _address: str, _kind: object, sync: HubSync, *_: object, **__: object) -> object:
         self.full.append(sync.full)
-        return self.receiver.sync_received(sync)
+        return self.receiver.handle_sync(sync)
 
 
-def test_a_hub_that_knows_nothing_any_more_is_told_all_at_once(cluster: Cluster) -> None:
-    """It gives out no view before, which took the interval until the next message."""
-    cluster.run(FROZEN_S, "c1", "c3")
+def test_a_hub_without_state_gets_the_full_state_at_once(cluster: Cluster) -> None:
+    """Guards against a hub that serves no view until the next sync interval."""
+    cluster.run(PAUSE_S, "c1", "c3")
     peer = Peer(cluster.hubs["c2"])
     tasks = HubSyncTasks(
         cluster.hubs["c1"],
@@ -248,12 +248,12 @@
         {},
         lambda: cluster.state("c1"),
     )
-    tasks._tell("c2", PEERS["c2"])
+    tasks._sync_with("c2", PEERS["c2"])
     assert peer.full == [False, True]
     assert [hub.name for hub in cluster.hubs["c2"].live_hubs()] == ["c1"]
 
 
-def test_a_late_message_of_a_hub_changes_nothing(cluster: Cluster) -> None:
+def test_a_delayed_message_of_a_hub_is_ignored(cluster: Cluster) -> None:
     late = cluster.message("c1", "c2")
     late_full = HubSync(
         hub=late.hub, from_version=0, to_version=late.to_version, full=True, gateways=[],
@@ -261,7 +261,7 @@
         sequence=late.sequence,
     )  # fmt: skip
     cluster.sync("c1", "c2")
-    have = cluster.hubs["c2"].sync_received(late_full).have_version
+    have = cluster.hubs["c2"].handle_sync(late_full).have_version
     assert have == late.to_version
     assert cluster.runner("c2").models == ["old"]
 
@@ -273,42 +273,42 @@
 
 def test_an_older_placement_record_never_replaces_a_newer_one(cluster: Cluster) -> None:
     hub = cluster.hubs["c2"]
-    hub.placement_set(record(2, 5))
+    hub.set_placement(record(2, 5))
     for older in (record(2, 4), record(1, 9)):
-        hub.placement_set(older)
+        hub.set_placement(older)
         assert hub.placement_record() == record(2, 5)
-    hub.placement_set(record(3, 1))
+    hub.set_placement(record(3, 1))
     assert hub.placement_record() == record(3, 1)
 
 
-def test_placement_records_outlive_their_maker_and_are_told_once(cluster: Cluster) -> None:
+def test_placement_records_outlive_their_author_and_are_sent_once(cluster: Cluster) -> None:
     newest = record(2, 1)
-    cluster.hubs["c1"].placement_set(newest)
-    assert not cluster.hubs["c1"].placement_told_most(newest.stamp)
+    cluster.hubs["c1"].set_placement(newest)
+    assert not cluster.hubs["c1"].is_placement_known_to_majority(newest.stamp)
     cluster.sync("c1", "c2")
-    assert cluster.hubs["c1"].placement_told_most(newest.stamp)
-    assert not cluster.hubs["c1"].placement_told_most(record(1, 1).stamp)
+    assert cluster.hubs["c1"].is_placement_known_to_majority(newest.stamp)
+    assert not cluster.hubs["c1"].is_placement_known_to_majority(record(1, 1).stamp)
     cluster.sync("c2", "c3")
     assert cluster.hubs["c3"].placement_record() == newest
     assert cluster.message("c2", "c3").hub.placement is None
 
 
-def test_what_changed_at_first_hand_is_told_at_once(cluster: Cluster) -> None:
+def test_own_changes_trigger_a_sync_at_once(cluster: Cluster) -> None:
     hub = cluster.hubs["c1"]
-    told: list[str] = []
-    hub.on_news = lambda: told.append("woken")
+    notifications: list[str] = []
+    hub.on_change = lambda: notifications.append("woken")
     exchange(hub)
-    hub.runners_read([reading("old")], [])
-    assert told == []
-    hub.runners_read([reading("new")], [])
-    assert len(told) == 1
+    hub.update_readings([reading("old")], [])
+    assert notifications == []
+    hub.update_readings([reading("new")], [])
+    assert len(notifications) == 1
     exchange(hub, stopping=True)
-    assert len(told) == 2
+    assert len(notifications) == 2
 
 
-def test_a_woken_task_runs_before_its_interval() -> None:
+def test_a_woken_task_runs_before_its_interval_ends() -> None:
     runs: queue.Queue[int] = queue.Queue()
-    task = PeriodicTask("test", FROZEN_S, lambda: runs.put(1))
+    task = PeriodicTask("test", PAUSE_S, lambda: runs.put(1))
     task.start()
     runs.get(timeout=10)
     task.wake()
