--- a/src/leverjunction/control/counters.py
+++ b/src/leverjunction/control/metrics.py
@@ -7,7 +7,7 @@
 EXCHANGE_BUCKETS_S = (0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.25)
 
 
-class ControlCounters:
+class ControlMetrics:
     """All counters of one control process. Safe to share between threads."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
--- a/src/leverjunction/control/node.py
+++ b/src/leverjunction/control/node.py
@@ -17,7 +17,6 @@
 from leverjunction.config.control import ControlConfig, ControlPeer
 from leverjunction.consensus.api import ReplicatedGroup
 from leverjunction.consensus.group import start_replica
-from leverjunction.control.counters import ControlCounters
 from leverjunction.control.group_host import GroupHost
 from leverjunction.control.http_server import operators_server
 from leverjunction.control.hub import Hub, HubIdentity
@@ -26,6 +25,7 @@
 from leverjunction.control.lease_expiry import TICK_INTERVAL_S, LeaseExpiry
 from leverjunction.control.machine_source import MachineSource
 from leverjunction.control.messages import HubState
+from leverjunction.control.metrics import ControlMetrics
 from leverjunction.control.periodic import PeriodicTask, stop_all
 from leverjunction.control.placement_runner import PlacementRunner
 from leverjunction.control.quorum import LocalRoot, RemoteRoot
@@ -62,7 +62,7 @@
     def __init__(self, config: ControlConfig, clock: Clock, registry: CollectorRegistry) -> None:
         self.config = config
         self._clock = clock
-        self._counters = ControlCounters(registry)
+        self._counters = ControlMetrics(registry)
         self._incarnation = clock.wall_ms()
         self._stopping = False
         self._address = _own_address(config)
--- a/src/leverjunction/control/placement_runner.py
+++ b/src/leverjunction/control/placement_runner.py
@@ -17,7 +17,6 @@
 from leverjunction.backends.types import LoadReport, Order, OrderAction
 from leverjunction.clock import Clock
 from leverjunction.consensus.api import ReplicatedGroup
-from leverjunction.control.counters import ControlCounters
 from leverjunction.control.group_host import GroupHost
 from leverjunction.control.hub import Hub
 from leverjunction.control.hub_types import ClusterPicture
@@ -28,6 +27,7 @@
     RunnerReading,
     Withdrawal,
 )
+from leverjunction.control.metrics import ControlMetrics
 from leverjunction.control.order_in_progress import OrderInProgress
 from leverjunction.control.placement import (
     DRAIN_LIMIT_S,
@@ -76,7 +76,7 @@
         engines: EngineClient,
         clock: Clock,
         random: random_module.Random,
-        counters: ControlCounters,
+        counters: ControlMetrics,
         max_loads: int,
     ) -> None:
         self._name = name
--- a/src/leverjunction/control/rpc_handlers.py
+++ b/src/leverjunction/control/rpc_handlers.py
@@ -6,11 +6,11 @@
 
 from leverjunction.clock import steady_s
 from leverjunction.consensus.group import GroupReplica
-from leverjunction.control.counters import ControlCounters
 from leverjunction.control.group_host import GroupHost
 from leverjunction.control.hub import Hub
 from leverjunction.control.lease_expiry import LeaseExpiry
 from leverjunction.control.messages import HubSync, RenewLeases
+from leverjunction.control.metrics import ControlMetrics
 from leverjunction.control.quorum import serve_local_query
 from leverjunction.control.raft_transport import serve_raft
 from leverjunction.errors import Failure
@@ -27,7 +27,7 @@
     host: GroupHost,
     replicas: Mapping[str, GroupReplica],
     expiry: LeaseExpiry,
-    counters: ControlCounters,
+    counters: ControlMetrics,
 ) -> RpcEndpoint:
     """Return the endpoint with all handlers of a control process."""
     receivers = {group: replica.receive for group, replica in replicas.items()}
@@ -69,7 +69,7 @@
     return endpoint
 
 
-def _exchange(hub: Hub, counters: ControlCounters, envelope: Envelope, peer: str) -> bytes:
+def _exchange(hub: Hub, counters: ControlMetrics, envelope: Envelope, peer: str) -> bytes:
     began_s = steady_s()
     request = decode(envelope.body, ExchangeRequest, peer)
     body = encode_reply(request) if isinstance(request, Failure) else hub.exchange_encoded(request)
--- a/tests/unit/test_control_placement_drain.py
+++ b/tests/unit/test_control_placement_drain.py
@@ -12,10 +12,10 @@
 from leverjunction.backends.machine_list import Machine, MachineList, MachineState
 from leverjunction.backends.types import LoadReport, Order, OrderOutcome
 from leverjunction.consensus.api import GroupStatus, ReplicatedGroup
-from leverjunction.control.counters import ControlCounters
 from leverjunction.control.group_host import GroupHost
 from leverjunction.control.hub import Hub, HubIdentity
 from leverjunction.control.messages import RunnerReading
+from leverjunction.control.metrics import ControlMetrics
 from leverjunction.control.placement import DRAIN_LIMIT_S, SETTLE_S
 from leverjunction.control.placement_runner import PlacementRunner
 from leverjunction.control.settings_mirror import SettingsMirror
@@ -107,7 +107,7 @@
             engines=cast(EngineClient, self),
             clock=self,
             random=random.Random(1),
-            counters=ControlCounters(CollectorRegistry()),
+            counters=ControlMetrics(CollectorRegistry()),
             max_loads=4,
         )
 
