--- a/src/leverjunction/control/group_host.py
+++ b/src/leverjunction/control/group_host.py
@@ -63,8 +63,8 @@
         rpc: Client towards the other control processes.
         clock: Source of monotonic time.
         committed: Called on the leader after each applied proposal.
-        calls_at_once: Calls in progress, for gateways and for other hubs each; the RPC server must
-            have more threads than twice as many.
+        max_concurrent_calls: Calls in progress at most, for gateways and for other hubs each. The
+            RPC server needs more than twice as many threads.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         rpc: RawCaller,
         clock: Clock,
         committed: Committed | None = None,
-        calls_at_once: int = CALLS_AT_ONCE,
+        max_concurrent_calls: int = CALLS_AT_ONCE,
     ) -> None:
         self._address = address
         self._local = local
@@ -84,8 +84,8 @@
         self._clock = clock
         self._committed = committed
         self._leaders: dict[str, str] = {}
-        self._client_slots = threading.BoundedSemaphore(calls_at_once)
-        self._forward_slots = threading.BoundedSemaphore(calls_at_once)
+        self._client_slots = threading.BoundedSemaphore(max_concurrent_calls)
+        self._forward_slots = threading.BoundedSemaphore(max_concurrent_calls)
 
     @property
     def groups(self) -> list[str]:
@@ -138,7 +138,7 @@
 
     def call(self, kind: MessageKind, group: str, body: bytes, timeout_s: float) -> bytes | Failure:
         """Run an encoded proposal or query on the group's leader and return its encoded reply."""
-        return self.at_leader(
+        return self.run_on_leader(
             group,
             _FORWARDED[kind],
             body,
@@ -146,7 +146,7 @@
             timeout_s,
         )
 
-    def at_leader(
+    def run_on_leader(
         self,
         group: str,
         kind: MessageKind,
--- a/src/leverjunction/control/hub_sync.py
+++ b/src/leverjunction/control/hub_sync.py
@@ -123,7 +123,7 @@
     def _renew(self, group: str) -> None:
         held = self._hub.take_renewals(group)
         renewals = RenewLeases(held)
-        raw = self._host.at_leader(
+        raw = self._host.run_on_leader(
             group,
             MessageKind.RENEW_LEASES,
             encode(renewals),
--- a/src/leverjunction/control/periodic.py
+++ b/src/leverjunction/control/periodic.py
@@ -32,7 +32,7 @@
         """Start the loop; the first run is at once."""
         self._thread.start()
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin no further run."""
         self._stopped.set()
         self._woken.set()
@@ -43,7 +43,7 @@
 
     def stop(self) -> None:
         """Stop after the run in progress and wait for it."""
-        self.ask_stop()
+        self.request_stop()
         if self._thread.is_alive():
             self._thread.join(JOIN_TIMEOUT_S)
 
@@ -71,6 +71,6 @@
     """Stop tasks together: the runs in progress end side by side, not one after another."""
     stopping = list(tasks)
     for task in stopping:
-        task.ask_stop()
+        task.request_stop()
     for task in stopping:
         task.stop()
--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -91,7 +91,7 @@
             self._voters,
             self._rpc,
             clock,
-            calls_at_once=CALLS_AT_ONCE,
+            max_concurrent_calls=CALLS_AT_ONCE,
         )
         self._follower = RegistryFollower(
             self._rpc,
--- a/src/leverjunction/registry/node.py
+++ b/src/leverjunction/registry/node.py
@@ -111,7 +111,7 @@
             self._voters,
             self._rpc,
             clock,
-            calls_at_once=CALLS_AT_ONCE,
+            max_concurrent_calls=CALLS_AT_ONCE,
         )
         self.hub = RegistryHub(self._replica, self.host, clock)
         self._heard_runners: set[str] = set()
@@ -301,7 +301,7 @@
         members, self._heard_members = self._heard_members, set()
         word = Heard(tuple(runners), (*members, self._config.name))
         body = encode(word)
-        self.host.at_leader(
+        self.host.run_on_leader(
             REGISTRY_GROUP,
             MessageKind.REGISTRY_HEARD,
             body,
--- a/src/testbed/simulation/seeded/stand_ins.py
+++ b/src/testbed/simulation/seeded/stand_ins.py
@@ -139,7 +139,7 @@
         fibers = self._place.board.fibers
         self._place.machine.after(0.0, lambda: fibers.spawn(self._place.machine, self._loop))
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Do nothing: processes are killed here."""
 
     def stop(self) -> None:
--- a/tests/unit/test_registry_rpc_threads.py
+++ b/tests/unit/test_registry_rpc_threads.py
@@ -48,7 +48,7 @@
         {GROUP: []},
         rpc,
         SystemClock(),
-        calls_at_once=CALLS_AT_ONCE,
+        max_concurrent_calls=CALLS_AT_ONCE,
     )
     endpoint = RpcEndpoint(CLUSTER_KEY, 1)
     endpoint.register(MessageKind.PROPOSE, host.serve_client)
