--- a/src/leverjunction/control/group_host.py
+++ b/src/leverjunction/control/group_host.py
@@ -1,4 +1,4 @@
-"""Proposals and queries: run on the local replica when it leads, else passed on to the leader."""
+"""Runs proposals and queries on the local replica if it leads, else forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 T = TypeVar("T")
 
 LEADER_WAIT_S = 1.5
-"""Longest wait for the leader's answer; below the gateways' own wait for their hub."""
+"""Timeout of a call to the leader. It is below the timeout of a gateway's call to its hub."""
 
-HOPS = 3
-"""Peers tried for one call: a leader that moved is found by following NOT_LEADER."""
+MAX_FORWARDS = 3
+"""Peers tried for one call. NOT_LEADER replies lead to the current leader after a change."""
 
-CALLS_AT_ONCE = 32
-"""Proposals and queries in progress, for gateways and for other hubs each.
+MAX_CONCURRENT_CALLS = 32
+"""Default limit of proposals and queries in progress, for gateways and for other hubs each.
 
-The two are counted apart: two hubs whose calls wait for each other would otherwise stop for good.
-The RPC server has more threads than both, so consensus messages are never held up.
+Each has its own limit: with a common one, two hubs whose calls wait for each other would deadlock.
+The RPC server has more threads than both limits together, so consensus messages are never blocked.
 """
 
 RETRY_AFTER_S = 0.1
 
-Committed = Callable[[str, bytes, bytes], None]
-"""Told of a group, command and reply after a proposal was applied on this leader."""
+CommitCallback = Callable[[str, bytes, bytes], None]
+"""Called with the group, the command and the reply once this leader has applied a proposal."""
 
 
 class RawCaller(Protocol):
-    """The part of ``RpcClient`` that is used here."""
+    """The method of ``RpcClient`` that ``GroupHost`` needs."""
 
     def call_raw(
         self,
@@ -52,17 +52,17 @@
 
 
 class GroupHost:
-    """All groups as this process offers them to gateways, operators and its own tasks.
+    """Gives gateways, operators and the tasks of this process access to all consensus groups.
 
     Safe to share between threads.
 
     Args:
         address: RPC address of this process.
-        local: Replicas that live here, by group.
-        voters: RPC addresses of each group's first voters, by group.
-        rpc: Client towards the other control processes.
+        local: Replicas of this process, by group.
+        voters: RPC addresses of each group's initial voters, by group.
+        rpc: Client for calls to the other control processes.
         clock: Source of monotonic time.
-        committed: Called on the leader after each applied proposal.
+        on_commit: Called on the leader after each applied proposal.
         max_concurrent_calls: Calls in progress at most, for gateways and for other hubs each. The
             RPC server needs more than twice as many threads.
     """
@@ -74,15 +74,15 @@
         voters: Mapping[str, list[str]],
         rpc: RawCaller,
         clock: Clock,
-        committed: Committed | None = None,
-        max_concurrent_calls: int = CALLS_AT_ONCE,
+        on_commit: CommitCallback | None = None,
+        max_concurrent_calls: int = MAX_CONCURRENT_CALLS,
     ) -> None:
         self._address = address
         self._local = local
         self._voters = voters
         self._rpc = rpc
         self._clock = clock
-        self._committed = committed
+        self._on_commit = on_commit
         self._leaders: dict[str, str] = {}
         self._client_slots = threading.BoundedSemaphore(max_concurrent_calls)
         self._forward_slots = threading.BoundedSemaphore(max_concurrent_calls)
@@ -93,11 +93,11 @@
         return list(self._voters)
 
     def local(self, group: str) -> ReplicatedGroup | None:
-        """Return the local replica of a group, or None when none lives here."""
+        """Return the local replica of a group, or None if this process has none."""
         return self._local.get(group)
 
     def statuses(self) -> list[GroupStatus]:
-        """Return what the local replicas know of their groups."""
+        """Return the status of each local replica."""
         return [replica.status() for replica in self._local.values()]
 
     def leads(self, group: str) -> bool:
@@ -108,19 +108,19 @@
     def propose(
         self, group: str, command: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
-        """Propose a typed command for a task or an operator of this process."""
+        """Propose a typed command and return its typed reply."""
         raw = self.call(MessageKind.PROPOSE, group, encode(command), timeout_s)
         return raw if isinstance(raw, Failure) else decode_reply(raw, reply_type, self._address)
 
     def query(
         self, group: str, query: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
-        """Ask a typed linearizable query for a task or an operator of this process."""
+        """Run a typed linearizable query and return its typed reply."""
         raw = self.call(MessageKind.QUERY, group, encode(query), timeout_s)
         return raw if isinstance(raw, Failure) else decode_reply(raw, reply_type, self._address)
 
     def serve_client(self, envelope: Envelope, peer: str) -> bytes:
-        """RPC handler of PROPOSE and QUERY, as gateways send them."""
+        """Handle a PROPOSE or QUERY message from a gateway."""
         with _Slot(self._client_slots) as slot:
             if not slot.taken:
                 return encode_reply(_overloaded())
@@ -128,7 +128,7 @@
             return encode_reply(reply) if isinstance(reply, Failure) else reply
 
     def serve_forwarded(self, envelope: Envelope, peer: str) -> bytes:
-        """RPC handler of calls that another hub passed on: run here or refused, never sent on."""
+        """Handle a call that another hub forwarded: run it here or refuse it, never forward it."""
         with _Slot(self._forward_slots) as slot:
             if not slot.taken:
                 return encode_reply(_overloaded())
@@ -154,14 +154,16 @@
         run_here: Callable[[], bytes | Failure],
         timeout_s: float,
     ) -> bytes | Failure:
-        """Have a group's leader do something: this process, or another by a message of ``kind``.
+        """Run an operation on a group's leader, in this process or by a message to another one.
 
         Args:
             group: The group.
-            kind: Message that another process gets; it must run it there or refuse.
+            kind: Kind of the message sent to another process, whose handler runs the operation
+                there or refuses it.
             body: Body of that message.
-            run_here: Does it here; returns NOT_LEADER when another process leads.
-            timeout_s: Longest wait in all.
+            run_here: Runs the operation in this process, or returns NOT_LEADER when another
+                process leads the group.
+            timeout_s: Limit for the whole call.
         """
         if group not in self._voters:
             return _no_such_group(group)
@@ -182,8 +184,8 @@
         if kind is MessageKind.QUERY:
             return replica.query(body, timeout_s)
         reply = replica.propose(body, timeout_s)
-        if not isinstance(reply, Failure) and self._committed is not None:
-            self._committed(group, body, reply)
+        if not isinstance(reply, Failure) and self._on_commit is not None:
+            self._on_commit(group, body, reply)
         return reply
 
     def _forward(
@@ -191,7 +193,7 @@
     ) -> bytes | Failure:
         tried: set[str] = {self._address}
         reply: bytes | Failure = _not_leader(group, "")
-        for _ in range(HOPS):
+        for _ in range(MAX_FORWARDS):
             target = self._next_target(group, tried)
             left_s = deadline_s - self._clock.monotonic_s()
             if target is None or left_s <= 0:
@@ -205,7 +207,7 @@
             reply = refusal
             self._learn_leader(group, refusal)
             if refusal.execution is not Execution.NOT_RUN:
-                # It may have been appended: only the caller may decide on another try.
+                # The command may be in the log: only the caller can decide whether to retry.
                 return refusal
         return reply
 
@@ -222,7 +224,7 @@
 
 
 class _Slot:
-    """Takes a place in a semaphore without waiting, for the length of a ``with`` block."""
+    """Holds a semaphore for a ``with`` block if it can be acquired without waiting."""
 
     def __init__(self, semaphore: threading.BoundedSemaphore) -> None:
         self._semaphore = semaphore
@@ -243,15 +245,15 @@
 }
 _DIRECT = {forwarded: direct for direct, forwarded in _FORWARDED.items()}
 
-_PASSED_ON = frozenset({FailureKind.NOT_LEADER, FailureKind.OVERLOADED, FailureKind.STOPPING})
+_RETRY_ELSEWHERE = frozenset({FailureKind.NOT_LEADER, FailureKind.OVERLOADED, FailureKind.STOPPING})
 
 
 def _refusal_of(reply: bytes) -> Failure | None:
-    """Return the failure in a reply if it says that another peer should be tried."""
+    """Return the failure in a reply if another peer may succeed, else None."""
     if not is_failure_reply(reply):
         return None
     decoded = decode_reply(reply, msgspec.Raw)
-    if isinstance(decoded, Failure) and decoded.kind in _PASSED_ON:
+    if isinstance(decoded, Failure) and decoded.kind in _RETRY_ELSEWHERE:
         return decoded
     return None
 
--- a/src/leverjunction/control/http_server.py
+++ b/src/leverjunction/control/http_server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP port, on CherryPy's own server."""
+"""The HTTP server of the operators' API, on Cheroot (the server of CherryPy)."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
 
 
 def operators_server(host: str, port: int, app: Any) -> HttpServer:
-    """Return the server of the operators' port, not yet started; port 0 picks a free one."""
+    """Return the operators' server, not yet started. Port 0 binds a free port."""
     return HttpServer(host, port, app, OPERATORS_PORT)
--- a/src/leverjunction/control/layout.py
+++ b/src/leverjunction/control/layout.py
@@ -1,4 +1,8 @@
-"""Which control processes hold which consensus group. Pure, and the same on every process."""
+"""Assigns consensus groups to control processes and ranks the hubs for a gateway.
+
+A hub is a control process in its role as a peer of gateways and of the other control processes.
+All functions are pure, so every process computes the same layout from the same configuration.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +29,14 @@
 
 
 def voters_of(group: str, config: ControlConfig) -> list[ControlPeer]:
-    """Return the control processes that shall hold a group.
-
-    They are all of them, or ``replicas_per_group``: in different regions as far as possible, then
-    in different zones, so that a region that is cut off holds a minority of every group. Within
-    that the groups are spread evenly; the rest is by rendezvous hash, so that another process more
-    or less moves few replicas.
+    """Return the control processes that should vote in a group.
+
+    Group root has the voters that ``root_voters`` names, if it names any. Another group has
+    ``replicas_per_group`` voters, or all processes if there are fewer. The voters are in different
+    regions where possible, so that a partitioned region holds a minority of every group. The next
+    criteria are that a process holds fewer groups than its even share, and that its zone has few
+    voters of the group. Rendezvous hashing breaks ties, so adding or removing a process moves few
+    replicas.
     """
     return _layout(config)[group]
 
@@ -39,14 +45,16 @@
     groups = group_names(config)
     count = min(config.replicas_per_group, len(config.peers))
     held: Counter[str] = Counter()
-    fair = math.ceil(len(groups) * count / len(config.peers))
+    fair_count = math.ceil(len(groups) * count / len(config.peers))
     layout: dict[str, list[ControlPeer]] = {}
     for group in groups:
         named = group == ROOT_GROUP and config.root_voters
         chosen = (
             [peer for peer in config.peers if peer.name in config.root_voters]
             if named
-            else _choose(group, config.peers, count, {name for name in held if held[name] >= fair})
+            else _choose(
+                group, config.peers, count, {name for name in held if held[name] >= fair_count}
+            )
         )
         held.update(peer.name for peer in chosen)
         layout[group] = chosen
@@ -77,15 +85,16 @@
 ) -> list[str]:
     """Return the RPC addresses of all hubs in the order in which a gateway should use them.
 
-    Its own zone's first, then its region's, then the others. Within each of these the order is by
-    rendezvous hash of gateway and hub, so the gateways of a dead hub spread over the rest.
+    Hubs in the gateway's zone come first, then those in its region, then the others. Within each
+    set the order is by rendezvous hash of gateway and hub, so the gateways of a dead hub spread
+    over the remaining ones.
 
     Args:
-        gateway_id: The gateway.
-        zone: Its zone.
+        gateway_id: Id of the gateway.
+        zone: Zone of the gateway.
         peers: RPC addresses of all control processes, by name.
-        zones: Their zones, by name.
-        region_of: Returns the region of a zone, None when the settings name none.
+        zones: Zones of all control processes, by name.
+        region_of: Returns the region of a zone, or None if the settings name none.
     """
     region = region_of(zone)
 
--- a/src/leverjunction/control/machine_source.py
+++ b/src/leverjunction/control/machine_source.py
@@ -1,9 +1,9 @@
-"""Where this hub reads the platform's machine list: from the platform, else from another hub.
+"""Reads the machine list from the platform, or from another hub if the platform fails.
 
-Each hub reads the platform by itself, twice a second. One reader that told the others would save
-the platform the other readings, but a leaving runner would then need up to 2.5 s to reach every
-gateway (0.5 s list, 1 s between hubs, 1 s exchange) where 2 s are promised, and one lost reader
-would blind all hubs.
+Each hub polls the platform, twice a second. With a single reader that informs the other hubs the
+platform would serve fewer requests, but every gateway would learn of a leaving runner within 2.5 s
+(0.5 s list, 1 s between hubs, 1 s exchange) instead of the promised 2 s, and all hubs would depend
+on one process.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from leverjunction.wire.rpc_client import RpcClient
 
 PEER_TIMEOUT_S = 0.5
-LONGEST_READ_S = REQUEST_TIMEOUT_S + PEER_TIMEOUT_S
+MAX_READ_S = REQUEST_TIMEOUT_S + PEER_TIMEOUT_S
 
 
 class MachineSource:
-    """Reads the list for one hub. Called by one background task.
+    """Keeps the machine list of one hub up to date. Called by one background task.
 
     Args:
         platform: Client of the platform.
-        hub: Takes the readings, and knows which other hub has the newest one.
-        rpc: Client towards the other hubs.
-        interval_s: Time between two readings.
+        hub: Receives the machine lists, and knows which other hub has the newest one.
+        rpc: Client for calls to the other hubs.
+        interval_s: Time between two reads, in seconds.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self._failing = False
 
     def tick(self) -> None:
-        """Read once; the last reading stays in force when nobody has a newer one."""
-        asked_s = self._hub.listing_begins(LONGEST_READ_S)
+        """Read the list once. The last one stays in use if neither source has a newer one."""
+        start_s = self._hub.listing_begins(MAX_READ_S)
         listed = self._platform.read()
-        self._note(listed)
+        self._log_change(listed)
         if isinstance(listed, Failure):
             listed = self._read_from_hub(listed)
         if isinstance(listed, MachineList):
-            self._hub.machines_listed(listed, asked_s)
+            self._hub.machines_listed(listed, start_s)
         self._hub.listing_begins(self._interval_s)
 
     def _read_from_hub(self, failure: Failure) -> MachineList | Failure:
@@ -69,9 +69,9 @@
             timeout_s=PEER_TIMEOUT_S,
         )
 
-    def _note(self, listed: MachineList | Failure) -> None:
+    def _log_change(self, listed: MachineList | Failure) -> None:
         if isinstance(listed, Failure) and not self._failing:
-            logger.warning("{}; other hubs are asked", listed.reason)
+            logger.warning("{}; trying other hubs", listed.reason)
         elif self._failing and not isinstance(listed, Failure):
-            logger.info("the machine list can be read again")
+            logger.info("reading the machine list from the platform again")
         self._failing = isinstance(listed, Failure)
--- a/src/leverjunction/control/messages.py
+++ b/src/leverjunction/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages between control processes, beside those of the consensus groups."""
+"""Messages between control processes, except those of the consensus groups."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class RunnerReading(msgspec.Struct, frozen=True, kw_only=True):
-    """What the hub that watches a runner last read from its engine.
+    """The last state that a hub read from the engine of a runner that it watches.
 
     Attributes:
-        runner_id: The runner.
-        reachable: False while the engine does not answer.
+        runner_id: Id of the runner.
+        reachable: False while the engine does not respond.
         incarnation: Start time of the engine, in milliseconds.
-        models: Models and ``model:adapter`` that are loaded and ready.
-        versions: Version of each of them.
-        leaving: The engine's own word that it takes no new work.
+        models: Models, and adapters as ``model:adapter``, that are loaded and ready.
+        versions: Version of each entry of ``models``.
+        leaving: True if the engine reports that it takes no new work.
     """
 
     runner_id: str
@@ -30,9 +30,9 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True, order=True):
-    """A model that gateways may not use on a runner, because it is about to be changed there.
+    """A model that gateways may not use on a runner because it is about to change there.
 
-    It covers the adapters of the model as well.
+    The adapters of the model are withdrawn with it.
     """
 
     runner_id: str
@@ -40,14 +40,14 @@
 
 
 class PendingOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order that was, or is about to be, sent to the engine of a runner.
+    """An order that was sent, or is about to be sent, to the engine of a runner.
 
     Attributes:
-        runner_id: The runner.
-        address: ``host:port`` of its engine.
+        runner_id: Id of the runner.
+        address: ``host:port`` of the engine.
         order: The order with its fence.
-        incarnation: Start time of the engine that it was planned for, in milliseconds; 0 if that
-            is not known. An engine that started later knows no fence and takes any order.
+        incarnation: Start time of the engine that the order was planned for, in milliseconds; 0 if
+            unknown. An engine that started later knows no fence and accepts any order.
     """
 
     runner_id: str
@@ -57,13 +57,14 @@
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What a successor of the process that leads placement has to know.
+    """The state that the next leader of placement takes over.
 
-    Every hub passes on the newest one it knows, so it outlives the process that made it.
+    Every hub forwards the newest record that it knows, so a record outlives the process that
+    created it.
 
     Attributes:
-        term: Term of group root in which it leads.
-        revision: Rises with each change within a term.
+        term: Term of group root in which the process that created the record leads.
+        revision: Number that increases with each change within a term.
         withdrawn: Withdrawals in force.
         orders: Orders in progress, at most one for each runner.
     """
@@ -75,25 +76,25 @@
 
     @property
     def stamp(self) -> PlacementStamp:
-        """What orders records by age."""
+        """Term and revision, by which records are ordered by age."""
         return PlacementStamp(self.term, self.revision)
 
 
 class HubState(msgspec.Struct, frozen=True, kw_only=True):
-    """A control process as the others and the operators see it.
+    """The state of a control process, as sent to other hubs and shown to operators.
 
     Attributes:
-        name: Name from its configuration.
+        name: Name from the configuration of the process.
         rpc_address: ``host:port`` of its internal RPC.
-        zone: Zone it runs in.
+        zone: Zone that it runs in.
         incarnation: Start time in milliseconds.
         settings_version: Version of the settings that it has applied.
-        quorum_age_s: Seconds since it heard the leader of group root.
-        machine_list_as_of_ms: The platform's time of its last reading of the machine list.
-        groups: Its replicas of consensus groups.
-        placement: The newest record of placement that it knows; None when the receiver has it.
-        in_force: Oldest placement record whose withdrawals one of its gateways has in force; None
-            without gateways.
+        quorum_age_s: Seconds since its last contact with the leader of group root.
+        machine_list_as_of_ms: Time of its machine list, by the platform's clock.
+        groups: Status of its replicas of consensus groups.
+        placement: Newest placement record that it knows; None if the receiver already has it.
+        in_force: Oldest of the placement records that its gateways have applied; None if it has no
+            gateways.
     """
 
     name: str
@@ -109,19 +110,20 @@
 
 
 class HubSync(msgspec.Struct, frozen=True, kw_only=True):
-    """What one hub knows at first hand, told to each other hub once a second; deltas only.
+    """The changes of a hub's own records, sent to each other hub once a second.
 
     Attributes:
-        hub: The sender.
-        from_version: Version of the sender's records that the receiver is taken to have.
-        to_version: Version after this message.
-        full: True when the lists are complete; everything else from the sender is forgotten.
-        gateways: Gateways that exchange with the sender.
-        gone_gateways: Ids of those that no longer do.
-        readings: Readings of the runners that the sender watches.
-        gone_readings: Ids of runners that it no longer watches.
-        digests: Load digests that its gateways gave.
-        sequence: Rises with each message of one incarnation, so that a late one is known as such.
+        hub: State of the sender.
+        from_version: Version of the sender's records that the receiver is expected to have.
+        to_version: Version of the sender's records after this message.
+        full: True if the lists are complete; the receiver then drops the sender's other records.
+        gateways: New or changed gateways that exchange state with the sender.
+        gone_gateways: Ids of gateways that no longer do.
+        readings: New or changed readings of the runners that the sender watches.
+        gone_readings: Ids of runners that the sender no longer watches.
+        digests: New or changed load digests from the sender's gateways.
+        sequence: Number that increases with each message of an incarnation, so that the receiver
+            detects messages that arrive out of order.
     """
 
     hub: HubState
@@ -137,11 +139,12 @@
 
 
 class HubSyncReply(msgspec.Struct, frozen=True):
-    """What the receiver now has.
+    """The receiver's reply to a ``HubSync``.
 
     Attributes:
-        have_version: Version of the sender's records; 0 asks for a full message.
-        placement: Stamp of the newest record of placement that it knows.
+        have_version: Version of the sender's records that the receiver now has; 0 requests a full
+            message.
+        placement: Stamp of the newest placement record that the receiver knows.
     """
 
     have_version: int
@@ -149,25 +152,25 @@
 
 
 class HeldLeases(msgspec.Struct, frozen=True):
-    """Leases that one gateway says it holds in a group."""
+    """Leases that a gateway reports to hold in a group."""
 
     owner: str
     lease_ids: list[str]
 
 
 class RenewLeases(msgspec.Struct, frozen=True):
-    """A hub passes its gateways' renewals to the leader of a job group, in one batch."""
+    """Request of a hub to the leader of a job group to renew the leases of the hub's gateways."""
 
     held: list[HeldLeases]
 
 
 class RenewedLeases(msgspec.Struct, frozen=True):
-    """The leader's answer.
+    """The leader's reply to ``RenewLeases``.
 
     Attributes:
         lost: Leases that are no longer valid.
-        cancelled_jobs: Jobs cancelled lately.
-        pending_services: Services with pending items; None when the leader cannot tell.
+        cancelled_jobs: Ids of recently cancelled jobs.
+        pending_services: Services with pending items; None if the leader does not know.
     """
 
     lost: list[HeldLeases]
--- a/src/leverjunction/control/metrics.py
+++ b/src/leverjunction/control/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of a control process; names carry their units."""
+"""Prometheus metrics of a control process. Each name ends with its unit."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ControlMetrics:
-    """All counters of one control process. Safe to share between threads."""
+    """All metrics of one control process. Safe to share between threads."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.registry = registry
--- a/src/leverjunction/control/node.py
+++ b/src/leverjunction/control/node.py
@@ -1,4 +1,4 @@
-"""All parts of one control process, wired together."""
+"""Assembles and runs the components of a control process."""
 
 from __future__ import annotations
 
@@ -41,28 +41,28 @@
 from leverjunction.wire.rpc_server import RpcServer
 
 RPC_THREADS = 112
-"""More than the proposals and queries that may wait (two times 32), so that consensus messages
-and exchanges always find a thread."""
+"""More than the proposals and queries that may wait (twice 32), so that consensus messages and
+exchanges always get a thread."""
 
-MIRROR_INTERVAL_S = 0.1
-EXPIRY_INTERVAL_S = 0.5
+SETTINGS_INTERVAL_S = 0.1
+MEMBERSHIP_INTERVAL_S = 0.5
 VOTERS_INTERVAL_S = 2.0
-STALE_QUORUM_S = 2.0
+MAX_QUORUM_AGE_S = 2.0
 
 
 class ControlNode:
-    """One control process. ``start`` returns once it listens; ``stop`` ends it as planned.
+    """A control process. ``start`` returns once its ports listen; ``stop`` shuts it down cleanly.
 
     Args:
-        config: Settings file of the process.
+        config: Configuration of the process.
         clock: Source of time.
-        registry: Takes the counters.
+        registry: Prometheus registry for the metrics.
     """
 
     def __init__(self, config: ControlConfig, clock: Clock, registry: CollectorRegistry) -> None:
         self.config = config
         self._clock = clock
-        self._counters = ControlMetrics(registry)
+        self._metrics = ControlMetrics(registry)
         self._incarnation = clock.wall_ms()
         self._stopping = False
         self._address = _own_address(config)
@@ -84,7 +84,7 @@
             clock,
             self._expiry.committed,
         )
-        self._root = self._root_follower()
+        self._root = self._root_reader()
         self.mirror = SettingsMirror(self._root.read)
         self.hub = Hub(self._identity(), self.mirror, clock, self._root.quorum_age_s)
         if isinstance(self._root, RemoteRoot):
@@ -96,7 +96,7 @@
             self.host,
             self.replicas,
             self._expiry,
-            self._counters,
+            self._metrics,
         )
         listen = config.listen
         self._rpc_server = RpcServer(listen.host, listen.rpc_port, endpoint, RPC_THREADS)
@@ -123,27 +123,31 @@
             engines=self._engines,
             clock=clock,
             random=random_module.Random(),
-            counters=self._counters,
+            counters=self._metrics,
             max_loads=config.max_loads_at_once,
         )
         voters = VoterPlacement(self.replicas, wanted)
         self._tasks = [
             PeriodicTask("placement", config.placement_interval_s, self._placement.tick),
-            PeriodicTask("settings", MIRROR_INTERVAL_S, self._follow_settings),
+            PeriodicTask("settings", SETTINGS_INTERVAL_S, self._refresh_settings),
             PeriodicTask("machine-list", config.machine_list_interval_s, machines.tick),
             PeriodicTask("runner-watch", WATCH_INTERVAL_S, self._watch.tick),
             PeriodicTask("lease-expiry", TICK_INTERVAL_S, self._expiry.tick),
-            PeriodicTask("membership", EXPIRY_INTERVAL_S, self._expire),
+            PeriodicTask("membership", MEMBERSHIP_INTERVAL_S, self._expire_members),
             PeriodicTask("voters", VOTERS_INTERVAL_S, voters.tick),
         ]
 
     def start(self) -> None:
-        """Start everything; raises OSError when a port is taken."""
+        """Start all components.
+
+        Raises:
+            OSError: A port is in use.
+        """
         self._rpc_server.start()
         for name, replica in self.replicas.items():
-            fault = start_replica(replica)
-            if fault is not None:
-                logger.error("group {} does not start: {}", name, fault.reason)
+            failure = start_replica(replica)
+            if failure is not None:
+                logger.error("cannot start the replica of group {}: {}", name, failure.reason)
         self._http_server.start()
         for task in self._tasks:
             task.start()
@@ -156,13 +160,13 @@
         )
 
     def stop(self) -> None:
-        """Stop as planned: give up leadership, finish the calls in progress, close the files."""
+        """Transfer leadership, finish the calls in progress and close all files and connections."""
         self._stopping = True
         logger.info("stopping")
         stop_all(self._tasks)
         self._renewals.stop()
         self._sync.stop()
-        # The replicas hand their leads over while peers and gateways can still reach this process.
+        # The replicas transfer leadership while peers and gateways can still reach this process.
         for replica in self.replicas.values():
             replica.stop()
         self._http_server.stop()
@@ -173,7 +177,7 @@
         logger.info("stopped")
 
     def state(self) -> HubState:
-        """Return this process's state, as the other hubs get it."""
+        """Return the state of this process that is sent to the other hubs."""
         return HubState(
             name=self.config.name,
             rpc_address=self._address,
@@ -186,7 +190,7 @@
         )
 
     def status(self) -> ClusterStatus:
-        """Return the cluster's status, as the operators get it."""
+        """Return the status of the cluster for the operators' API."""
         return cluster_status(
             self.state(),
             self.hub,
@@ -197,11 +201,12 @@
             self._placement.status(),
         )
 
-    def _root_follower(self) -> LocalRoot | RemoteRoot:
+    def _root_reader(self) -> LocalRoot | RemoteRoot:
         voters = _addresses(voters_of(ROOT_GROUP, self.config))
         if self._address in voters:
             return LocalRoot(self.replicas[ROOT_GROUP], self._clock)
-        # Also beside a replica that the layout puts here no longer: it will be left behind.
+        # The process may still run a replica of root that the layout has moved away. That replica
+        # falls behind once the group has removed it, so it is not used for reads.
         return RemoteRoot(self._rpc, voters, self._clock)
 
     def _identity(self) -> HubIdentity:
@@ -228,32 +233,32 @@
         if self._stopping:
             return "stopping"
         age_s = self._root.quorum_age_s()
-        if age_s > STALE_QUORUM_S:
-            return f"the leader of group root was not heard for {age_s:.1f} s"
+        if age_s > MAX_QUORUM_AGE_S:
+            return f"no contact with the leader of group root for {age_s:.1f} s"
         return None
 
-    def _follow_settings(self) -> None:
+    def _refresh_settings(self) -> None:
         if self.mirror.refresh():
             settings = self.mirror.settings
             drains = [settings.draining_runners(name) for name in settings.names("services")]
             self.hub.drains_set(runner for names in drains for runner in names)
 
-    def _expire(self) -> None:
+    def _expire_members(self) -> None:
         self.hub.expire()
         age_s = self._root.quorum_age_s()
-        self._counters.gateways.set(self.hub.gateway_count())
-        self._counters.runners.set(len(self.hub.runners()))
-        self._counters.settings_version.set(self.mirror.version)
-        self._counters.quorum_age_s.set(age_s)
-        self._counters.stale.set(1 if age_s > STALE_QUORUM_S else 0)
+        self._metrics.gateways.set(self.hub.gateway_count())
+        self._metrics.runners.set(len(self.hub.runners()))
+        self._metrics.settings_version.set(self.mirror.version)
+        self._metrics.quorum_age_s.set(age_s)
+        self._metrics.stale.set(1 if age_s > MAX_QUORUM_AGE_S else 0)
 
 
 def _own_address(config: ControlConfig) -> str:
-    """Return the address under which the peers know this process."""
+    """Return the RPC address of this process, as given in ``peers``."""
     for peer in config.peers:
         if peer.name == config.name:
             return peer.rpc_address
-    raise OSError(f"peers does not name this process, {config.name!r}")
+    raise OSError(f"peers does not contain this process, {config.name!r}")
 
 
 def _addresses(peers: list[ControlPeer]) -> list[str]:
@@ -263,5 +268,5 @@
 def _read_secret(path: Path) -> bytes:
     secret = path.read_bytes().strip()
     if not secret:
-        raise OSError(f"{path} is empty")
+        raise OSError(f"secret file {path} is empty")
     return secret
--- a/src/leverjunction/control/periodic.py
+++ b/src/leverjunction/control/periodic.py
@@ -1,4 +1,4 @@
-"""Threads that do one thing again and again until they are stopped."""
+"""Background threads that run a function periodically."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from loguru import logger
 
 JOIN_TIMEOUT_S = 5.0
-WOKEN_PAUSE_S = 0.2
-"""Between being woken and the run: gathers what happens at the same time."""
+WAKE_DELAY_S = 0.2
+"""Delay between ``wake`` and the run, so that one run serves several wake-ups."""
 
 
 class PeriodicTask:
-    """Runs a function every ``interval_s`` in a thread of its own.
+    """Runs a function in its own thread, with a pause of ``interval_s`` between runs.
 
-    A fault in one run is logged when it first appears and when it is over; it never ends the loop,
-    since everything that a control process does in the background has to go on.
+    An exception never ends the loop, since the background tasks of a process have to continue.
+    The first of a row of failures is logged, and so is the next successful run.
     """
 
     def __init__(self, name: str, interval_s: float, run: Callable[[], None]) -> None:
@@ -29,20 +29,20 @@
         self._thread = threading.Thread(target=self._loop, name=name, daemon=True)
 
     def start(self) -> None:
-        """Start the loop; the first run is at once."""
+        """Start the thread; the first run is immediate."""
         self._thread.start()
 
     def request_stop(self) -> None:
-        """Begin no further run."""
+        """Prevent further runs, without waiting for the one in progress."""
         self._stopped.set()
         self._woken.set()
 
     def wake(self) -> None:
-        """Run soon instead of after the interval; what is woken for meanwhile is one run."""
+        """Run soon instead of after the interval. Calls before that run cause no further runs."""
         self._woken.set()
 
     def stop(self) -> None:
-        """Stop after the run in progress and wait for it."""
+        """Prevent further runs and wait for the one in progress, at most ``JOIN_TIMEOUT_S``."""
         self.request_stop()
         if self._thread.is_alive():
             self._thread.join(JOIN_TIMEOUT_S)
@@ -51,7 +51,7 @@
         while not self._stopped.is_set():
             self._run_once()
             if self._woken.wait(self._interval_s):
-                self._stopped.wait(WOKEN_PAUSE_S)
+                self._stopped.wait(WAKE_DELAY_S)
                 self._woken.clear()
 
     def _run_once(self) -> None:
@@ -59,16 +59,16 @@
             self._run()
         except Exception:
             if not self._failing:
-                logger.exception("task {} fails", self._name)
+                logger.exception("task {} failed", self._name)
             self._failing = True
             return
         if self._failing:
-            logger.info("task {} works again", self._name)
+            logger.info("task {} recovered", self._name)
         self._failing = False
 
 
 def stop_all(tasks: Iterable[PeriodicTask]) -> None:
-    """Stop tasks together: the runs in progress end side by side, not one after another."""
+    """Stop all tasks, waiting for their runs in progress in parallel."""
     stopping = list(tasks)
     for task in stopping:
         task.request_stop()
--- a/src/leverjunction/control/process.py
+++ b/src/leverjunction/control/process.py
@@ -19,22 +19,22 @@
 
 
 def run(config: ControlConfig) -> int:
-    """Run a control process until SIGTERM or SIGINT, then stop as planned.
+    """Run a control process until SIGTERM or SIGINT, then shut it down cleanly.
 
     Returns:
-        0 after a planned stop; 1 when it could not start.
+        The exit status: 0 after a clean shutdown, 1 if the process cannot start.
     """
     return_large_buffers()
     setup_logging(config.log, config.name)
-    stop_asked = threading.Event()
+    stop_requested = threading.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signal_number, lambda _number, _frame: stop_asked.set())
+        signal.signal(signal_number, lambda _number, _frame: stop_requested.set())
     try:
         node = ControlNode(config, SystemClock(), REGISTRY)
         node.start()
     except OSError as error:
         logger.error("cannot start: {}", error)
         return EXIT_CANNOT_START
-    stop_asked.wait()
+    stop_requested.wait()
     node.stop()
     return EXIT_STOPPED
--- a/src/leverjunction/control/replicas.py
+++ b/src/leverjunction/control/replicas.py
@@ -1,4 +1,4 @@
-"""Builds the local replicas of the consensus groups."""
+"""Creates the local replicas of the consensus groups."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 GROUP_FOLDER = "groups"
 ELECTION_TIMEOUT_SPREAD = 2.0
-"""Longest election timeout over the shortest; the spread keeps candidates apart."""
+"""Ratio of the longest to the shortest election timeout; the spread prevents split votes."""
 
 
 def build_replicas(
@@ -29,15 +29,15 @@
 ) -> dict[str, GroupReplica]:
     """Return a replica of each group that this process holds, by group, not started yet.
 
-    One that the layout no longer puts here, but whose file is here, is run as well: it may be
-    needed for the quorum until the others have taken over (see ``voter_placement``).
+    A group that the layout has moved away is included while its file exists here: its replica may
+    be needed for the quorum until the new voters have taken over (see ``voter_placement``).
 
     Args:
         config: This process's configuration.
-        address: RPC address under which the peers know this process.
-        transport: Carries messages to the peers.
+        address: RPC address of this process, as given in ``peers``.
+        transport: Sends messages to the peers.
         clock: Source of time.
-        random: Seeds each replica's own generator.
+        random: Generator of the seeds for the replicas' own generators.
     """
     folder = config.data_folder / GROUP_FOLDER
     folder.mkdir(parents=True, exist_ok=True)
@@ -48,8 +48,8 @@
             continue
         own_random = random_module.Random(random.getrandbits(64))
         group_config = _group_config(config, group, address, members, folder)
-        machine = _machine_of(group)
-        replicas[group] = GroupReplica(group_config, machine, transport, clock, own_random)
+        state_machine = _state_machine_of(group)
+        replicas[group] = GroupReplica(group_config, state_machine, transport, clock, own_random)
     return replicas
 
 
@@ -57,7 +57,7 @@
     return folder / f"{group}.sqlite"
 
 
-def _machine_of(group: str) -> StateMachine:
+def _state_machine_of(group: str) -> StateMachine:
     return SettingsStateMachine() if group == ROOT_GROUP else JobsStateMachine()
 
 
--- a/src/leverjunction/control/rpc_handlers.py
+++ b/src/leverjunction/control/rpc_handlers.py
@@ -1,4 +1,4 @@
-"""The internal RPC of a control process: one handler for each kind of message."""
+"""The internal RPC endpoint of a control process, with a handler for each kind of message."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     host: GroupHost,
     replicas: Mapping[str, GroupReplica],
     expiry: LeaseExpiry,
-    counters: ControlMetrics,
+    metrics: ControlMetrics,
 ) -> RpcEndpoint:
     """Return the endpoint with all handlers of a control process."""
     receivers = {group: replica.receive for group, replica in replicas.items()}
@@ -37,11 +37,11 @@
         return serve_raft(receivers, envelope)
 
     def on_exchange(envelope: Envelope, peer: str) -> bytes:
-        return _exchange(hub, counters, envelope, peer)
+        return _exchange(hub, metrics, envelope, peer)
 
     def on_sync(envelope: Envelope, peer: str) -> bytes:
         sync = decode(envelope.body, HubSync, peer)
-        counters.syncs.inc()
+        metrics.syncs.inc()
         return encode_reply(sync if isinstance(sync, Failure) else hub.sync_received(sync))
 
     def on_renewals(envelope: Envelope, peer: str) -> bytes:
@@ -69,12 +69,12 @@
     return endpoint
 
 
-def _exchange(hub: Hub, counters: ControlMetrics, envelope: Envelope, peer: str) -> bytes:
-    began_s = steady_s()
+def _exchange(hub: Hub, metrics: ControlMetrics, envelope: Envelope, peer: str) -> bytes:
+    start_s = steady_s()
     request = decode(envelope.body, ExchangeRequest, peer)
     body = encode_reply(request) if isinstance(request, Failure) else hub.exchange_encoded(request)
-    counters.exchanges.labels("refused" if is_failure_reply(body) else "ok").inc()
-    counters.exchange_bytes.labels("in").inc(len(envelope.body))
-    counters.exchange_bytes.labels("out").inc(len(body))
-    counters.exchange_s.observe(steady_s() - began_s)
+    metrics.exchanges.labels("refused" if is_failure_reply(body) else "ok").inc()
+    metrics.exchange_bytes.labels("in").inc(len(envelope.body))
+    metrics.exchange_bytes.labels("out").inc(len(body))
+    metrics.exchange_s.observe(steady_s() - start_s)
     return body
--- a/src/leverjunction/control/runner_watch.py
+++ b/src/leverjunction/control/runner_watch.py
@@ -1,7 +1,8 @@
-"""Reads the engines that this hub watches: which models are ready, and whether one is leaving.
+"""Polls the engines of the runners that this hub watches for ready models and planned shutdown.
 
-Each runner is watched by one live hub, one of its own zone if there is any, chosen by rendezvous
-hashing. Load for routing comes from the owner gateways, which read it more often.
+Each runner is watched by one live hub, chosen by rendezvous hashing among the hubs of its zone, or
+among all hubs if its zone has none. The load for routing comes from the owner gateways, which poll
+it more often.
 """
 
 from __future__ import annotations
@@ -21,39 +22,42 @@
 
 WATCH_INTERVAL_S = 1.0
 READ_TIMEOUT_S = 0.8
-READERS = 16
+READER_THREADS = 16
 FAILURES_UNTIL_UNREACHABLE = 2
-"""One lost reading says little; two in a row say that the engine does not answer."""
+"""A single failed read may be a lost packet; two in a row mean that the engine is unreachable."""
 
 
 def watcher_of(runner: RunnerState, hubs: Iterable[str], zones: dict[str, str]) -> str:
     """Return the name of the hub that watches a runner.
 
     Args:
-        runner: The runner.
+        runner: Runner to be watched.
         hubs: Names of the live hubs; not empty.
         zones: Zone of each hub.
     """
     live = sorted(hubs)
-    near = [name for name in live if zones[name] == runner.zone]
-    return max(near or live, key=lambda name: _weight(name, runner))
+    same_zone = [name for name in live if zones[name] == runner.zone]
+    return max(same_zone or live, key=lambda name: _weight(name, runner))
 
 
 class RunnerWatch:
-    """Reads the load reports of the watched runners, once an interval, several at a time."""
+    """Reads the load reports of the watched runners, several at a time."""
 
     def __init__(self, hub: Hub, engines: EngineClient, name: str, zones: dict[str, str]) -> None:
         self._hub = hub
         self._engines = engines
         self._name = name
         self._zones = zones
-        self._readers = ThreadPoolExecutor(READERS, thread_name_prefix="runner-watch")
+        self._readers = ThreadPoolExecutor(READER_THREADS, thread_name_prefix="runner-watch")
         self._last: dict[str, RunnerReading] = {}
         self._failures: dict[str, int] = {}
         self._standstills = 0
 
     def tick(self) -> None:
-        """Read all watched runners, once more after a standstill. Called by a background task."""
+        """Read all watched runners; a second time if the process was paused during the first.
+
+        Called by a background task.
+        """
         if not self._read_watched():
             self._read_watched()
 
@@ -65,7 +69,9 @@
             self._failures.clear()
         live = [self._name, *(hub.name for hub in self._hub.live_hubs())]
         runners = self._hub.runners()
-        watched = [one for one in runners if watcher_of(one, live, self._zones) == self._name]
+        watched = [
+            runner for runner in runners if watcher_of(runner, live, self._zones) == self._name
+        ]
         readings = list(self._readers.map(self._read, watched))
         ids = {runner.runner_id for runner in watched}
         unwatched = [runner_id for runner_id in self._last if runner_id not in ids]
@@ -75,7 +81,7 @@
         return self._hub.runners_read(readings, unwatched, standstills)
 
     def close(self) -> None:
-        """Stop the readers."""
+        """Stop the reader threads without waiting for them."""
         self._readers.shutdown(wait=False, cancel_futures=True)
 
     def _read(self, runner: RunnerState) -> RunnerReading:
--- a/src/leverjunction/control/settings_mirror.py
+++ b/src/leverjunction/control/settings_mirror.py
@@ -1,9 +1,10 @@
-"""The settings in force as this hub has them, and the steps that it gives to gateways.
+"""A hub's copy of the settings in force, and the steps (deltas) that it sends to gateways.
 
-A full step can be megabytes, and after a restart of many gateways all of them ask for it at once.
-So each step is read and encoded once for a version (the others wait for that one read), and few
-replies that carry a large step, or need a read, are made at once. Whoever finds no slot gets a
-reply without rows that says when to ask again; its heartbeat counts all the same.
+A full step can be megabytes, and after a restart of many gateways all of them request it at once.
+Therefore each step is read and encoded once for a version, while other requests for it wait, and
+the number of concurrent replies that carry a large step or need a read is limited. A gateway that
+gets no slot receives a reply without rows that says when to retry. Its exchange counts as a
+heartbeat nevertheless.
 """
 
 from __future__ import annotations
@@ -22,27 +23,28 @@
 from leverjunction.wire.messages import SettingRow
 
 SettingsSource = Callable[[GetSettings], SettingsDelta | Failure]
-"""Reads applied settings: from the local replica of group root, or from another process's."""
+"""Reads applied settings from the local replica of group root or from another process."""
 
 MAX_CACHED_STEPS = 8
 LARGE_STEP_BYTES = 64 * 1024
-"""A step above this needs a slot; smaller ones are given to everybody at once."""
+"""Largest step that is sent without a slot."""
 
-LARGE_REPLIES_AT_ONCE = 4
+MAX_LARGE_REPLIES = 4
 RETRY_AFTER_S = 0.5
-"""When a gateway that got no rows should ask again; a large reply takes some 10 ms."""
+"""Delay after which a gateway without a slot should retry; a large reply takes about 10 ms."""
 
 NO_ROWS = b"[]"
 _ROWS = msgspec.json.Decoder(list[SettingRow])
 
 
 class SettingsStep(msgspec.Struct, frozen=True, kw_only=True):
-    """Changed leaves from one version to a later one, encoded once for all gateways.
+    """The leaves that change from one version to a later one, encoded once for all gateways.
 
     Attributes:
-        version: Version that a gateway has after it.
+        version: Version that a gateway has after applying the step.
         encoded: JSON array of the changed rows.
-        retry_after_s: Above 0 when the rows were held back: when to ask again.
+        retry_after_s: Delay in seconds before the gateway should retry if the rows were held back,
+            else 0.
     """
 
     version: int
@@ -51,40 +53,40 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether a reply with it needs a slot."""
+        """Whether a reply that carries the step needs a slot."""
         return len(self.encoded) > LARGE_STEP_BYTES
 
     def rows(self) -> list[SettingRow]:
-        """Return the rows decoded, for a caller in this process."""
+        """Return the decoded rows, for a caller in this process."""
         return _ROWS.decode(self.encoded)
 
 
 class SettingsMirror:
-    """Follows group root and remembers the last steps, since all gateways ask for the same ones.
+    """Follows the settings of group root and caches steps, as all gateways request the same ones.
 
-    Safe to share between threads. Never goes back: a source that lags changes nothing.
+    Safe to share between threads. The version never decreases: an outdated source has no effect.
     """
 
     def __init__(self, source: SettingsSource) -> None:
         self._source = source
         self._lock = threading.Lock()
         self._read_lock = threading.Lock()
-        self._slots = threading.BoundedSemaphore(LARGE_REPLIES_AT_ONCE)
+        self._slots = threading.BoundedSemaphore(MAX_LARGE_REPLIES)
         self._settings = ResolvedSettings.empty()
         self._steps: dict[int, SettingsStep] = {}
 
     @property
     def settings(self) -> ResolvedSettings:
-        """The settings in force here."""
+        """The settings in force at this hub."""
         return self._settings
 
     @property
     def version(self) -> int:
-        """Version of the settings in force here."""
+        """Version of the settings in force at this hub."""
         return self._settings.version
 
     def refresh(self) -> bool:
-        """Read what changed; return whether the version rose. Called by one background task."""
+        """Read changes and return whether the version increased. Called by one background task."""
         before = self._settings.version
         delta = self._source(GetSettings(after_version=before))
         if isinstance(delta, Failure) or delta.version <= before:
@@ -93,19 +95,19 @@
         with self._lock:
             self._settings = self._settings.apply(delta.rows, delta.version)
             self._steps = {before: step}
-        logger.info("settings version {} in force, was {}", delta.version, before)
+        logger.info("settings version {} in force, previously {}", delta.version, before)
         return True
 
     @contextmanager
     def step(self, after_version: int) -> Iterator[SettingsStep]:
-        """Give what a gateway at ``after_version`` lacks, for the time that its reply is made.
+        """Yield the step that a gateway at ``after_version`` needs, holding its slot meanwhile.
 
-        The step is empty when the gateway is ahead of this hub, and when no slot is free.
+        The step is empty if the gateway is not behind this hub, or if no slot is free.
         """
         if after_version >= self._settings.version:
             yield SettingsStep(version=after_version)
             return
-        known = self._cached(after_version)
+        known = self._cached_step(after_version)
         if known is not None and not known.is_large:
             yield known
             return
@@ -117,28 +119,28 @@
         finally:
             self._slots.release()
 
-    def _cached(self, after_version: int) -> SettingsStep | None:
+    def _cached_step(self, after_version: int) -> SettingsStep | None:
         with self._lock:
             return self._steps.get(after_version)
 
     def _read(self, after_version: int) -> SettingsStep:
-        """Read a step from the source, once for all that ask for it at the same time.
+        """Read a step from the source, once for concurrent requests.
 
-        The source is asked instead of the mirror's own rows: those hold no trace of leaves that
-        were deleted before this process started.
+        The mirror's own rows are not sufficient: they hold no trace of leaves that were deleted
+        before this process started.
         """
         with self._read_lock:
-            known = self._cached(after_version)
+            known = self._cached_step(after_version)
             if known is not None:
                 return known
             read = self._source(GetSettings(after_version=after_version))
             if isinstance(read, Failure) or read.version <= after_version:
                 return SettingsStep(version=after_version)
             step = _step_of(read)
-            self._remember(after_version, step)
+            self._cache_step(after_version, step)
             return step
 
-    def _remember(self, after_version: int, step: SettingsStep) -> None:
+    def _cache_step(self, after_version: int, step: SettingsStep) -> None:
         with self._lock:
             if step.version != self._settings.version:
                 return
--- a/src/leverjunction/control/status.py
+++ b/src/leverjunction/control/status.py
@@ -1,4 +1,4 @@
-"""The cluster at a glance, as ``GET /operator/status`` gives it."""
+"""The cluster status that ``GET /operator/status`` returns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RunnerLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """A runner's load digest, by name instead of by position, for people and scripts."""
+    """A runner's load digest, encoded by field name instead of by position."""
 
     runner_id: str
     running: int
@@ -28,13 +28,13 @@
 
 
 class PlacementStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What placement does, as its leader sees it; all empty on the other processes.
+    """State of placement, as known by its leader; empty on the other processes.
 
     Attributes:
         leads: True on the process that leads placement.
         in_progress: Orders in progress, as text.
-        withdrawn: Models that gateways may not use on a runner for now.
-        blocked: Changes that cannot be made now, each with the reason.
+        withdrawn: Models that gateways may not use on a runner at present.
+        blocked: Changes that cannot be made now, each with its reason.
     """
 
     leads: bool = False
@@ -44,23 +44,23 @@
 
 
 class ClusterStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to ``GET /operator/status``.
+    """Body of the response to ``GET /operator/status``.
 
     Attributes:
-        name: Control process that answered.
-        settings_version: Version of the settings in force at it.
-        quorum_age_s: Seconds since it heard the leader of group root.
-        hubs: All control processes that it hears, itself first.
-        silent_hubs: Names of those that it does not hear.
-        gateways: Live gateways, each with the settings version it has in force.
+        name: Name of the control process that responded.
+        settings_version: Version of the settings in force at this process.
+        quorum_age_s: Seconds since its last contact with the leader of group root.
+        hubs: All control processes that it has contact with, itself first.
+        silent_hubs: Names of the control processes that it has no contact with.
+        gateways: Live gateways, each with the settings version that it has in force.
         runners: Listed runners.
         readings: Last reading of each runner's engine.
         digests: Last load digest of each runner, by position as in an exchange.
-        loads: The same by name, for people and scripts.
+        loads: The same digests by field name, for people and scripts.
         backlog: Pending batch items by service.
         leases: Open batch leases by owner gateway.
-        unknown_groups: Job groups that did not answer: their backlog is missing above.
-        placement: What placement does.
+        unknown_groups: Job groups that did not reply; ``backlog`` and ``leases`` lack their part.
+        placement: State of placement.
     """
 
     name: str
@@ -88,27 +88,27 @@
     job_groups: list[str],
     placement: PlacementStatus,
 ) -> ClusterStatus:
-    """Return the status as this process sees it. Called by the operators' API."""
+    """Return the cluster status as known by this process. Called by the operators' API."""
     picture = hub.picture()
     backlog: dict[str, int] = {}
     leases: dict[str, int] = {}
-    unknown: list[str] = []
+    unknown_groups: list[str] = []
     for group in job_groups:
-        answer = host.query(group, GetBacklog(), Backlog, QUERY_TIMEOUT_S)
-        if isinstance(answer, Failure):
-            unknown.append(group)
+        reply = host.query(group, GetBacklog(), Backlog, QUERY_TIMEOUT_S)
+        if isinstance(reply, Failure):
+            unknown_groups.append(group)
             continue
-        for service, items in answer.pending_by_service.items():
+        for service, items in reply.pending_by_service.items():
             backlog[service] = backlog.get(service, 0) + items
-        for owner, ids in answer.leases_by_owner.items():
+        for owner, ids in reply.leases_by_owner.items():
             leases[owner] = leases.get(owner, 0) + len(ids)
-    heard = {state.name for state in picture.hubs} | {own.name}
+    live = {state.name for state in picture.hubs} | {own.name}
     return ClusterStatus(
         name=own.name,
         settings_version=mirror.version,
         quorum_age_s=own.quorum_age_s,
         hubs=[own, *sorted(picture.hubs, key=lambda state: state.name)],
-        silent_hubs=sorted(set(peers) - heard),
+        silent_hubs=sorted(set(peers) - live),
         gateways=sorted(picture.gateways, key=lambda state: state.gateway_id),
         runners=sorted(picture.runners, key=lambda state: state.runner_id),
         readings=sorted(picture.readings.values(), key=lambda reading: reading.runner_id),
@@ -118,6 +118,6 @@
         ],
         backlog=backlog,
         leases=leases,
-        unknown_groups=unknown,
+        unknown_groups=unknown_groups,
         placement=placement,
     )
--- a/src/leverjunction/control/voter_placement.py
+++ b/src/leverjunction/control/voter_placement.py
@@ -1,9 +1,9 @@
-"""Moves the voters of groups to where the layout wants them, after a change of the configuration.
+"""Changes the voters of the consensus groups to match the layout.
 
-Control processes are added and removed in the configuration. The leader of a group then tells its
-group the wanted addresses; consensus adds the new voters one at a time, each once it holds every
-committed entry, and only then drops the old ones. A process goes on running a replica that the
-layout no longer puts there.
+The layout changes when control processes are added to or removed from the configuration. The leader
+of each group then proposes the target addresses. Consensus adds the new voters one at a time, each
+once it holds every committed entry, and only then removes the old ones. A process continues to run
+a replica that the layout has moved away.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 LEADER = "leader"
 
 
-class _Asked(msgspec.Struct, frozen=True):
-    """A target that was committed, in which term: asked for once, since it stays in force."""
+class _Target(msgspec.Struct, frozen=True):
+    """A committed target and its term. It stays in force, so it is proposed once a term."""
 
     term: int
     addresses: tuple[str, ...]
 
 
 class VoterPlacement:
-    """One look at all groups for each tick. Called by one background task.
+    """Compares the voters of all groups with the layout. Called by one background task.
 
     Args:
         replicas: The local replicas, by group.
-        wanted: RPC addresses that shall hold each group's voters, by group.
+        wanted: RPC addresses of the voters that the layout assigns, by group.
     """
 
     def __init__(
@@ -40,19 +40,24 @@
     ) -> None:
         self._replicas = replicas
         self._wanted = {group: tuple(sorted(addresses)) for group, addresses in wanted.items()}
-        self._asked: dict[str, _Asked] = {}
+        self._committed: dict[str, _Target] = {}
 
     def tick(self) -> None:
-        """Set the target of each group that this process leads, if its voters differ from it."""
+        """Propose the target of each group that this process leads and whose voters differ."""
         for group, replica in self._replicas.items():
             status = replica.status()
-            asked = _Asked(status.term, self._wanted[group])
-            if status.role != LEADER or self._asked.get(group) == asked:
+            target = _Target(status.term, self._wanted[group])
+            if status.role != LEADER or self._committed.get(group) == target:
                 continue
-            if set(status.voters) == set(asked.addresses):
+            if set(status.voters) == set(target.addresses):
                 continue
-            answer = replica.change_members(list(asked.addresses), CHANGE_TIMEOUT_S)
-            if isinstance(answer, Failure):
+            reply = replica.change_members(list(target.addresses), CHANGE_TIMEOUT_S)
+            if isinstance(reply, Failure):
                 continue
-            self._asked[group] = asked
-            logger.info("group {} moves from {} to {}", group, status.voters, asked.addresses)
+            self._committed[group] = target
+            logger.info(
+                "changing the voters of group {} from {} to {}",
+                group,
+                status.voters,
+                target.addresses,
+            )
--- a/src/leverjunction/wire/rpc_client.py
+++ b/src/leverjunction/wire/rpc_client.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 0.5
 DEFAULT_TIMEOUT_S = 2.0
 CONNECTIONS_PER_PEER = 8
-SLOWEST_BYTES_PER_S = 250_000
+MIN_LINK_BYTES_PER_S = 250_000
 """Speed of the slowest link over which a large body still gets through, as 2 Mbit/s."""
 
 _HEADERS = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
@@ -33,7 +33,7 @@
 
 def sending_s(size_bytes: int) -> float:
     """Return how long a body of a size may take on its way to a peer, in seconds."""
-    return CONNECT_TIMEOUT_S + size_bytes / SLOWEST_BYTES_PER_S
+    return CONNECT_TIMEOUT_S + size_bytes / MIN_LINK_BYTES_PER_S
 
 
 class _Connection(HTTPConnection):
--- a/tests/unit/test_control_settings_mirror.py
+++ b/tests/unit/test_control_settings_mirror.py
@@ -10,8 +10,8 @@
 from leverjunction.clock import SystemClock
 from leverjunction.control.hub import Hub, HubIdentity
 from leverjunction.control.settings_mirror import (
-    LARGE_REPLIES_AT_ONCE,
     LARGE_STEP_BYTES,
+    MAX_LARGE_REPLIES,
     RETRY_AFTER_S,
     SettingsMirror,
 )
@@ -89,13 +89,13 @@
         first = [pool.submit(exchange, hub, number) for number in range(GATEWAYS)]
         # All but those with a slot are answered while the one read is still held up.
         waiting = GATEWAYS
-        while waiting > LARGE_REPLIES_AT_ONCE:
+        while waiting > MAX_LARGE_REPLIES:
             waiting = sum(not future.done() for future in first)
         source.may_read.set()
         replies = [future.result() for future in first]
     served = [reply for reply in replies if reply.settings]
     held_back = [reply for reply in replies if not reply.settings]
-    assert len(served) == LARGE_REPLIES_AT_ONCE
+    assert len(served) == MAX_LARGE_REPLIES
     assert {reply.settings_version for reply in held_back} == {0}
     assert {reply.settings_retry_after_s for reply in held_back} == {RETRY_AFTER_S}
     assert hub.gateway_count() == GATEWAYS
@@ -109,7 +109,7 @@
     mirror, _ = mirror_at_version_2()
     hub = hub_of(mirror)
     with ExitStack() as held:
-        for _ in range(LARGE_REPLIES_AT_ONCE):
+        for _ in range(MAX_LARGE_REPLIES):
             held.enter_context(mirror.step(0))
         assert exchange(hub, 1, settings_version=1).settings == SMALL_ROWS
         assert exchange(hub, 2).settings == []
