--- a/src/leverjunction/wire/__init__.py
+++ b/src/leverjunction/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between leverjunction's own processes, and the RPC that carries them."""
+"""Messages between the processes of leverjunction, and the internal RPC that carries them."""
--- a/src/leverjunction/wire/codec.py
+++ b/src/leverjunction/wire/codec.py
@@ -1,4 +1,4 @@
-"""Typed JSON bodies of internal messages (msgspec checks the types while it decodes)."""
+"""Encodes and decodes the typed JSON bodies of internal messages, with type checks by msgspec."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def decode(body: bytes, message_type: type[T], peer: str = "") -> T | Failure:
-    """Decode a typed message, or return a failure that names the field at fault."""
+    """Decode a typed message, or return a failure that names the invalid field."""
     try:
         return msgspec.json.decode(body, type=message_type)
     except msgspec.MsgspecError as error:
@@ -48,19 +48,19 @@
 
 
 def encode_reply(result: object) -> bytes:
-    """Return the bytes of a reply: a result, or a failure."""
+    """Return the JSON bytes of a reply that carries a result or a failure."""
     if isinstance(result, Failure):
         return encode(FailureReply(failure=result))
     return encode(ResultReply(result=msgspec.Raw(encode(result))))
 
 
 def is_failure_reply(body: bytes) -> bool:
-    """Return whether encoded reply bytes carry a failure, without decoding them."""
+    """Return whether an encoded reply carries a failure, without decoding it."""
     return body.startswith(_FAILURE_PREFIX)
 
 
 def decode_reply(body: bytes, result_type: type[T], peer: str = "") -> T | Failure:
-    """Decode a reply into its result, or into the failure that it carries."""
+    """Return the decoded result of a reply, or the failure that it carries."""
     try:
         reply = _REPLY_DECODER.decode(body)
     except msgspec.MsgspecError as error:
--- a/src/leverjunction/wire/control_client.py
+++ b/src/leverjunction/wire/control_client.py
@@ -1,4 +1,8 @@
-"""A gateway's client of control: proposals, queries and the exchange, through one hub at a time."""
+"""A gateway's client of the control processes, for proposals, queries and the state exchange.
+
+The client uses one control process at a time, its hub. In an exchange the gateway sends its state
+to the hub and receives changes of the settings and of the cluster view.
+"""
 
 from __future__ import annotations
 
@@ -29,20 +33,20 @@
 
 DEFAULT_CALL_TIMEOUT_S = 5.0
 ATTEMPT_TIMEOUT_S = 2.0
-"""Longest wait for one hub. It is above the hub's own wait for the leader (1.5 s)."""
+"""Timeout of one call to a hub. It is above the hub's timeout of its call to the leader (1.5 s)."""
 
 EXCHANGE_TIMEOUT_S = 1.0
 FULL_EXCHANGE_TIMEOUT_S = 2.0
-"""For the exchange of a gateway that has no settings yet: the reply may hold megabytes."""
+"""Timeout of an exchange before the gateway has settings, as the reply may hold megabytes."""
 
 YIELD_TIMEOUT_S = 0.5
 MAX_QUORUM_AGE_S = 2.0
-"""A hub that has not heard the leader for longer is left for another one."""
+"""Time without contact to the leader of group root after which a hub counts as stale."""
 
 RETRY_PAUSE_S = 0.03
 MAX_RETRY_PAUSE_S = 0.3
 
-_RETRIED = frozenset(
+_RETRYABLE = frozenset(
     {
         FailureKind.UNREACHABLE,
         FailureKind.NOT_LISTENING,
@@ -55,14 +59,14 @@
         FailureKind.STOPPING,
     }
 )
-"""Failures that another try can mend: every command of the groups is idempotent."""
+"""Failures that a retry may resolve. Retries are safe, as every command is idempotent."""
 
-_HUB_IS_DEAD = frozenset({FailureKind.UNREACHABLE, FailureKind.NOT_LISTENING, FailureKind.STOPPING})
-"""Failures that say the hub itself is gone, whatever else is true."""
+_HUB_DOWN = frozenset({FailureKind.UNREACHABLE, FailureKind.NOT_LISTENING, FailureKind.STOPPING})
+"""Failures that mean that the hub itself is down."""
 
 
 class ControlClient:
-    """Speaks to control through one hub, and to the next when that is dead or stale.
+    """Calls the control processes through one hub, with fail-over when it is down or stale.
 
     Safe to share between threads. Called by the gateway's request threads (claims, jobs), its
     harvester (leases, results) and its exchange loop.
@@ -71,8 +75,8 @@
         rpc: Client of the internal RPC.
         hubs: RPC addresses of the hubs, nearest first.
         clock: Source of monotonic time.
-        random: Spreads the retries.
-        sleep: Waits between retries.
+        random: Generator of the jitter between retries.
+        sleep: Function that waits between retries, in seconds.
     """
 
     def __init__(
@@ -98,7 +102,7 @@
             return self._selector.current
 
     def set_hubs(self, hubs: list[str]) -> None:
-        """Take a new list of hubs, nearest first; an empty list changes nothing."""
+        """Replace the list of hubs, nearest first. An empty list has no effect."""
         with self._lock:
             self._selector.replace(hubs)
 
@@ -109,15 +113,15 @@
         reply_type: type[T],
         timeout_s: float = DEFAULT_CALL_TIMEOUT_S,
     ) -> T | Failure:
-        """Replicate a command in ``group`` and return the state machine's reply.
+        """Replicate a command in ``group`` and return the reply of its state machine.
 
-        Retries until ``timeout_s``, since all commands are idempotent.
+        Retries for ``timeout_s`` seconds, since all commands are idempotent.
 
         Returns:
-            The reply; the state machine's own failure; or the last failure of the way there, with
-            execution UNKNOWN when any try may have been committed.
+            The reply, a failure from the state machine, or the last failure of the transport. The
+            latter has execution UNKNOWN if any attempt may have been committed.
         """
-        return self._until(MessageKind.PROPOSE, group, command, reply_type, timeout_s)
+        return self._call_with_retries(MessageKind.PROPOSE, group, command, reply_type, timeout_s)
 
     def query(
         self,
@@ -126,54 +130,54 @@
         reply_type: type[T],
         timeout_s: float = DEFAULT_CALL_TIMEOUT_S,
     ) -> T | Failure:
-        """Ask ``group``'s leader a linearizable query; retries until ``timeout_s``."""
-        return self._until(MessageKind.QUERY, group, query, reply_type, timeout_s)
+        """Run a linearizable query at the leader of ``group``, with retries for ``timeout_s``."""
+        return self._call_with_retries(MessageKind.QUERY, group, query, reply_type, timeout_s)
 
     def exchange(self, request: ExchangeRequest) -> ExchangeReply | Failure:
         """Exchange state with the hub; called once a second by the gateway's exchange loop.
 
-        One try only. After a failure the next call goes to another hub, which answers with a full
-        view, as its incarnation differs. The reply of a stale hub is returned all the same.
-        When several exchanges in a row ran out of time nothing is sent for a while, as the hubs
-        are overloaded; the failure says for how long.
+        There is no retry. After a failure the next call uses another hub, which replies with a full
+        view because its incarnation differs. The reply of a stale hub is returned nevertheless.
+        After several consecutive timeouts the hubs are taken to be overloaded, and for a while no
+        exchange is sent; ``retry_after_s`` of the failure says for how long.
         """
         with self._lock:
-            wait_s = self._backoff.wait_s(self._clock.monotonic_s())
+            wait_s = self._backoff.remaining_s(self._clock.monotonic_s())
             if wait_s > 0:
-                return _backing_off(self._selector.current, wait_s)
+                return _backoff_failure(self._selector.current, wait_s)
             before = self._selector.current
-            hub = self._selector.reconsider(self._clock.monotonic_s())
+            hub = self._selector.select(self._clock.monotonic_s())
         if hub != before:
-            logger.debug("tries hub {} instead of {}", hub, before)
+            logger.debug("trying hub {} instead of {}", hub, before)
         timeout_s = EXCHANGE_TIMEOUT_S if request.settings_version else FULL_EXCHANGE_TIMEOUT_S
         reply = self._rpc.call(
             hub, MessageKind.EXCHANGE, request, ExchangeReply, timeout_s=timeout_s
         )
-        self._note_in_time(reply)
+        self._update_backoff(reply)
         if isinstance(reply, Failure) and reply.kind is FailureKind.STALE:
-            self._note_stale(hub, reply.reason)
+            self._record_stale(hub, reply.reason)
         elif isinstance(reply, Failure):
-            self._note_failed(hub, reply.reason)
+            self._record_failure(hub, reply.reason)
         elif 0 <= reply.hub_settings_version < request.settings_version:
-            # It may have lost its disk: nothing newer is heard from it before it is repaired.
-            self._note_failed(hub, f"has settings version {reply.hub_settings_version}")
+            # The hub may have lost its disk. It has nothing newer until its replica is repaired.
+            self._record_failure(hub, f"outdated settings version {reply.hub_settings_version}")
         elif reply.quorum_age_s > MAX_QUORUM_AGE_S:
-            self._note_stale(hub, f"no quorum for {reply.quorum_age_s:.1f} s")
+            self._record_stale(hub, f"no quorum for {reply.quorum_age_s:.1f} s")
         else:
             with self._lock:
-                self._selector.succeeded(hub)
+                self._selector.record_success(hub)
         if not isinstance(reply, Failure):
             self.set_hubs(reply.hubs)
         return reply
 
     def notify_yield(self, rpc_address: str, notice: YieldNotice) -> Failure | None:
-        """Tell a runner's owner gateway that online work arrived; one try, no retry."""
+        """Notify a runner's owner gateway that online work has arrived, without retry."""
         reply = self._rpc.call(
             rpc_address, MessageKind.YIELD_NOTICE, notice, Acknowledged, timeout_s=YIELD_TIMEOUT_S
         )
         return reply if isinstance(reply, Failure) else None
 
-    def _until(
+    def _call_with_retries(
         self,
         kind: MessageKind,
         group: str,
@@ -189,14 +193,14 @@
             hub = self.hub
             left_s = deadline_s - self._clock.monotonic_s()
             reply = self._attempt(hub, kind, group, body, reply_type, left_s)
-            if not isinstance(reply, Failure) or reply.kind not in _RETRIED:
+            if not isinstance(reply, Failure) or reply.kind not in _RETRYABLE:
                 return reply
             unknown = unknown or reply.execution is not Execution.NOT_RUN
-            if reply.peer == hub and _condemns_hub(reply):
-                self._note_failed(hub, reply.reason)
+            if reply.peer == hub and _is_hub_down(reply):
+                self._record_failure(hub, reply.reason)
             wait_s = max(pause_s * (0.5 + self._random.random()), reply.retry_after_s or 0.0)
             if self._clock.monotonic_s() + wait_s >= deadline_s:
-                return _final(reply, unknown)
+                return _final_failure(reply, unknown)
             self._sleep(wait_s)
             pause_s = min(pause_s * 2, MAX_RETRY_PAUSE_S)
 
@@ -213,48 +217,48 @@
         raw = self._rpc.call_raw(hub, kind, body, group=group, timeout_s=timeout_s)
         return raw if isinstance(raw, Failure) else decode_reply(raw, reply_type, hub)
 
-    def _note_in_time(self, reply: ExchangeReply | Failure) -> None:
+    def _update_backoff(self, reply: ExchangeReply | Failure) -> None:
         with self._lock:
             if isinstance(reply, Failure) and reply.kind is FailureKind.TIMEOUT:
-                self._backoff.timed_out(self._clock.monotonic_s())
+                self._backoff.record_timeout(self._clock.monotonic_s())
             elif not isinstance(reply, Failure):
-                self._backoff.answered()
+                self._backoff.record_reply()
 
-    def _note_stale(self, hub: str, reason: str) -> None:
+    def _record_stale(self, hub: str, reason: str) -> None:
         with self._lock:
-            newly = self._selector.stale(hub, self._clock.monotonic_s())
-            now_used = self._selector.current
-        if newly and now_used != hub:
-            logger.warning("left hub {} for {}: {}", hub, now_used, reason)
-        elif newly:
-            logger.warning("stays with hub {}, the others are no better: {}", hub, reason)
-
-    def _note_failed(self, hub: str, reason: str) -> None:
+            newly_suspected = self._selector.record_stale(hub, self._clock.monotonic_s())
+            current = self._selector.current
+        if newly_suspected and current != hub:
+            logger.warning("switched from hub {} to {}: {}", hub, current, reason)
+        elif newly_suspected:
+            logger.warning("keeping hub {}, no better one is known: {}", hub, reason)
+
+    def _record_failure(self, hub: str, reason: str) -> None:
         with self._lock:
-            newly = self._selector.failed(hub, self._clock.monotonic_s())
-            now_used = self._selector.current
-        if newly:
-            logger.warning("left hub {} for {}: {}", hub, now_used, reason)
+            newly_suspected = self._selector.record_failure(hub, self._clock.monotonic_s())
+            current = self._selector.current
+        if newly_suspected:
+            logger.warning("switched from hub {} to {}: {}", hub, current, reason)
 
 
-def _condemns_hub(failure: Failure) -> bool:
-    """Return whether a failure with the hub as its peer means that the hub itself is out."""
-    no_answer = failure.kind is FailureKind.TIMEOUT and failure.step is Step.RESPONDING
-    return no_answer or failure.kind in _HUB_IS_DEAD
+def _is_hub_down(failure: Failure) -> bool:
+    """Return whether a failure with the hub as its peer means that the hub is down or hangs."""
+    timed_out = failure.kind is FailureKind.TIMEOUT and failure.step is Step.RESPONDING
+    return timed_out or failure.kind in _HUB_DOWN
 
 
-def _backing_off(hub: str, wait_s: float) -> Failure:
+def _backoff_failure(hub: str, wait_s: float) -> Failure:
     return Failure(
         kind=FailureKind.OVERLOADED,
-        reason=f"exchanges ran out of time in a row; the next one is sent in {wait_s:.1f} s",
+        reason=f"consecutive exchanges timed out; the next one is sent in {wait_s:.1f} s",
         step=Step.EXCHANGING,
         peer=hub,
         retry_after_s=wait_s,
     )
 
 
-def _final(last: Failure, unknown: bool) -> Failure:
-    """Return the last failure, never claiming NOT_RUN when an earlier try may have run."""
+def _final_failure(last: Failure, unknown: bool) -> Failure:
+    """Return the last failure, with execution UNKNOWN if an earlier attempt may have run."""
     if not unknown:
         return last
     return msgspec.structs.replace(last, execution=Execution.UNKNOWN)
--- a/src/leverjunction/wire/envelope.py
+++ b/src/leverjunction/wire/envelope.py
@@ -1,4 +1,4 @@
-"""The construct envelope around every internal message, authenticated by the cluster key.
+"""The binary envelope of every internal message, authenticated with the cluster key.
 
 Layout (big-endian): magic ``LVJN``, protocol version, message kind, length-prefixed group name,
 sender incarnation, length-prefixed body, HMAC-SHA256 of all that precedes it (RFC 2104).
@@ -28,11 +28,11 @@
 PROTOCOL_VERSION = 1
 HMAC_BYTES = 32
 MAX_ENVELOPE_BYTES = 64 * 1024 * 1024
-"""Longest message: receivers refuse longer ones unread, so senders do not send them."""
+"""Size limit of a message. Receivers reject larger ones unread, so senders do not send them."""
 
 
 class MessageKind(IntEnum):
-    """Kind of an internal message; decides which endpoint handles it."""
+    """Kind of an internal message, which determines its handler."""
 
     REPLY = 0
     RAFT = 1
@@ -64,23 +64,24 @@
     "incarnation" / Int64ub,
     "body_bytes" / Int32ub,
 ).compile()
-"""Everything before the body. The body stays outside: a parsed container refers to itself and to
-the stream that it came from, so it would keep the body until the next run of the cycle collector.
+"""Layout of everything before the body. The body is not part of it: a parsed container refers to
+itself and to its input stream, so it would keep the body in memory until the next run of the cyclic
+garbage collector.
 """
 
 _FIXED_HEADER_BYTES = len(
     _HEADER.build({"version": 0, "kind": 0, "group": "", "incarnation": 0, "body_bytes": 0})
 )
 _MAX_HEADER_BYTES = _FIXED_HEADER_BYTES + 255
-"""With the longest group name, whose length is one byte."""
+"""Size with the longest group name, whose length field is one byte."""
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True):
     """One internal message before encoding.
 
     Attributes:
-        kind: What the body is.
-        group: Consensus group the message belongs to, empty when it belongs to none.
+        kind: Kind of the message.
+        group: Consensus group that the message belongs to, empty if it belongs to none.
         incarnation: Start time of the sending process, in milliseconds since the Unix epoch.
         body: Encoded message.
     """
@@ -107,18 +108,18 @@
 
 
 def decode_envelope(data: bytes, cluster_key: bytes, peer: str) -> Envelope | Failure:
-    """Check and decode an envelope.
+    """Verify the signature of an envelope and decode it.
 
     Args:
-        data: Bytes as received.
+        data: Received bytes.
         cluster_key: Secret shared by all processes of the cluster.
-        peer: Address of the sender, for the failure.
+        peer: Address of the sender, for the returned failure.
 
     Returns:
-        The envelope, or a failure when it is not authentic or not well formed.
+        The envelope, or a failure if it is not authentic or not well-formed.
     """
     if len(data) <= HMAC_BYTES or not data.startswith(MAGIC):
-        return _malformed(f"{len(data)} bytes that do not begin as one; is this a peer?", peer)
+        return _malformed(f"{len(data)} bytes without a message header; is this a peer?", peer)
     unsigned, tag = data[:-HMAC_BYTES], data[-HMAC_BYTES:]
     if not hmac.compare_digest(hmac.digest(cluster_key, unsigned, hashlib.sha256), tag):
         return Failure(
@@ -134,9 +135,11 @@
         return _malformed(str(error), peer)
     header_bytes = _FIXED_HEADER_BYTES + len(parsed.group.encode())
     if header_bytes + parsed.body_bytes != len(unsigned):
-        return _malformed(f"body of {parsed.body_bytes} bytes in {len(unsigned)} bytes", peer)
+        return _malformed(
+            f"body of {parsed.body_bytes} bytes in a message of {len(unsigned)}", peer
+        )
     if parsed.version != PROTOCOL_VERSION:
-        return _malformed(f"protocol version {parsed.version}, want {PROTOCOL_VERSION}", peer)
+        return _malformed(f"protocol version {parsed.version}, expected {PROTOCOL_VERSION}", peer)
     return Envelope(
         kind=kind, group=parsed.group, incarnation=parsed.incarnation, body=unsigned[header_bytes:]
     )
--- a/src/leverjunction/wire/http_thread.py
+++ b/src/leverjunction/wire/http_thread.py
@@ -1,4 +1,4 @@
-"""A WSGI application on CherryPy's own HTTP server, served in a thread."""
+"""Serves a WSGI application in a thread, on Cheroot (the HTTP server of CherryPy)."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class HttpServerOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What distinguishes one HTTP port from another.
+    """Name and limits of an HTTP server.
 
     Attributes:
         name: Name of the serving thread.
-        server_name: Sent with each answer.
-        threads: Requests served at once.
+        server_name: Value of the ``Server`` header of each response.
+        threads: Number of requests served concurrently.
         backlog: Connections that may wait to be accepted.
-        idle_timeout_s: For a kept connection, and for a sender that stops in the middle: it holds
-            a thread.
-        keep_alive_connections: Idle connections kept open; cheroot's own default is 10.
+        idle_timeout_s: Timeout of an idle connection, and of a client that stalls within a request
+            and so occupies a thread.
+        keep_alive_connections: Number of idle connections kept open. The default of Cheroot is 10.
     """
 
     name: str
@@ -31,13 +31,13 @@
 
 
 class HttpServer:
-    """Serves an application in a thread of its own.
+    """Serves a WSGI application in its own thread.
 
     Args:
         host: IP number to listen on.
-        port: Port; 0 picks a free one, see ``address``.
+        port: Port to listen on; 0 binds a free port, see ``address``.
         app: The WSGI application.
-        options: Limits of the port.
+        options: Name and limits of the server.
     """
 
     def __init__(self, host: str, port: int, app: Any, options: HttpServerOptions) -> None:
@@ -53,36 +53,41 @@
         self._server.keep_alive_conn_limit = options.keep_alive_connections
         self._thread: threading.Thread | None = None
         self._listening = threading.Event()
-        self._fault: OSError | None = None
+        self._start_error: OSError | None = None
 
     @property
     def address(self) -> str:
-        """``host:port`` that it listens on, known once ``start`` has returned."""
+        """``host:port`` that the server listens on, known once ``start`` has returned."""
         host, port = self._server.bind_addr[:2]
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Bind and serve in a thread; raises OSError when the address is taken."""
+        """Bind the port and serve in a thread.
+
+        Raises:
+            OSError: The address is in use.
+        """
         self._thread = threading.Thread(target=self._serve, name=self._name, daemon=True)
         self._thread.start()
         self._listening.wait()
-        if self._fault is not None:
-            raise self._fault
+        if self._start_error is not None:
+            raise self._start_error
 
     def _serve(self) -> None:
-        # Here, so that the workers are daemon threads as well: a process whose start failed after
-        # its port was opened went on answering for good, since the interpreter waited for them.
+        # Prepared in this daemon thread, so that the workers become daemon threads as well. The
+        # interpreter waits for other threads, and a process whose start failed after its port was
+        # opened would keep serving.
         try:
             self._server.prepare()
         except OSError as error:
-            self._fault = error
+            self._start_error = error
             return
         finally:
             self._listening.set()
         self._server.serve()
 
     def stop(self) -> None:
-        """Stop serving; requests in progress get cheroot's shutdown time to finish."""
+        """Stop serving. Requests in progress have Cheroot's shutdown timeout to finish."""
         self._server.stop()
         if self._thread is not None:
             self._thread.join()
--- a/src/leverjunction/wire/hub_selector.py
+++ b/src/leverjunction/wire/hub_selector.py
@@ -1,4 +1,8 @@
-"""Chooses the hub that a gateway speaks to: the nearest that is neither dead nor stale. Pure."""
+"""Selects the hub that a gateway uses: the nearest one that is neither dead nor stale.
+
+A hub is stale if it responds but has no contact with a quorum, or has only just started. A hub that
+failed or was stale is suspected, and avoided, for a while. The module performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,29 +11,30 @@
 import msgspec
 
 SUSPICION_S = 10.0
-"""How long a hub that failed is passed over before the exchange tries it again."""
+"""Time for which a hub that failed is avoided before an exchange tries it again."""
 
 STALE_SUSPICION_S = 3.0
-"""The same for a hub that answered, but hears no quorum or has only just started."""
+"""Time for which a stale hub is avoided."""
 
-STALE_HUBS_TRIED = 3
-"""After so many hubs in a row that serve without a quorum the next ones will hardly hear one."""
+MAX_STALE_HUBS = 3
+"""Consecutive stale hubs after which the remaining ones are not expected to reach a quorum."""
 
-STALE_STAY_S = 2.0
-"""How long a stale hub is kept when no other is trusted, or several were stale: each move costs a
-full view. The stay, an interval between exchanges and a lost one are together shorter than the
-4 s in which a change is to be in force: just this hub may be cut off from the quorum."""
+STALE_HOLD_S = 2.0
+"""Time for which a stale hub is kept when no other is trusted or several were stale, since each
+switch costs a full view. This hub alone may be cut off from the quorum, so the time, an interval
+between exchanges and a lost exchange together are below the 4 s in which a change has to be in
+force."""
 
 MAX_SUSPICION_S = 80.0
-"""Upper bound of the suspicion, which doubles with each failure in a row."""
+"""Upper bound of a suspicion, which doubles each time that the hub fails after the last one."""
 
 
 class _Suspicion(msgspec.Struct, frozen=True):
-    """Doubt in a hub.
+    """A period in which a hub is avoided.
 
     Attributes:
-        noted_s: When it last failed or was stale.
-        length_s: How long it is passed over from then on.
+        noted_s: Time when the hub last failed or was stale.
+        length_s: Length of the period, from that time on.
     """
 
     noted_s: float
@@ -37,19 +42,19 @@
 
     @property
     def until_s(self) -> float:
-        """When the hub is trusted again."""
+        """Time from which the hub is trusted again."""
         return self.noted_s + self.length_s
 
 
 class HubSelector:
-    """Keeps the order of preference and who failed lately. Not safe between threads by itself.
+    """Holds the hubs in order of preference and their recent failures. Not thread-safe.
 
-    The hub in use changes when it fails. The way back to a nearer hub is taken only by
-    ``reconsider``, which the background exchange calls, so that no request of a caller pays for
-    trying a hub that is perhaps still dead.
+    The hub in use changes when it fails. Only ``select``, which the background exchange calls,
+    returns to a nearer hub, so no caller's request is delayed by a hub that may still be dead.
 
-    A stale hub serves, so it is better than a silent one; but a doubt is only a memory: while the
-    hub in use is stale the doubted ones are tried in turn, long before their doubt is over.
+    A stale hub responds, so it is preferred to a dead one. But a suspected hub may have recovered:
+    while the hub in use is stale, the suspected ones are tried in turn, long before their
+    suspicion ends.
     """
 
     def __init__(self, hubs: list[str]) -> None:
@@ -58,8 +63,8 @@
         self._suspicions: dict[str, _Suspicion] = {}
         self._stale: set[str] = set()
         self._retried: set[str] = set()
-        """Doubted hubs that were tried since a hub heard a quorum last."""
-        self._stay_until_s: float | None = None
+        """Suspected hubs that were tried since the last reply of a hub with a quorum."""
+        self._hold_until_s: float | None = None
 
     @property
     def current(self) -> str:
@@ -72,71 +77,78 @@
         return list(self._hubs)
 
     def replace(self, hubs: list[str]) -> None:
-        """Take a new list of hubs, most preferred first; an empty list changes nothing."""
+        """Replace the list of hubs, most preferred first. An empty list has no effect."""
         if not hubs:
             return
         self._hubs = list(hubs)
         if self._current not in self._hubs:
             self._current = self._hubs[0]
 
-    def failed(self, hub: str, now_s: float) -> bool:
-        """Note that ``hub`` did not answer, and leave it if it is in use.
+    def record_failure(self, hub: str, now_s: float) -> bool:
+        """Record that ``hub`` did not respond, and switch to another one if it is in use.
 
         Returns:
-            True when the hub was trusted until now: a change of state, worth a log line.
+            True if the hub was not suspected before, so that the caller logs the change.
         """
-        newly = self._doubt(hub, now_s, SUSPICION_S)
+        newly_suspected = self._suspect(hub, now_s, SUSPICION_S)
         self._stale.discard(hub)
         if hub == self._current:
-            self._stay_until_s = None
-            self._current = self._first_trusted(now_s) or self._best_doubted(hub)
-        return newly
+            self._hold_until_s = None
+            self._current = self._first_trusted(now_s) or self._best_suspected(hub)
+        return newly_suspected
+
+    def record_stale(self, hub: str, now_s: float) -> bool:
+        """Record that ``hub`` is stale.
 
-    def stale(self, hub: str, now_s: float) -> bool:
-        """Note that ``hub`` serves, but hears no quorum or has just started.
+        If it is in use, the selector switches to a trusted hub, else to each suspected one once. If
+        there is none, or several consecutive hubs were stale, the hub is kept for
+        ``STALE_HOLD_S``, since another one is unlikely to be better.
 
-        It is left for a trusted one, else for each doubted one once, unless several in a row were
-        like it; else it is kept for a while, since another is hardly better. Returns as ``failed``
-        does.
+        Returns:
+            True if the hub was not suspected before, so that the caller logs the change.
         """
-        newly = self._doubt(hub, now_s, STALE_SUSPICION_S)
+        newly_suspected = self._suspect(hub, now_s, STALE_SUSPICION_S)
         self._stale.add(hub)
-        if hub != self._current or self._stay_until_s is not None:
-            return newly
-        other = self._first_trusted(now_s) or self._doubted_to_try()
-        if other is not None and len(self._stale) < STALE_HUBS_TRIED:
+        if hub != self._current or self._hold_until_s is not None:
+            return newly_suspected
+        other = self._first_trusted(now_s) or self._suspected_to_retry()
+        if other is not None and len(self._stale) < MAX_STALE_HUBS:
             self._current = other
         else:
-            self._stay_until_s = now_s + STALE_STAY_S
-        return newly
+            self._hold_until_s = now_s + STALE_HOLD_S
+        return newly_suspected
 
-    def succeeded(self, hub: str) -> None:
-        """Note that ``hub`` answered and hears a quorum."""
+    def record_success(self, hub: str) -> None:
+        """Record that ``hub`` responded and has contact with a quorum."""
         self._suspicions.pop(hub, None)
         self._stale.clear()
         self._retried.clear()
-        self._stay_until_s = None
+        self._hold_until_s = None
 
-    def reconsider(self, now_s: float) -> str:
-        """Return the hub to use now: after the stay with a stale one another, else the nearest."""
-        if self._stay_until_s is None:
+    def select(self, now_s: float) -> str:
+        """Return the hub to use now.
+
+        It is the nearest trusted hub, or the current one while a stale hub is kept. After that time
+        it is another hub, the one whose last failure is the oldest.
+        """
+        if self._hold_until_s is None:
             self._current = self._first_trusted(now_s) or self._current
-        elif now_s >= self._stay_until_s:
-            self._stay_until_s = None
-            self._current = self._longest_untried(self._current)
+        elif now_s >= self._hold_until_s:
+            self._hold_until_s = None
+            self._current = self._hub_with_oldest_failure(self._current)
         return self._current
 
-    def _doubt(self, hub: str, now_s: float, length_s: float) -> bool:
-        """Pass a hub over, twice as long as before when it fails after its doubt was over.
+    def _suspect(self, hub: str, now_s: float, length_s: float) -> bool:
+        """Suspect a hub, for twice as long as before if it fails after its suspicion ended.
 
-        Calls that fail together, and tries of a doubted hub, are one failure.
+        Concurrent failures, and failed attempts at a suspected hub, count as one failure.
         """
-        known = self._suspicions.get(hub)
-        if known is not None:
-            doubled = known.length_s * 2 if now_s >= known.until_s else known.length_s
+        previous = self._suspicions.get(hub)
+        if previous is not None:
+            doubled = previous.length_s * 2 if now_s >= previous.until_s else previous.length_s
             length_s = min(max(length_s, doubled), MAX_SUSPICION_S)
         self._suspicions[hub] = _Suspicion(noted_s=now_s, length_s=length_s)
-        return known is None
+        return previous is None
 
     def _first_trusted(self, now_s: float) -> str | None:
         return next((hub for hub in self._hubs if self._is_trusted(hub, now_s)), None)
@@ -145,18 +157,18 @@
         suspicion = self._suspicions.get(hub)
         return suspicion is None or suspicion.until_s <= now_s
 
-    def _best_doubted(self, silent: str) -> str:
-        """Return the stale hub that served last, or the hub that was not tried for longest."""
+    def _best_suspected(self, failed: str) -> str:
+        """Return the hub that was stale last, else the one whose last failure is the oldest."""
         stale = [hub for hub in self._hubs if hub in self._stale]
         if stale:
             return max(stale, key=self._noted_s)
-        return self._longest_untried(silent)
+        return self._hub_with_oldest_failure(failed)
 
-    def _doubted_to_try(self) -> str | None:
-        """Return a doubted hub that was not tried lately: its failure may be long over.
+    def _suspected_to_retry(self) -> str | None:
+        """Return a suspected hub that was not tried recently, since it may have recovered.
 
-        A stale hub is found out after 2 s and the interval of an exchange: with a stay before the
-        next one a change came later than 4 s to a gateway whose only trusted hub was cut off.
+        A stale hub is detected after 2 s and the interval of an exchange. If it were kept even
+        longer, a gateway whose only trusted hub is cut off would get a change after more than 4 s.
         """
         untried = [hub for hub in self._hubs if hub not in self._stale | self._retried]
         hub = min(untried, key=self._noted_s, default=None)
@@ -164,9 +176,9 @@
             self._retried.add(hub)
         return hub
 
-    def _longest_untried(self, left: str) -> str:
-        others = [hub for hub in self._hubs if hub != left]
-        return min(others, key=self._noted_s, default=left)
+    def _hub_with_oldest_failure(self, excluded: str) -> str:
+        others = [hub for hub in self._hubs if hub != excluded]
+        return min(others, key=self._noted_s, default=excluded)
 
     def _noted_s(self, hub: str) -> float:
         suspicion = self._suspicions.get(hub)
--- a/src/leverjunction/wire/messages.py
+++ b/src/leverjunction/wire/messages.py
@@ -1,4 +1,8 @@
-"""Typed messages between gateways, hubs and the operators' command line."""
+"""Typed messages between gateways, hubs and the operators' command line.
+
+A runner is a machine with an inference engine. Its owner is the gateway that polls its load and
+shares the readings with the other gateways through the hubs.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +10,17 @@
 
 
 class RunnerState(msgspec.Struct, frozen=True, kw_only=True):
-    """A back end as the hub knows it.
+    """The state of a runner, as known by the hub.
 
     Attributes:
-        runner_id: Name in the platform's machine list.
-        address: ``host:port`` of its engine protocol.
-        zone: Zone it runs in.
-        service: Service it belongs to.
-        leaving: True once it takes no new work (machine list, or an operator's drain mark).
-        models: Models (and adapters, as ``model:adapter``) that are loaded and ready.
-        incarnation: Start time of the engine, in milliseconds; rises with each restart.
+        runner_id: Name of the runner in the platform's machine list.
+        address: ``host:port`` of its engine.
+        zone: Zone that it runs in.
+        service: Service that it belongs to.
+        leaving: True once it takes no new work, according to the machine list or an operator's
+            drain setting.
+        models: Models, and adapters as ``model:adapter``, that are loaded and ready.
+        incarnation: Start time of the engine, in milliseconds; increases with each restart.
     """
 
     runner_id: str
@@ -30,17 +35,18 @@
 class RunnerDigest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """An owner gateway's last reading of a runner's load, shared through the hubs.
 
-    It is the most frequent part of an exchange, so it is encoded by position: 60 bytes for 130.
+    Digests are the most frequent part of an exchange, so they are encoded by position, which takes
+    60 bytes instead of 130.
 
     Attributes:
-        runner_id: The runner.
-        running: Sequences in its batch, online and batch work together.
-        waiting: Requests in its queue.
-        batch_running: Batch sequences among those running.
-        kv_used_ratio: Share of its KV blocks in use, 0 to 1.
-        as_of_ms: The engine's own time of the reading.
-        healthy: False while the owner cannot reach it.
-        batch_waiting: Batch requests among those waiting.
+        runner_id: Id of the runner.
+        running: Number of running sequences, of online and batch work together.
+        waiting: Number of queued requests.
+        batch_running: Number of batch sequences among those running.
+        kv_used_ratio: Fraction of the KV cache blocks in use, 0 to 1.
+        as_of_ms: Time of the reading by the engine's clock, in milliseconds.
+        healthy: False while the owner cannot reach the runner.
+        batch_waiting: Number of batch requests among those waiting.
     """
 
     runner_id: str
@@ -54,23 +60,23 @@
 
 
 class PlacementStamp(msgspec.Struct, frozen=True, order=True):
-    """Age of a placement record: by term, then by revision; zeros for none."""
+    """Version of a placement record, ordered by term, then by revision; zeros for no record."""
 
     term: int = 0
     revision: int = 0
 
 
 class GatewayState(msgspec.Struct, frozen=True, kw_only=True):
-    """A live gateway.
+    """The state of a live gateway.
 
     Attributes:
-        gateway_id: Name from its configuration.
-        address: ``host:port`` for callers.
+        gateway_id: Name from the configuration of the gateway.
+        address: ``host:port`` of its public API.
         rpc_address: ``host:port`` of its internal RPC.
-        zone: Zone it runs in.
+        zone: Zone that it runs in.
         incarnation: Start time in milliseconds.
-        stopping: True once it takes no new requests.
-        settings_version: Version of the settings it has in force.
+        stopping: True once it accepts no new requests.
+        settings_version: Version of the settings that it has in force.
     """
 
     gateway_id: str
@@ -86,8 +92,8 @@
     """One leaf of the settings tree.
 
     Attributes:
-        path: Slash-separated path of the leaf, such as ``services/llm/serving/max_queue``.
-        value: JSON value of the leaf; None when ``deleted``.
+        path: Path of the leaf, separated by slashes, such as ``services/llm/serving/max_queue``.
+        value: JSON value of the leaf; None if ``deleted``.
         version: Version of the change that set or deleted it.
         deleted: True for a leaf that the change removed.
     """
@@ -99,9 +105,10 @@
 
 
 class PendingWork(msgspec.Struct, frozen=True):
-    """Services that had pending items in one job group lately.
+    """Services that recently had pending items in a job group.
 
-    A hint that may be late or lost: it says when to ask for leases, never whether there are any.
+    It is a hint that may be late or lost. It tells a gateway when to request leases, but does not
+    guarantee that any are available.
     """
 
     group: str
@@ -109,16 +116,17 @@
 
 
 class ExchangeRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a gateway tells its hub once a second; deltas only.
+    """The changes that a gateway sends to its hub once a second.
 
     Attributes:
-        gateway: The sender.
-        settings_version: Version up to which the gateway has all settings (0: none).
-        view_version: Hub's view version the gateway last applied (0: none, send everything).
-        hub_incarnation: Incarnation of the hub that gave ``view_version``.
-        digests: Changed load digests of the runners that it owns.
-        lease_ids: Batch leases that it still holds, by group: a renewal.
-        placement: Placement record whose withdrawals the gateway has in force.
+        gateway: State of the sender.
+        settings_version: Version of the settings that the gateway has; 0 if it has none.
+        view_version: Version of the hub's view that the gateway last applied; 0 requests a full
+            view.
+        hub_incarnation: Incarnation of the hub that sent ``view_version``.
+        digests: Changed load digests of the runners that the gateway owns.
+        lease_ids: Batch leases that the gateway still holds and renews hereby, by group.
+        placement: Stamp of the placement record whose withdrawals the gateway has in force.
     """
 
     gateway: GatewayState
@@ -131,31 +139,33 @@
 
 
 class ExchangeReply(msgspec.Struct, frozen=True, kw_only=True):
-    """What the hub answers: everything that changed since the gateway's versions.
+    """The hub's reply to an exchange: all changes since the gateway's versions.
 
     Attributes:
-        settings_version: Version that the gateway has after applying ``settings``.
-        settings: Changed leaves, in no special order; complete for the version step.
+        settings_version: Version that the gateway has after it applied ``settings``.
+        settings: All leaves that changed between the two versions, in no particular order.
         view_version: Version of the membership and load view after this reply.
-        hub_incarnation: Incarnation of this hub; a change means a full view follows.
-        full_view: True when the lists below are complete instead of deltas.
+        hub_incarnation: Incarnation of this hub; if it changed, the reply holds a full view.
+        full_view: True if the following lists are complete instead of deltas.
         gateways: New or changed gateways.
         gone_gateways: Ids of gateways that are no longer live.
         runners: New or changed runners.
         gone_runners: Ids of runners that are no longer listed.
-        digests: Changed load digests of runners that others own.
+        digests: Changed load digests of runners that other gateways own.
         lost_lease_ids: Leases of this gateway that are no longer valid (expired or cancelled).
-        cancelled_jobs: Jobs cancelled since the last exchange that the gateway may hold.
+        cancelled_jobs: Jobs that were cancelled since the last exchange and may have items at the
+            gateway.
         hubs: RPC addresses of all hubs, nearest first, for fail-over.
-        quorum_age_s: Seconds since this hub heard the leader of the root group.
+        quorum_age_s: Seconds since this hub's last contact with the leader of group root.
         job_groups: Number of job groups, ``jobs-0`` to ``jobs-(job_groups - 1)``.
-        settings_retry_after_s: Above 0 when the hub held settings back because many ask at once;
-            the next exchange may come that soon, with jitter.
-        pending_work: Where work is pending, for all job groups of which the hub knows; None when
-            that is what the gateway was told last.
-        hub_settings_version: Version that the hub itself has; -1 from one that does not say.
-        placement: Placement record whose withdrawals the runners' models reflect; None when the
-            gateway was told it last.
+        settings_retry_after_s: Above 0 if the hub held settings back because of too many concurrent
+            requests: delay after which the gateway may send its next exchange, with jitter.
+        pending_work: Services with pending work, for all job groups that the hub has information
+            on; None if unchanged since the last reply to the gateway.
+        hub_settings_version: Version of the hub's own settings; -1 from a hub that does not send
+            it.
+        placement: Stamp of the placement record whose withdrawals are applied to ``models`` of the
+            runners; None if unchanged since the last reply to the gateway.
     """
 
     settings_version: int
@@ -180,11 +190,11 @@
 
 
 class YieldNotice(msgspec.Struct, frozen=True, kw_only=True):
-    """One-way notice to a runner's owner: online work has arrived at an idle runner."""
+    """One-way notice to the owner of an idle runner that online work has arrived there."""
 
     runner_id: str
     sent_ms: int
 
 
 class Acknowledged(msgspec.Struct, frozen=True):
-    """Empty result of a message that needs no answer."""
+    """Empty body of a message without content, or of a reply that only confirms receipt."""
--- a/src/leverjunction/wire/rpc_client.py
+++ b/src/leverjunction/wire/rpc_client.py
@@ -1,4 +1,4 @@
-"""Client side of the internal RPC: one POST a call, over pooled urllib3 connections."""
+"""Client of the internal RPC, which sends a POST request per call over pooled connections."""
 
 from __future__ import annotations
 
@@ -25,38 +25,38 @@
 DEFAULT_TIMEOUT_S = 2.0
 CONNECTIONS_PER_PEER = 8
 MIN_LINK_BYTES_PER_S = 250_000
-"""Speed of the slowest link over which a large body still gets through, as 2 Mbit/s."""
+"""Rate of the slowest supported link, 2 Mbit/s; timeouts of large bodies follow from it."""
 
 _HEADERS = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
-"""Nobody reads these: a gateway pays for each byte of a head once a second."""
+"""Omits headers that no peer reads, since every exchange, once a second, carries them."""
 
 
-def sending_s(size_bytes: int) -> float:
-    """Return how long a body of a size may take on its way to a peer, in seconds."""
+def send_timeout_s(size_bytes: int) -> float:
+    """Return the time limit for sending a body of ``size_bytes`` to a peer, in seconds."""
     return CONNECT_TIMEOUT_S + size_bytes / MIN_LINK_BYTES_PER_S
 
 
 class _Connection(HTTPConnection):
-    """A connection that gives a body the time that its size needs.
+    """A connection whose send timeout depends on the size of the body.
 
-    The library bounds the sending by the time in which a connection must come (0.5 s here), or by
-    the last call's time for reading: a large body over a slow link was cut off each time.
+    urllib3 sends with the connect timeout (0.5 s here) or with the read timeout of the previous
+    call, so every large body over a slow link would be cut off.
     """
 
-    _sending_s = CONNECT_TIMEOUT_S
+    _send_timeout_s = CONNECT_TIMEOUT_S
 
     def connect(self) -> None:
         super().connect()
-        self._allow_sending()
+        self._set_send_timeout()
 
     def request(self, method: str, url: str, body: Any = None, *rest: Any, **options: Any) -> None:
-        self._sending_s = sending_s(len(body))
-        self._allow_sending()
+        self._send_timeout_s = send_timeout_s(len(body))
+        self._set_send_timeout()
         super().request(method, url, body, *rest, **options)
 
-    def _allow_sending(self) -> None:
+    def _set_send_timeout(self) -> None:
         if self.sock is not None:
-            self.sock.settimeout(self._sending_s)
+            self.sock.settimeout(self._send_timeout_s)
 
 
 class _ConnectionPool(urllib3.HTTPConnectionPool):
@@ -66,7 +66,7 @@
 class RpcClient:
     """Calls other processes of the cluster. Safe to share between threads.
 
-    A call never retries: whether a repeat is allowed is the caller's decision.
+    It never retries, since only the caller knows whether a call may be repeated.
     """
 
     def __init__(self, cluster_key: bytes, incarnation: int) -> None:
@@ -90,8 +90,9 @@
         """Send a typed message to ``peer`` (``host:port``) and wait for its typed reply.
 
         Returns:
-            The result; or the peer's own failure; or a failure of step CONNECTING (the peer
-            received nothing) or RESPONDING (the peer may have acted).
+            The result, a failure that the peer returned, or a failure of this client: of step
+            SENDING or CONNECTING if the peer received nothing, RESPONDING if it may have executed
+            the call.
         """
         body = self.call_raw(peer, kind, encode(message), group=group, timeout_s=timeout_s)
         if isinstance(body, Failure):
@@ -107,7 +108,7 @@
         group: str = "",
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> bytes | Failure:
-        """Send encoded bytes to ``peer`` and return the bytes of the reply's body."""
+        """Send an encoded message to ``peer`` and return the encoded body of the reply."""
         envelope = Envelope(kind=kind, group=group, incarnation=self._incarnation, body=body)
         encoded = encode_envelope(envelope, self._cluster_key)
         if len(encoded) > MAX_ENVELOPE_BYTES:
@@ -125,9 +126,9 @@
         except (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError) as e:
             return _unreachable(peer, e)
         except urllib3.exceptions.HTTPError as error:
-            return _no_answer(peer, error)
+            return _no_reply(peer, error)
         if response.status != 200:
-            return _no_answer(peer, f"HTTP status {response.status}")
+            return _no_reply(peer, f"HTTP status {response.status}")
         reply = decode_envelope(response.data, self._cluster_key, peer)
         return reply if isinstance(reply, Failure) else reply.body
 
@@ -139,7 +140,7 @@
 def _too_large(peer: str, size_bytes: int) -> Failure:
     return Failure(
         kind=FailureKind.TOO_LARGE,
-        reason=f"message of {size_bytes} bytes, at most {MAX_ENVELOPE_BYTES} are allowed",
+        reason=f"message of {size_bytes} bytes exceeds the limit of {MAX_ENVELOPE_BYTES}",
         step=Step.SENDING,
         peer=peer,
         execution=Execution.NOT_RUN,
@@ -157,10 +158,10 @@
     )
 
 
-def _no_answer(peer: str, error: object) -> Failure:
+def _no_reply(peer: str, error: object) -> Failure:
     return Failure(
         kind=FailureKind.TIMEOUT,
-        reason=f"no usable answer: {error}",
+        reason=f"no valid reply: {error}",
         step=Step.RESPONDING,
         peer=peer,
         execution=Execution.UNKNOWN,
--- a/src/leverjunction/wire/rpc_server.py
+++ b/src/leverjunction/wire/rpc_server.py
@@ -1,4 +1,4 @@
-"""Server side of the internal RPC: one POST endpoint, served by CherryPy's own HTTP server."""
+"""Server of the internal RPC, with one POST endpoint on Cheroot (the HTTP server of CherryPy)."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 LISTEN_BACKLOG = 512
 KEEP_ALIVE_CONNECTIONS = 4096
-"""Idle connections kept open; cheroot's own default of 10 would reconnect on every call."""
+"""Idle connections kept open. With Cheroot's default of 10 every call would reconnect."""
 
 SERVER_NAME = "rpc"
-"""Sent with each reply; short, as each byte of an exchange is paid once a second."""
+"""Value of the ``Server`` header. It is short, as every exchange, once a second, carries it."""
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
 
 class RpcEndpoint:
-    """Dispatches authenticated envelopes to one handler a message kind.
+    """Dispatches authenticated envelopes to the handler of their message kind.
 
-    Serve it with ``RpcServer``, or mount an instance at ``/rpc`` of a CherryPy application.
+    It is served by ``RpcServer``, or mounted at ``/rpc`` of a CherryPy application.
     Handlers are called by the server's worker threads.
     """
 
@@ -50,13 +50,13 @@
         self._handlers: dict[MessageKind, RpcHandler] = {}
 
     def register(self, kind: MessageKind, handler: RpcHandler) -> None:
-        """Serve messages of ``kind`` with ``handler``."""
+        """Register the handler of messages of ``kind``."""
         self._handlers[kind] = handler
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["POST"])
     def index(self) -> bytes:
-        """Serve one call below a CherryPy application."""
+        """Handle a call as part of a CherryPy application."""
         peer = str(cherrypy.request.remote.ip)
         cherrypy.response.headers["Content-Type"] = "application/octet-stream"
         length = int(cherrypy.request.headers.get("Content-Length") or 0)
@@ -64,28 +64,28 @@
             raise cherrypy.HTTPError(413 if length > 0 else 400)
         data = cherrypy.request.rfile.read(length)
         if len(data) < length:
-            raise cherrypy.HTTPError(400, "the body ended early")
+            raise cherrypy.HTTPError(400, "the body is shorter than announced")
         return self.dispatch(data, peer)
 
     def wsgi_app(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Serve one call as a WSGI application, without CherryPy's work per request."""
+        """Handle a call as a WSGI application, without CherryPy's overhead per request."""
         if environ["REQUEST_METHOD"] != "POST" or environ["PATH_INFO"].rstrip("/") != RPC_PATH:
-            return _refuse(start_response, "404 Not Found")
+            return _reject(start_response, "404 Not Found")
         length = int(environ.get("CONTENT_LENGTH") or 0)
         if length > MAX_ENVELOPE_BYTES:
-            return _refuse(start_response, "413 Content Too Large")
+            return _reject(start_response, "413 Content Too Large")
         if length <= 0:
-            # A negative length would read until the peer closes, without a bound.
-            return _refuse(start_response, "400 Bad Request")
+            # With a negative length the read would be unbounded, until the peer closes.
+            return _reject(start_response, "400 Bad Request")
         data = environ["wsgi.input"].read(length)
         if len(data) < length:
-            return _refuse(start_response, "400 Bad Request")
+            return _reject(start_response, "400 Bad Request")
         reply = self.dispatch(data, str(environ.get("REMOTE_ADDR", "")))
         start_response("200 OK", [("Content-Length", str(len(reply)))])
         return [reply]
 
     def dispatch(self, data: bytes, peer: str) -> bytes:
-        """Check an encoded envelope, run its handler and return the encoded reply."""
+        """Verify an encoded envelope, run its handler and return the encoded reply."""
         envelope = decode_envelope(data, self._cluster_key, peer)
         body = (
             encode_reply(envelope) if isinstance(envelope, Failure) else self._run(envelope, peer)
@@ -107,7 +107,7 @@
         try:
             return handler(envelope, peer)
         except Exception as error:
-            # A fault in one handler must not close the connection that others share.
+            # An exception must not close the connection, which other calls use as well.
             logger.exception("handler of {} failed", envelope.kind.name)
             return encode_reply(
                 Failure(
@@ -115,19 +115,19 @@
                     reason=f"handler of {envelope.kind.name} failed: {error}",
                     step=Step.RESPONDING,
                     peer=peer,
-                    execution=_after_a_fault(envelope.kind),
+                    execution=_execution_after_error(envelope.kind),
                 )
             )
 
 
 class RpcServer(HttpServer):
-    """Serves an endpoint on its own port.
+    """Serves an ``RpcEndpoint`` on its own port.
 
     Args:
         host: IP number to listen on.
-        port: Port; 0 picks a free one, see ``address``.
-        endpoint: What to serve.
-        threads: Calls served at once.
+        port: Port to listen on; 0 binds a free port, see ``address``.
+        endpoint: Endpoint that handles the calls.
+        threads: Number of calls served concurrently.
     """
 
     def __init__(self, host: str, port: int, endpoint: RpcEndpoint, threads: int = 16) -> None:
@@ -142,10 +142,10 @@
         super().__init__(host, port, endpoint.wsgi_app, options)
 
 
-def _after_a_fault(kind: MessageKind) -> Execution:
+def _execution_after_error(kind: MessageKind) -> Execution:
     return Execution.UNKNOWN if kind is MessageKind.PROPOSE else Execution.NOT_RUN
 
 
-def _refuse(start_response: StartResponse, status: str) -> Iterable[bytes]:
+def _reject(start_response: StartResponse, status: str) -> Iterable[bytes]:
     start_response(status, [("Content-Length", "0")])
     return []
--- a/tests/unit/test_wire_control_client.py
+++ b/tests/unit/test_wire_control_client.py
@@ -14,9 +14,9 @@
 from leverjunction.wire.control_client import ControlClient
 from leverjunction.wire.envelope import Envelope, MessageKind
 from leverjunction.wire.hub_selector import (
+    MAX_STALE_HUBS,
     MAX_SUSPICION_S,
-    STALE_HUBS_TRIED,
-    STALE_STAY_S,
+    STALE_HOLD_S,
     SUSPICION_S,
     HubSelector,
 )
@@ -209,10 +209,10 @@
 
 def test_selector_keeps_a_stale_hub_when_all_are_in_doubt() -> None:
     selector = HubSelector(["a", "b"])
-    selector.stale("a", 0.0)
-    selector.stale("b", 0.0)
-    assert selector.reconsider(1.0) == "b"
-    selector.failed("b", 1.0)
+    selector.record_stale("a", 0.0)
+    selector.record_stale("b", 0.0)
+    assert selector.select(1.0) == "b"
+    selector.record_failure("b", 1.0)
     assert selector.current == "a"
 
 
@@ -220,9 +220,9 @@
     selector = HubSelector(["a", "b"])
     now_s, length_s = 0.0, SUSPICION_S
     for _ in range(6):
-        selector.failed("a", now_s)
-        assert selector.reconsider(now_s + length_s - 0.1) == "b"
-        assert selector.reconsider(now_s + length_s) == "a"
+        selector.record_failure("a", now_s)
+        assert selector.select(now_s + length_s - 0.1) == "b"
+        assert selector.select(now_s + length_s) == "a"
         now_s += length_s
         length_s = min(length_s * 2, MAX_SUSPICION_S)
 
@@ -237,17 +237,17 @@
 
 def test_timeouts_in_a_row_make_the_exchange_pause_ever_longer() -> None:
     backoff = TimeoutBackoff(random.Random(1))
-    backoff.timed_out(10.0)
-    assert backoff.wait_s(10.0) == 0.0
+    backoff.record_timeout(10.0)
+    assert backoff.remaining_s(10.0) == 0.0
     pauses = []
     for _ in range(8):
-        backoff.timed_out(10.0)
-        pauses.append(backoff.wait_s(10.0))
+        backoff.record_timeout(10.0)
+        pauses.append(backoff.remaining_s(10.0))
     assert FIRST_PAUSE_S * 0.5 <= pauses[0] <= FIRST_PAUSE_S * 1.5
     assert all(MAX_PAUSE_S * 0.5 <= pause <= MAX_PAUSE_S * 1.5 for pause in pauses[4:])
     assert len({round(pause, 6) for pause in pauses[4:]}) == 4, "pauses have no jitter"
-    backoff.answered()
-    assert backoff.wait_s(10.0) == 0.0
+    backoff.record_reply()
+    assert backoff.remaining_s(10.0) == 0.0
 
 
 def test_no_exchange_is_sent_during_the_pause(make_hub: Callable[[], FakeHub]) -> None:
@@ -255,10 +255,10 @@
     clock = FakeClock()
     client = client_of(hub.address, clock=clock)
     timeout = failure(FailureKind.TIMEOUT)
-    client._note_in_time(timeout)
+    client._update_backoff(timeout)
     assert isinstance(client.exchange(EXCHANGE), ExchangeReply)
     for _ in range(2):
-        client._note_in_time(timeout)
+        client._update_backoff(timeout)
     refused = client.exchange(EXCHANGE)
     assert is_failure(refused)
     assert refused.kind is FailureKind.OVERLOADED
@@ -272,60 +272,60 @@
     selector = HubSelector(hubs)
     moves, last = 0, selector.current
     for second in range(seconds):
-        hub = selector.reconsider(float(second))
+        hub = selector.select(float(second))
         moves += hub != last
         last = hub
         if stale:
-            selector.stale(hub, float(second))
+            selector.record_stale(hub, float(second))
         else:
-            selector.succeeded(hub)
+            selector.record_success(hub)
     return moves
 
 
 def test_a_gateway_does_not_wander_when_no_hub_hears_a_quorum() -> None:
     """Found by the scale run: each move costs a full view, and the next hub is as stale."""
     hubs = [f"hub-{number}:1" for number in range(15)]
-    assert moves_among(hubs, 60, stale=True) <= STALE_HUBS_TRIED + 60 / STALE_STAY_S
+    assert moves_among(hubs, 60, stale=True) <= MAX_STALE_HUBS + 60 / STALE_HOLD_S
 
 
 def test_a_gateway_that_stays_with_a_stale_hub_leaves_it_once_it_is_silent() -> None:
     selector = HubSelector(["a", "b", "c", "d"])
-    for second in range(STALE_HUBS_TRIED):
-        selector.stale(selector.reconsider(float(second)), float(second))
+    for second in range(MAX_STALE_HUBS):
+        selector.record_stale(selector.select(float(second)), float(second))
     kept = selector.current
-    failed_s = STALE_HUBS_TRIED - 1 + STALE_STAY_S - 0.1
-    assert selector.reconsider(failed_s) == kept
-    selector.failed(kept, failed_s)
-    assert selector.reconsider(failed_s) != kept
+    failed_s = MAX_STALE_HUBS - 1 + STALE_HOLD_S - 0.1
+    assert selector.select(failed_s) == kept
+    selector.record_failure(kept, failed_s)
+    assert selector.select(failed_s) != kept
 
 
 def test_a_hub_with_a_quorum_ends_the_stay() -> None:
     selector = HubSelector(["a", "b", "c", "d"])
-    for second in range(STALE_HUBS_TRIED):
-        selector.stale(selector.reconsider(float(second)), float(second))
+    for second in range(MAX_STALE_HUBS):
+        selector.record_stale(selector.select(float(second)), float(second))
     assert selector.current == "c"
-    selector.succeeded("c")
-    assert selector.reconsider(9.0) == "a"
+    selector.record_success("c")
+    assert selector.select(9.0) == "a"
 
 
 def test_a_gateway_hears_a_quorum_again_well_within_the_time_for_a_change() -> None:
     """Suspected in a simulated run: it stayed with the one hub that was still cut off for 10 s."""
     selector = HubSelector(["a", "b", "c"])
     for second in range(3):
-        selector.stale(selector.reconsider(float(second)), float(second))
+        selector.record_stale(selector.select(float(second)), float(second))
     kept = selector.current
-    assert selector.reconsider(2.0 + STALE_STAY_S - 0.1) == kept
-    assert selector.reconsider(2.0 + STALE_STAY_S) != kept
-    assert STALE_STAY_S < IN_FORCE_EVERYWHERE_S
+    assert selector.select(2.0 + STALE_HOLD_S - 0.1) == kept
+    assert selector.select(2.0 + STALE_HOLD_S) != kept
+    assert STALE_HOLD_S < IN_FORCE_EVERYWHERE_S
 
 
 def hubs_tried(selector: HubSelector, begin_s: float, end_s: float) -> set[str]:
     """Return the hubs that an exchange a second is sent to, while every one of them is stale."""
     tried = set()
     while begin_s <= end_s:
-        hub = selector.reconsider(begin_s)
+        hub = selector.select(begin_s)
         tried.add(hub)
-        selector.stale(hub, begin_s)
+        selector.record_stale(hub, begin_s)
         begin_s += 1.0
     return tried
 
@@ -336,22 +336,22 @@
     Both had been silent once, for a second, and were in doubt for 20 s.
     """
     selector = HubSelector(["a", "b", "c"])
-    selector.failed("a", 0.0)
-    selector.failed("b", 0.2)
+    selector.record_failure("a", 0.0)
+    selector.record_failure("b", 0.2)
     assert selector.current == "c"
     assert hubs_tried(selector, 0.4, 0.4 + IN_FORCE_EVERYWHERE_S) > {"c"}
 
 
 def test_after_a_fruitless_try_the_gateway_is_back_at_the_hub_that_serves() -> None:
     selector = HubSelector(["a", "b", "c"])
-    selector.failed("a", 0.0)
-    selector.failed("b", 0.0)
-    selector.stale("c", 0.0)
-    assert selector.reconsider(STALE_STAY_S) == "a"
-    selector.failed("a", STALE_STAY_S)
+    selector.record_failure("a", 0.0)
+    selector.record_failure("b", 0.0)
+    selector.record_stale("c", 0.0)
+    assert selector.select(STALE_HOLD_S) == "a"
+    selector.record_failure("a", STALE_HOLD_S)
     assert selector.current == "c"
-    selector.stale("c", STALE_STAY_S)
-    assert selector.reconsider(2 * STALE_STAY_S) == "b"
+    selector.record_stale("c", STALE_HOLD_S)
+    assert selector.select(2 * STALE_HOLD_S) == "b"
 
 
 def test_every_stale_hub_is_asked_again_in_turn() -> None:
@@ -363,8 +363,8 @@
 def test_calls_that_fail_together_are_one_failure() -> None:
     selector = HubSelector(["a", "b"])
     for call in range(5):
-        selector.failed("a", call * 0.1)
-    assert selector.reconsider(0.4 + SUSPICION_S) == "a"
+        selector.record_failure("a", call * 0.1)
+    assert selector.select(0.4 + SUSPICION_S) == "a"
 
 
 def test_doubted_hubs_are_tried_at_once_when_the_only_trusted_one_is_stale() -> None:
@@ -373,24 +373,24 @@
     The two others had failed 6 s before, were well again and had the version.
     """
     selector = HubSelector(["a", "b", "c"])
-    selector.failed("b", 0.0)
-    selector.failed("c", 0.1)
+    selector.record_failure("b", 0.0)
+    selector.record_failure("c", 0.1)
     assert selector.current == "a"
-    selector.stale("a", 6.0)
-    assert selector.reconsider(6.4) == "b"
-    selector.succeeded("b")
-    assert selector.reconsider(7.4) == "b"
+    selector.record_stale("a", 6.0)
+    assert selector.select(6.4) == "b"
+    selector.record_success("b")
+    assert selector.select(7.4) == "b"
 
 
 def test_doubted_hubs_that_fail_again_are_tried_once_and_the_stale_one_is_kept() -> None:
     selector = HubSelector(["a", "b", "c"])
-    selector.failed("b", 0.0)
-    selector.failed("c", 0.1)
+    selector.record_failure("b", 0.0)
+    selector.record_failure("c", 0.1)
     used = []
     for moment in range(6, 11):
-        selector.stale("a", float(moment))
-        used.append(selector.reconsider(moment + 0.4))
+        selector.record_stale("a", float(moment))
+        used.append(selector.select(moment + 0.4))
         if selector.current != "a":
-            selector.failed(selector.current, moment + 0.5)
+            selector.record_failure(selector.current, moment + 0.5)
     assert used[:3] == ["b", "c", "a"]
-    assert selector.reconsider(8.0 + STALE_STAY_S - 0.1) == "a"
+    assert selector.select(8.0 + STALE_HOLD_S - 0.1) == "a"
