--- a/tests/unit/test_control_layout.py
+++ b/tests/unit/test_control_layout.py
@@ -1,4 +1,4 @@
-"""Where the groups live at the full size, and what a region that is cut off takes with it."""
+"""Tests of the layout of consensus groups at full size, and of changes of their voters."""
 
 from __future__ import annotations
 
@@ -66,8 +66,8 @@
 def test_a_region_that_is_cut_off_holds_one_voter_of_a_group_at_most() -> None:
     for voters in layout(config(peers())).values():
         assert len({peer.region for peer in voters}) == REPLICAS
-    # So with any region cut off for an hour, every group has 4 of 5 voters elsewhere; and even
-    # the two regions that hold the most leave it a majority.
+    # With any one region partitioned, every group has 4 of 5 voters elsewhere. Even without the
+    # two regions that hold the most voters each group has a majority.
 
 
 def test_without_regions_the_voters_are_in_different_zones() -> None:
@@ -80,13 +80,13 @@
 
 
 def test_every_process_sees_the_same_layout_in_any_order_of_its_file() -> None:
-    everywhere = peers()
+    all_peers = peers()
     names = {
         tuple(
             (group, tuple(sorted(peer.name for peer in voters)))
             for group, voters in layout(config(order, name=order[0].name)).items()
         )
-        for order in (everywhere, everywhere[::-1], everywhere[7:] + everywhere[:7])
+        for order in (all_peers, all_peers[::-1], all_peers[7:] + all_peers[:7])
     }
     assert len(names) == 1
 
@@ -107,13 +107,13 @@
 
 
 class Replica:
-    """A replica of a group whose voters are scripted."""
+    """Stub of a group replica with a scripted status."""
 
     def __init__(self) -> None:
         self.role = "leader"
         self.term = 1
         self.voters = ["a", "b", "c"]
-        self.asked: list[list[str]] = []
+        self.proposed: list[list[str]] = []
         self.failing = False
 
     def status(self) -> GroupStatus:
@@ -124,45 +124,45 @@
         )  # fmt: skip
 
     def change_members(self, addresses: list[str], _timeout_s: float) -> bytes | Failure:
-        self.asked.append(addresses)
+        self.proposed.append(addresses)
         if self.failing:
             return Failure(kind=FailureKind.NO_QUORUM, reason="cut", step=Step.PROPOSING)
         return b""
 
 
-def moving() -> tuple[Replica, VoterPlacement]:
+def changing_voters() -> tuple[Replica, VoterPlacement]:
     replica = Replica()
     replicas = {"root": cast(GroupReplica, replica)}
     return replica, VoterPlacement(replicas, {"root": ["d", "c", "b"]})
 
 
-def test_the_leader_sets_the_wanted_voters_once_a_term() -> None:
-    replica, placement = moving()
+def test_the_leader_proposes_the_target_voters_once_a_term() -> None:
+    replica, placement = changing_voters()
     replica.failing = True
     placement.tick()
     replica.failing = False
     for _ in range(3):
         placement.tick()
-    assert replica.asked == [["b", "c", "d"]] * 2
+    assert replica.proposed == [["b", "c", "d"]] * 2
     replica.term = 2
     placement.tick()
-    assert len(replica.asked) == 3
+    assert len(replica.proposed) == 3
 
 
 @pytest.mark.parametrize(
     ("role", "voters"), [("follower", ["a", "b", "c"]), ("leader", ["c", "d", "b"])]
 )
-def test_nothing_is_set_without_need(role: str, voters: list[str]) -> None:
-    replica, placement = moving()
+def test_no_change_is_proposed_without_need(role: str, voters: list[str]) -> None:
+    replica, placement = changing_voters()
     replica.role, replica.voters = role, voters
     placement.tick()
-    assert replica.asked == []
+    assert replica.proposed == []
 
 
-def test_a_replica_that_is_here_is_run_though_the_layout_moved_it(tmp_path: Path) -> None:
-    everywhere = peers()
-    settings = config(everywhere, data_folder=str(tmp_path))
-    own = everywhere[0].rpc_address
+def test_a_replica_runs_while_its_file_exists_though_the_layout_moved_it(tmp_path: Path) -> None:
+    all_peers = peers()
+    settings = config(all_peers, data_folder=str(tmp_path))
+    own = all_peers[0].rpc_address
     elsewhere = next(
         group
         for group in group_names(settings)
--- a/tests/unit/test_control_machine_source.py
+++ b/tests/unit/test_control_machine_source.py
@@ -1,4 +1,4 @@
-"""A hub that cannot read the platform's machine list follows the hub with the newest one."""
+"""A hub that cannot read the platform's machine list uses the list of the most recent hub."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class Platform:
-    """The platform's list, which may be out of reach."""
+    """Stub of the platform's client, which may be unreachable."""
 
     def __init__(self) -> None:
-        self.answer: MachineList | Failure = Failure(
+        self.reply: MachineList | Failure = Failure(
             kind=FailureKind.UNREACHABLE, reason="cut off", step=Step.EXCHANGING
         )
 
     def read(self) -> MachineList | Failure:
-        return self.answer
+        return self.reply
 
 
 def listed(as_of_ms: int, state: str) -> MachineList:
@@ -70,10 +70,10 @@
 
 
 def test_a_hub_without_the_platform_learns_of_a_leaving_runner_from_another_hub() -> None:
-    asked: list[Envelope] = []
+    requests: list[Envelope] = []
 
     def on_machine_list(envelope: Envelope, _peer: str) -> bytes:
-        asked.append(envelope)
+        requests.append(envelope)
         return encode_reply(listed(20, "leaving"))
 
     endpoint = RpcEndpoint(KEY, incarnation=1)
@@ -89,16 +89,19 @@
         source.tick()
         assert hub.runners()[0].leaving
         source.tick()
-        assert len(asked) == 1, "nobody has a newer reading, and yet it asks again"
-        platform.answer = listed(30, "live")
+        assert len(requests) == 1, "no other hub has a newer list, but another request was sent"
+        platform.reply = listed(30, "live")
         source.tick()
         assert not hub.runners()[0].leaving
     finally:
         server.stop()
 
 
-def test_the_leader_keeps_leases_as_long_as_holders_were_told() -> None:
-    """Found by the simulator: 6 s here and 10 s at the holder let an item run at two gateways."""
+def test_the_leader_keeps_leases_for_the_duration_given_to_holders() -> None:
+    """Guards against a shorter lease at the leader than at its holder.
+
+    With 6 s at the leader and 10 s at the holder an item ran at two gateways at once.
+    """
     expiry = LeaseExpiry({"jobs-0": cast(ReplicatedGroup, None)}, SystemClock())
     keeper = expiry._groups["jobs-0"].keeper
     keeper.granted("lease", 0.0)
--- a/tests/unit/test_control_settings_mirror.py
+++ b/tests/unit/test_control_settings_mirror.py
@@ -1,4 +1,4 @@
-"""Many gateways that ask a hub for all settings at once cost it one read and few replies."""
+"""Concurrent requests for all settings cost a hub one read and a bounded number of replies."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Source:
-    """Group root at a version, with counted reads that can be held up."""
+    """Stub of group root at a given version, which counts full reads and can block them."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -48,7 +48,7 @@
 
 
 def mirror_at_version_2() -> tuple[SettingsMirror, Source]:
-    """Return a mirror that has followed a change, so that it must read a full step anew."""
+    """Return a mirror that has applied a change, so it has to read a full step again."""
     source = Source()
     mirror = SettingsMirror(source)
     assert mirror.refresh()
@@ -87,7 +87,7 @@
     source.may_read.clear()
     with ThreadPoolExecutor(GATEWAYS) as pool:
         first = [pool.submit(exchange, hub, number) for number in range(GATEWAYS)]
-        # All but those with a slot are answered while the one read is still held up.
+        # All but those with a slot get a reply while the single read is still blocked.
         waiting = GATEWAYS
         while waiting > MAX_LARGE_REPLIES:
             waiting = sum(not future.done() for future in first)
--- a/tests/unit/test_control_start.py
+++ b/tests/unit/test_control_start.py
@@ -1,4 +1,4 @@
-"""A control process that cannot start ends, whatever it has opened before."""
+"""A control process that cannot start exits, even if it has opened ports before."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_a_taken_port_ends_the_process(tmp_path: Path) -> None:
-    """It said that it could not start, and went on answering its peers on the port before."""
+    """Guards against a process that logs a failed start but keeps serving its RPC port."""
     with socket.create_server((HOST, HTTP_PORT)):
         command = ["-m", "leverjunction.cli", "control", "--config", str(settings_file(tmp_path))]
         process = subprocess.Popen(
@@ -47,6 +47,6 @@
             output = process.communicate(timeout=20)[0]
         except subprocess.TimeoutExpired:
             process.kill()
-            pytest.fail(f"it did not end: {process.communicate()[0]}")
+            pytest.fail(f"the process did not exit: {process.communicate()[0]}")
     assert process.returncode == 1
     assert "cannot start" in output
--- a/tests/unit/test_wire_control_client.py
+++ b/tests/unit/test_wire_control_client.py
@@ -1,4 +1,4 @@
-"""The client of control moves between hubs and never claims more than it knows."""
+"""The client of control switches between hubs and never reports NOT_RUN for an unknown outcome."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from leverjunction.wire.rpc_server import RpcEndpoint, RpcServer
 
 IN_FORCE_EVERYWHERE_S = 4.0
-"""Time in which an accepted change has to be in force."""
+"""Time within which an accepted change has to be in force everywhere."""
 
 KEY = b"cluster key of the tests"
 DEAD = "127.0.0.1:1"
@@ -56,7 +56,7 @@
 
 
 class FakeHub:
-    """A hub over a real socket that answers proposals from a script, then with the amount."""
+    """A hub on a real socket that replies to proposals from a script, then with the amount."""
 
     def __init__(self) -> None:
         self.script: list[Failure] = []
@@ -139,7 +139,7 @@
     "kind",
     [FailureKind.NOT_LEADER, FailureKind.NO_QUORUM, FailureKind.TIMEOUT, FailureKind.OVERLOADED],
 )
-def test_propose_retries_what_a_retry_can_mend(
+def test_propose_retries_retryable_failures(
     make_hub: Callable[[], FakeHub], kind: FailureKind
 ) -> None:
     hub = make_hub()
@@ -156,7 +156,7 @@
     assert (reply.kind, len(hub.calls)) == (FailureKind.KEY_REUSED, 1)
 
 
-def test_an_unknown_try_is_not_forgotten(make_hub: Callable[[], FakeHub]) -> None:
+def test_an_unknown_outcome_is_kept_in_the_final_failure(make_hub: Callable[[], FakeHub]) -> None:
     hub = make_hub()
     not_leader = [failure(FailureKind.NOT_LEADER)] * 200
     hub.script = [failure(FailureKind.TIMEOUT, Execution.UNKNOWN), *not_leader]
@@ -190,7 +190,10 @@
 def test_a_hub_that_knows_less_than_the_gateway_is_left(
     make_hub: Callable[[], FakeHub], hub_version: int, is_left: bool
 ) -> None:
-    """It had come back without its disk, and was kept until it was repaired (1.2 s too long)."""
+    """A hub that lost its disk has an older version until it is repaired.
+
+    Gateways that kept such a hub got a change 1.2 s too late.
+    """
     near, far = make_hub(), make_hub()
     client = client_of(near.address, far.address)
     near.settings_version = hub_version
@@ -207,7 +210,7 @@
     assert is_failure(client.notify_yield(DEAD, notice))
 
 
-def test_selector_keeps_a_stale_hub_when_all_are_in_doubt() -> None:
+def test_selector_keeps_a_stale_hub_when_all_are_suspected() -> None:
     selector = HubSelector(["a", "b"])
     selector.record_stale("a", 0.0)
     selector.record_stale("b", 0.0)
@@ -235,7 +238,7 @@
     assert selector.current == "c"
 
 
-def test_timeouts_in_a_row_make_the_exchange_pause_ever_longer() -> None:
+def test_consecutive_timeouts_increase_the_pause() -> None:
     backoff = TimeoutBackoff(random.Random(1))
     backoff.record_timeout(10.0)
     assert backoff.remaining_s(10.0) == 0.0
@@ -267,28 +270,28 @@
     assert isinstance(client.exchange(EXCHANGE), ExchangeReply)
 
 
-def moves_among(hubs: list[str], seconds: int, stale: bool) -> int:
-    """Count the moves of a gateway that exchanges once a second."""
+def count_switches(hubs: list[str], seconds: int, stale: bool) -> int:
+    """Return how often a gateway with one exchange a second switches hubs."""
     selector = HubSelector(hubs)
-    moves, last = 0, selector.current
+    switches, last = 0, selector.current
     for second in range(seconds):
         hub = selector.select(float(second))
-        moves += hub != last
+        switches += hub != last
         last = hub
         if stale:
             selector.record_stale(hub, float(second))
         else:
             selector.record_success(hub)
-    return moves
+    return switches
 
 
-def test_a_gateway_does_not_wander_when_no_hub_hears_a_quorum() -> None:
-    """Found by the scale run: each move costs a full view, and the next hub is as stale."""
+def test_a_gateway_rarely_switches_hubs_when_none_has_a_quorum() -> None:
+    """Each switch costs a full view, and the next hub is just as stale."""
     hubs = [f"hub-{number}:1" for number in range(15)]
-    assert moves_among(hubs, 60, stale=True) <= MAX_STALE_HUBS + 60 / STALE_HOLD_S
+    assert count_switches(hubs, 60, stale=True) <= MAX_STALE_HUBS + 60 / STALE_HOLD_S
 
 
-def test_a_gateway_that_stays_with_a_stale_hub_leaves_it_once_it_is_silent() -> None:
+def test_a_gateway_leaves_a_held_stale_hub_once_it_fails() -> None:
     selector = HubSelector(["a", "b", "c", "d"])
     for second in range(MAX_STALE_HUBS):
         selector.record_stale(selector.select(float(second)), float(second))
@@ -299,7 +302,7 @@
     assert selector.select(failed_s) != kept
 
 
-def test_a_hub_with_a_quorum_ends_the_stay() -> None:
+def test_a_hub_with_a_quorum_ends_the_hold() -> None:
     selector = HubSelector(["a", "b", "c", "d"])
     for second in range(MAX_STALE_HUBS):
         selector.record_stale(selector.select(float(second)), float(second))
@@ -308,8 +311,11 @@
     assert selector.select(9.0) == "a"
 
 
-def test_a_gateway_hears_a_quorum_again_well_within_the_time_for_a_change() -> None:
-    """Suspected in a simulated run: it stayed with the one hub that was still cut off for 10 s."""
+def test_a_gateway_leaves_a_stale_hub_within_the_time_for_a_change() -> None:
+    """Guards against a gateway that kept the one hub still cut off from the quorum for 10 s.
+
+    That was the suspected cause of a failure in the simulator.
+    """
     selector = HubSelector(["a", "b", "c"])
     for second in range(3):
         selector.record_stale(selector.select(float(second)), float(second))
@@ -320,7 +326,7 @@
 
 
 def hubs_tried(selector: HubSelector, begin_s: float, end_s: float) -> set[str]:
-    """Return the hubs that an exchange a second is sent to, while every one of them is stale."""
+    """Return the hubs that are used for one exchange a second while all of them are stale."""
     tried = set()
     while begin_s <= end_s:
         hub = selector.select(begin_s)
@@ -330,10 +336,11 @@
     return tried
 
 
-def test_a_doubted_hub_is_tried_in_time_for_a_change_while_the_one_in_use_is_stale() -> None:
-    """Simulated, hanbit 1086: a repaired replica's hub was kept for 10 s beside two healthy ones.
+def test_a_suspected_hub_is_tried_in_time_for_a_change_while_the_one_in_use_is_stale() -> None:
+    """Guards against a stale hub that was kept for 10 s although two others were healthy.
 
-    Both had been silent once, for a second, and were in doubt for 20 s.
+    Both had been silent for a second and were suspected for 20 s. The stale hub was that of a
+    repaired replica (simulation hanbit, seed 1086).
     """
     selector = HubSelector(["a", "b", "c"])
     selector.record_failure("a", 0.0)
@@ -342,7 +349,7 @@
     assert hubs_tried(selector, 0.4, 0.4 + IN_FORCE_EVERYWHERE_S) > {"c"}
 
 
-def test_after_a_fruitless_try_the_gateway_is_back_at_the_hub_that_serves() -> None:
+def test_after_a_failed_attempt_the_gateway_returns_to_the_stale_hub() -> None:
     selector = HubSelector(["a", "b", "c"])
     selector.record_failure("a", 0.0)
     selector.record_failure("b", 0.0)
@@ -354,23 +361,24 @@
     assert selector.select(2 * STALE_HOLD_S) == "b"
 
 
-def test_every_stale_hub_is_asked_again_in_turn() -> None:
+def test_every_stale_hub_is_tried_again_in_turn() -> None:
     selector = HubSelector(["a", "b", "c", "d"])
     hubs_tried(selector, 0.0, 20.0)
     assert hubs_tried(selector, 21.0, 41.0) == {"a", "b", "c", "d"}
 
 
-def test_calls_that_fail_together_are_one_failure() -> None:
+def test_concurrent_failures_count_as_one() -> None:
     selector = HubSelector(["a", "b"])
     for call in range(5):
         selector.record_failure("a", call * 0.1)
     assert selector.select(0.4 + SUSPICION_S) == "a"
 
 
-def test_doubted_hubs_are_tried_at_once_when_the_only_trusted_one_is_stale() -> None:
-    """A gateway was a version behind for 4.2 s: its hub was cut off, and it stayed for 2 s more.
+def test_suspected_hubs_are_tried_at_once_when_the_only_trusted_one_is_stale() -> None:
+    """Guards against a gateway that got a change after 4.2 s.
 
-    The two others had failed 6 s before, were well again and had the version.
+    Its hub was cut off from the quorum and was kept for 2 s more. The two others had failed 6 s
+    before, but had recovered and had the new version.
     """
     selector = HubSelector(["a", "b", "c"])
     selector.record_failure("b", 0.0)
@@ -382,7 +390,7 @@
     assert selector.select(7.4) == "b"
 
 
-def test_doubted_hubs_that_fail_again_are_tried_once_and_the_stale_one_is_kept() -> None:
+def test_suspected_hubs_that_fail_again_are_tried_once_and_the_stale_one_is_kept() -> None:
     selector = HubSelector(["a", "b", "c"])
     selector.record_failure("b", 0.0)
     selector.record_failure("c", 0.1)
--- a/tests/unit/test_wire_rpc.py
+++ b/tests/unit/test_wire_rpc.py
@@ -1,4 +1,4 @@
-"""The internal RPC over real sockets, below CherryPy and on its bare server."""
+"""Tests of the internal RPC over sockets, mounted in CherryPy and served without it."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def fail_unexpectedly(envelope: Envelope, peer: str) -> bytes:
-    raise RuntimeError("a fault of the handler")
+    raise RuntimeError("error in the handler")
 
 
 @pytest.fixture(params=["bare", "mounted"])
@@ -96,7 +96,7 @@
     rpc = RpcClient(key, 1)
     reply = rpc.call(address, kind, Acknowledged(), Acknowledged)
     assert isinstance(reply, Failure)
-    # A peer with another key can read no reply, since the reply is signed with ours.
+    # A client with another key rejects every reply, since the server signs it with its own key.
     assert reply.kind is expected
     rpc.close()
 
@@ -112,11 +112,11 @@
 
 
 @pytest.mark.parametrize("form", MALFORMED)
-def test_malformed_calls_are_answered_and_hurt_nobody(address: str, form: str) -> None:
+def test_malformed_calls_are_rejected_and_do_not_affect_others(address: str, form: str) -> None:
     rest, expected = MALFORMED[form]
     host, port = address.split(":")
     for _ in range(3):
-        # More often than the server has threads: one that got stuck would show below.
+        # More calls than the server has threads: if they blocked, the last call would fail.
         with socket.create_connection((host, int(port)), SOCKET_TIMEOUT_S) as connection:
             connection.sendall(b"POST /rpc HTTP/1.1\r\nHost: x\r\n" + rest)
             connection.shutdown(socket.SHUT_WR)
@@ -144,7 +144,7 @@
     assert decoded.peer == "peer"
 
 
-def test_a_message_that_no_peer_would_take_is_not_sent() -> None:
+def test_a_message_above_the_size_limit_is_not_sent() -> None:
     body = b"x" * MAX_ENVELOPE_BYTES
     refused = RpcClient(KEY, 1).call_raw("127.0.0.1:1", MessageKind.QUERY, body)
     assert isinstance(refused, Failure)
@@ -152,7 +152,10 @@
 
 
 def test_a_decoded_body_is_not_kept_by_a_cycle() -> None:
-    """Found by a memory run: parsed containers refer to themselves, with the body in them."""
+    """Guards against bodies inside parsed containers, which refer to themselves.
+
+    Such a body stays in memory until the next run of the cyclic garbage collector.
+    """
     key, body, decoded_envelopes = KEY, b"x" * 1_000_000, 20
     data = encode_envelope(Envelope(kind=MessageKind.QUERY, group="g" * 255, body=body), key)
     gc.collect()
@@ -185,8 +188,8 @@
     return {line.partition(b":")[0].lower() for line in lines}
 
 
-def test_calls_carry_no_headers_that_nobody_reads() -> None:
-    """A gateway's exchange has 3 KB a second; a fixed head is paid in each."""
+def test_calls_carry_no_unused_headers() -> None:
+    """The exchanges of a gateway may take 3 KB/s, and each carries all fixed headers."""
     seen: list[bytes] = []
 
     def serve(listener: socket.socket) -> None:
@@ -217,7 +220,7 @@
 
 
 def read_slowly(listener: socket.socket) -> None:
-    """Take one call as over a link of limited speed, and answer it."""
+    """Receive one call at a limited rate and reply to it."""
     connection, _ = listener.accept()
     with connection:
         read_bytes = 0
@@ -232,10 +235,10 @@
 
 
 def test_a_large_call_gets_through_a_slow_link() -> None:
-    """A call was cut off half a second after its beginning, whatever its time limit.
+    """Guards against a connect timeout (0.5 s) that also limits the sending of the body.
 
-    The time in which a connection must come bounded the sending of the body as well, so an entry
-    that takes longer than that on its way never reached a replica, however often it was sent.
+    A log entry that took longer to send never reached a replica, however often it was sent and
+    whatever the timeout of the call.
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
