--- a/tests/unit/test_control_settings_mirror.py
+++ b/tests/unit/test_control_settings_mirror.py
@@ -1,4 +1,4 @@
-"""Many gateways that ask a hub for all settings at once cost it one read and few replies."""
+"""Concurrent requests for all settings cost a hub one read and a bounded number of replies."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from leverjunction.clock import SystemClock
 from leverjunction.control.hub import Hub, HubIdentity
 from leverjunction.control.settings_mirror import (
-    LARGE_REPLIES_AT_ONCE,
     LARGE_STEP_BYTES,
+    MAX_LARGE_REPLIES,
     RETRY_AFTER_S,
     SettingsMirror,
 )
@@ -29,7 +29,7 @@
 
 
 class Source:
-    """Group root at a version, with counted reads that can be held up."""
+    """Stub of group root at a given version, which counts full reads and can block them."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -48,7 +48,7 @@
 
 
 def mirror_at_version_2() -> tuple[SettingsMirror, Source]:
-    """Return a mirror that has followed a change, so that it must read a full step anew."""
+    """Return a mirror that has applied a change, so it has to read a full step again."""
     source = Source()
     mirror = SettingsMirror(source)
     assert mirror.refresh()
@@ -87,15 +87,15 @@
     source.may_read.clear()
     with ThreadPoolExecutor(GATEWAYS) as pool:
         first = [pool.submit(exchange, hub, number) for number in range(GATEWAYS)]
-        # All but those with a slot are answered while the one read is still held up.
+        # All but those with a slot get a reply while the single read is still blocked.
         waiting = GATEWAYS
-        while waiting > LARGE_REPLIES_AT_ONCE:
+        while waiting > MAX_LARGE_REPLIES:
             waiting = sum(not future.done() for future in first)
         source.may_read.set()
         replies = [future.result() for future in first]
     served = [reply for reply in replies if reply.settings]
     held_back = [reply for reply in replies if not reply.settings]
-    assert len(served) == LARGE_REPLIES_AT_ONCE
+    assert len(served) == MAX_LARGE_REPLIES
     assert {reply.settings_version for reply in held_back} == {0}
     assert {reply.settings_retry_after_s for reply in held_back} == {RETRY_AFTER_S}
     assert hub.gateway_count() == GATEWAYS
@@ -109,7 +109,7 @@
     mirror, _ = mirror_at_version_2()
     hub = hub_of(mirror)
     with ExitStack() as held:
-        for _ in range(LARGE_REPLIES_AT_ONCE):
+        for _ in range(MAX_LARGE_REPLIES):
             held.enter_context(mirror.step(0))
         assert exchange(hub, 1, settings_version=1).settings == SMALL_ROWS
         assert exchange(hub, 2).settings == []
