--- a/src/leverjunction/registry/follower.py
+++ b/src/leverjunction/registry/follower.py
@@ -13,9 +13,9 @@
 from leverjunction.clock import Clock
 from leverjunction.errors import Failure
 from leverjunction.quarantine.records import SuspectList
-from leverjunction.registry.asking_plan import RETRY_PAUSE_S, AskingPlan, behind
 from leverjunction.registry.commands import WatchReply, WatchRequest
 from leverjunction.registry.records import FleetView
+from leverjunction.registry.watch_schedule import RETRY_PAUSE_S, AskingPlan, behind
 from leverjunction.routes.types import RouteTable
 from leverjunction.standstills import Freshness
 from leverjunction.wire.envelope import MessageKind
--- a/src/leverjunction/registry/node.py
+++ b/src/leverjunction/registry/node.py
@@ -38,7 +38,7 @@
     WatchRequest,
 )
 from leverjunction.registry.hub import RegistryHub
-from leverjunction.registry.late_starts import LateStarts
+from leverjunction.registry.reconciler import Steward, StewardLimits
 from leverjunction.registry.records import (
     JOBS_GROUP,
     REGISTRY_GROUP,
@@ -48,8 +48,8 @@
     RunnerState,
     runner_key,
 )
+from leverjunction.registry.start_liveness import LateStarts
 from leverjunction.registry.state_machine import RegistryStateMachine
-from leverjunction.registry.steward import Steward, StewardLimits
 from leverjunction.routes.checks import check_table
 from leverjunction.routes.types import RouteTable
 from leverjunction.storage import read_founders, write_founders
--- a/src/testbed/simulation/seeded/broken.py
+++ b/src/testbed/simulation/seeded/broken.py
@@ -12,11 +12,11 @@
 from leverjunction.consensus.types import GroupConfig
 from leverjunction.errors import Failure, FailureKind
 from leverjunction.registry import follower, node
-from leverjunction.registry.asking_plan import RETRY_PAUSE_S, AskingPlan
 from leverjunction.registry.commands import TableHeld, TableSource, WatchRequest
 from leverjunction.registry.follower import RegistryFollower
 from leverjunction.registry.hub import RegistryHub
 from leverjunction.registry.node import RegistryNode
+from leverjunction.registry.watch_schedule import RETRY_PAUSE_S, AskingPlan
 from testbed.simulation.rule import Rule
 from testbed.simulation.seeded import stand_ins
 from testbed.simulation.seeded.processes import ControlProcess
--- a/tests/unit/test_registry_steward.py
+++ b/tests/unit/test_registry_reconciler.py
@@ -14,8 +14,8 @@
     RunnerRecord,
 )
 from leverjunction.registry.commands import DropMember, Heard, RegistryCommand
+from leverjunction.registry.reconciler import Steward, StewardLimits
 from leverjunction.registry.records import JOBS_GROUP
-from leverjunction.registry.steward import Steward, StewardLimits
 
 LIMITS = StewardLimits(losses=1)
 
--- a/tests/unit/test_registry_starts.py
+++ b/tests/unit/test_registry_starts.py
@@ -25,9 +25,9 @@
 from leverjunction.platform.control_calls import ControlCalls
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.registry.hub import RegistryHub
-from leverjunction.registry.late_starts import ALIVE_S, LateStarts
 from leverjunction.registry.node import RegistryNode
 from leverjunction.registry.records import RunnerRecord, RunnerState
+from leverjunction.registry.start_liveness import ALIVE_S, LateStarts
 
 CONTROLS = 3
 SOON_S = 1.0
--- a/tests/unit/test_registry_asking_plan.py
+++ b/tests/unit/test_registry_watch_schedule.py
@@ -7,15 +7,15 @@
 import pytest
 
 from leverjunction.errors import Failure, FailureKind, Step
-from leverjunction.registry.asking_plan import (
+from leverjunction.registry.commands import WatchReply
+from leverjunction.registry.hub import STALE_CONTACT_S
+from leverjunction.registry.watch_schedule import (
     CALL_TIMEOUT_S,
     QUICK_TIMEOUT_S,
     RETRY_PAUSE_S,
     AskingPlan,
     behind,
 )
-from leverjunction.registry.commands import WatchReply
-from leverjunction.registry.hub import STALE_CONTACT_S
 
 IN_FORCE_S = 2.0
 ANSWER_S = 0.05
