--- a/src/leverjunction/lots/node.py
+++ b/src/leverjunction/lots/node.py
@@ -31,7 +31,7 @@
     CLUSTER_KEY,
     RPC_THREADS,
 )
-from leverjunction.registry.commands import Done, JobsPlaces, JoinMember
+from leverjunction.registry.commands import Done, GroupMembership, JoinMember
 from leverjunction.registry.follower import RegistryFollower, Snapshot
 from leverjunction.registry.records import (
     JOBS_GROUP,
@@ -268,10 +268,10 @@
     def _on_status(self, _envelope: Envelope, _peer: str) -> bytes:
         replica = self._local.get(JOBS_GROUP)
         if replica is None:
-            return encode_reply(JobsPlaces(leads=False, voters=(), members=()))
+            return encode_reply(GroupMembership(leads=False, voters=(), members=()))
         status = replica.status()
         return encode_reply(
-            JobsPlaces(
+            GroupMembership(
                 leads=status.role == "leader",
                 voters=tuple(status.voters),
                 members=(*status.voters, *status.learners),
--- a/src/leverjunction/platform/control_calls.py
+++ b/src/leverjunction/platform/control_calls.py
@@ -153,7 +153,7 @@
     if isinstance(record, Failure):
         note_unreadable("heartbeat", name, record.reason)
         return _failure_response(record)
-    return _result_response(calls.node.runner_heard(record))
+    return _result_response(calls.node.handle_heartbeat(record))
 
 
 def _parse_heartbeat(name: str, body: bytes) -> RunnerRecord | Failure:
@@ -186,7 +186,7 @@
     if isinstance(payload, Failure):
         note_unreadable("farewell", name, payload.reason)
         return _failure_response(payload)
-    return _result_response(calls.node.runner_left(name, payload.born))
+    return _result_response(calls.node.handle_leave(name, payload.born))
 
 
 def _parse_leave(name: str, body: bytes) -> _LeavePayload | Failure:
--- a/src/leverjunction/registry/commands.py
+++ b/src/leverjunction/registry/commands.py
@@ -147,7 +147,7 @@
 RegistryQuery = GetView | GetTable | GetTableSource | GetSuspects
 
 
-class TableHeld(msgspec.Struct, frozen=True):
+class StoredTableVersion(msgspec.Struct, frozen=True):
     """Reply to ``PutTable``: the version held now."""
 
     version: int
@@ -222,7 +222,7 @@
     members: tuple[str, ...]
 
 
-class JobsPlaces(msgspec.Struct, frozen=True, kw_only=True):
+class GroupMembership(msgspec.Struct, frozen=True, kw_only=True):
     """Where a replica sees its group: RPC addresses.
 
     Attributes:
@@ -244,9 +244,9 @@
     "GetTable",
     "GetTableSource",
     "GetView",
+    "GroupMembership",
     "GroupRecord",
     "Heard",
-    "JobsPlaces",
     "JoinMember",
     "NoteRuns",
     "PutGroup",
@@ -257,7 +257,7 @@
     "RemoveRunner",
     "ReviewSuspects",
     "StartRetirement",
-    "TableHeld",
+    "StoredTableVersion",
     "TableSource",
     "WatchReply",
     "WatchRequest",
--- a/src/leverjunction/registry/follower.py
+++ b/src/leverjunction/registry/follower.py
@@ -15,7 +15,7 @@
 from leverjunction.quarantine.records import SuspectList
 from leverjunction.registry.commands import WatchReply, WatchRequest
 from leverjunction.registry.records import FleetView
-from leverjunction.registry.watch_schedule import RETRY_PAUSE_S, AskingPlan, behind
+from leverjunction.registry.watch_schedule import RETRY_PAUSE_S, WatchSchedule, check_not_behind
 from leverjunction.routes.types import RouteTable
 from leverjunction.standstills import Freshness
 from leverjunction.wire.envelope import MessageKind
@@ -74,7 +74,7 @@
         self._member = member
         self._clock = clock
         self._random = random
-        self._plan = AskingPlan(random)
+        self._plan = WatchSchedule(random)
         self._changed = changed
         self._hubs = list(seeds)
         self._seeds = seeds
@@ -133,10 +133,10 @@
         if isinstance(reply, Failure):
             self._note_loss(reply)
             lasted_s = self._clock.monotonic_s() - sent_s
-            self._ask_another(self._plan.failed(reply, lasted_s))
+            self._ask_another(self._plan.record_failure(reply, lasted_s))
             return
         self._answered_s = self._clock.monotonic_s()
-        self._plan.answered()
+        self._plan.record_success()
         self._note_answer(reply)
         self._learn_hubs(reply.controls)
         self._take(reply)
@@ -158,7 +158,9 @@
 
     def _ask(self, hub: str) -> WatchReply | Failure:
         known = self._snapshot
-        ask = self._plan.next_ask(known is not None, len(self._hubs), at_once=self.is_in_doubt())
+        ask = self._plan.next_options(
+            known is not None, len(self._hubs), at_once=self.is_in_doubt()
+        )
         self._step_begins(ask.timeout_s)
         request = WatchRequest(
             table_version=known.table.version if known else -1,
@@ -173,7 +175,7 @@
         )
         if isinstance(reply, Failure):
             return reply
-        return behind(reply, request.table_version, request.revision) or reply
+        return check_not_behind(reply, request.table_version, request.revision) or reply
 
     def _take(self, reply: WatchReply) -> None:
         known = self._snapshot or Snapshot(RouteTable(), FleetView())
@@ -192,9 +194,9 @@
         if table is not known.table:
             logger.info("route table {} is in force, after {}", table.version, known.table.version)
         self._snapshot = Snapshot(table, view, suspects)
-        self._tell(self._snapshot)
+        self._deliver(self._snapshot)
 
-    def _tell(self, snapshot: Snapshot) -> None:
+    def _deliver(self, snapshot: Snapshot) -> None:
         """Pass a state on; one whose receiver fails is passed on again with the next answer."""
         self._is_told = False
         try:
--- a/src/leverjunction/registry/hub.py
+++ b/src/leverjunction/registry/hub.py
@@ -104,7 +104,7 @@
         """Return what is newer than the sender knows, waiting a while for it."""
         began_s = self._clock.monotonic_s()
         if request.fresh:
-            return self.stale() or self._fresh()
+            return self.stale() or self._read_from_leader()
         until_s = began_s + request.wait_ms / 1000
         while True:
             with self._notice:
@@ -120,9 +120,9 @@
             with self._notice:
                 if self._changes == seen:
                     self._notice.wait(min(left_s, REFRESH_S, fresh_s))
-        return self._news(request, self._clock.monotonic_s() - began_s)
+        return self._make_reply(request, self._clock.monotonic_s() - began_s)
 
-    def _news(self, request: WatchRequest, held_s: float) -> WatchReply:
+    def _make_reply(self, request: WatchRequest, held_s: float) -> WatchReply:
         # Before the table: a later age would say more than was read.
         age_s = self._age_s()
         table, view = self._table, self._view
@@ -149,7 +149,7 @@
         is_newer = known is not None and self._suspects.revision > known
         return self._suspects if is_newer else None
 
-    def _fresh(self) -> WatchReply | Failure:
+    def _read_from_leader(self) -> WatchReply | Failure:
         """Read at the leader: a process that starts must not go back behind what others saw."""
         asked_s = self._clock.monotonic_s()
         view = self._leader.query(REGISTRY_GROUP, GetView(), FleetView, FRESH_TIMEOUT_S)
--- a/src/leverjunction/registry/node.py
+++ b/src/leverjunction/registry/node.py
@@ -25,15 +25,15 @@
 from leverjunction.registry.commands import (
     Done,
     GetTableSource,
+    GroupMembership,
     Heard,
-    JobsPlaces,
     JoinMember,
     PutRunner,
     PutTable,
     RegistryCommand,
     RemoveRunner,
     StartRetirement,
-    TableHeld,
+    StoredTableVersion,
     TableSource,
     WatchRequest,
 )
@@ -152,18 +152,18 @@
         self._rpc.close()
         logger.info("stopped")
 
-    def put_table(self, table: RouteTable, source: str) -> TableHeld | Failure:
+    def put_table(self, table: RouteTable, source: str) -> StoredTableVersion | Failure:
         """Check and replicate a route table; an older one is acknowledged and changes nothing."""
         fault = check_table(table)
         if fault is not None:
             return fault
-        return self._propose(PutTable(table, source), TableHeld)
+        return self._propose(PutTable(table, source), StoredTableVersion)
 
     def table_source(self) -> TableSource | Failure:
         """Return the operator's text of the newest table, or say that it is not sure."""
         return self.host.query(REGISTRY_GROUP, GetTableSource(), TableSource, COMMAND_TIMEOUT_S)
 
-    def runner_heard(self, record: RunnerRecord) -> Failure | None:
+    def handle_heartbeat(self, record: RunnerRecord) -> Failure | None:
         """Take a runner's message; it is acknowledged once what it changes is replicated."""
         stale = self.hub.stale()
         if stale is not None and not self.leads():
@@ -199,7 +199,7 @@
             now_s = self._clock.monotonic_s()
             return self._late_starts.is_alive(record.start, record.sequence, now_s)
 
-    def runner_left(self, runner_id: str, born_ms: int = 0) -> Failure | None:
+    def handle_leave(self, runner_id: str, born_ms: int = 0) -> Failure | None:
         """Take a runner's last word; ``born_ms`` is 0 when it does not name its start."""
         reply = self._propose(RemoveRunner(runner_id, born_ms), Done)
         return reply if isinstance(reply, Failure) else None
@@ -244,7 +244,7 @@
         """Return whether the group's leader says that a machine holds no replica any more."""
         for voter in voters:
             status = self._rpc.call(
-                voter, MessageKind.STATUS, Done(), JobsPlaces, timeout_s=HEARD_TIMEOUT_S
+                voter, MessageKind.STATUS, Done(), GroupMembership, timeout_s=HEARD_TIMEOUT_S
             )
             if isinstance(status, Failure) or not status.leads:
                 continue
--- a/src/leverjunction/registry/state_machine.py
+++ b/src/leverjunction/registry/state_machine.py
@@ -99,12 +99,12 @@
 
 
 @_handles(commands.PutTable)
-def _put_table(tables: RegistryTables, change: commands.PutTable) -> commands.TableHeld:
+def _put_table(tables: RegistryTables, change: commands.PutTable) -> commands.StoredTableVersion:
     held = tables.table_version()
     if change.table.version <= held:
-        return commands.TableHeld(held)
+        return commands.StoredTableVersion(held)
     tables.set_table(change)
-    return commands.TableHeld(change.table.version)
+    return commands.StoredTableVersion(change.table.version)
 
 
 @_handles(commands.PutRunner)
--- a/src/leverjunction/registry/watch_schedule.py
+++ b/src/leverjunction/registry/watch_schedule.py
@@ -27,7 +27,7 @@
 _SILENCE = frozenset({FailureKind.TIMEOUT, FailureKind.UNREACHABLE})
 
 
-class Ask(msgspec.Struct, frozen=True):
+class WatchOptions(msgspec.Struct, frozen=True):
     """How the next question is put.
 
     Attributes:
@@ -39,7 +39,7 @@
     timeout_s: float
 
 
-class AskingPlan:
+class WatchSchedule:
     """What the next question looks like, by what became of those before."""
 
     __slots__ = ("_random", "_silences", "_unanswered")
@@ -49,7 +49,9 @@
         self._unanswered = False
         self._silences = 0
 
-    def next_ask(self, has_state: bool, processes: int, *, at_once: bool = False) -> Ask:
+    def next_options(
+        self, has_state: bool, processes: int, *, at_once: bool = False
+    ) -> WatchOptions:
         """Return how to ask.
 
         Args:
@@ -58,19 +60,19 @@
             at_once: Somebody waits for the answer, whether there is news or not.
         """
         if not has_state:
-            return Ask(0, FIRST_TIMEOUT_S)
+            return WatchOptions(0, FIRST_TIMEOUT_S)
         if not (self._unanswered or at_once):
-            return Ask(WAIT_MS, CALL_TIMEOUT_S)
+            return WatchOptions(WAIT_MS, CALL_TIMEOUT_S)
         # All in a row may be slow, not silent: large answers to many processes that start at once.
         is_quick = self._silences <= processes
-        return Ask(0, QUICK_TIMEOUT_S if is_quick else CALL_TIMEOUT_S)
+        return WatchOptions(0, QUICK_TIMEOUT_S if is_quick else CALL_TIMEOUT_S)
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Note an answer that can be relied on."""
         self._unanswered = False
         self._silences = 0
 
-    def failed(self, failure: Failure, lasted_s: float) -> float:
+    def record_failure(self, failure: Failure, lasted_s: float) -> float:
         """Note that a process is of no use now; return the pause before the next, in seconds.
 
         Args:
@@ -84,7 +86,7 @@
         return max(0.0, pause_s - lasted_s)
 
 
-def behind(reply: WatchReply, table_version: int, revision: int) -> Failure | None:
+def check_not_behind(reply: WatchReply, table_version: int, revision: int) -> Failure | None:
     """Return a failure if an answer comes from a process that knows less than the asker."""
     says_nothing = reply.table_version < 0
     if says_nothing or (reply.table_version >= table_version and reply.revision >= revision):
--- a/src/testbed/simulation/seeded/broken.py
+++ b/src/testbed/simulation/seeded/broken.py
@@ -12,11 +12,11 @@
 from leverjunction.consensus.types import GroupConfig
 from leverjunction.errors import Failure, FailureKind
 from leverjunction.registry import follower, node
-from leverjunction.registry.commands import TableHeld, TableSource, WatchRequest
+from leverjunction.registry.commands import StoredTableVersion, TableSource, WatchRequest
 from leverjunction.registry.follower import RegistryFollower
 from leverjunction.registry.hub import RegistryHub
 from leverjunction.registry.node import RegistryNode
-from leverjunction.registry.watch_schedule import RETRY_PAUSE_S, AskingPlan
+from leverjunction.registry.watch_schedule import RETRY_PAUSE_S, WatchSchedule
 from testbed.simulation.rule import Rule
 from testbed.simulation.seeded import stand_ins
 from testbed.simulation.seeded.processes import ControlProcess
@@ -29,7 +29,7 @@
 def follow_whatever_answers() -> list[Any]:
     """Return the patches."""
     return [
-        mock.patch.object(follower, "behind", lambda *_: None),
+        mock.patch.object(follower, "check_not_behind", lambda *_: None),
         mock.patch.object(RegistryHub, "stale", _only_refresh),
     ]
 
@@ -51,19 +51,19 @@
         mock.patch.object(ServerStandIn, "stop", lambda _self: None),
         mock.patch.object(stand_ins, "unknown_status", just_heard),
         mock.patch.object(RegistryHub, "_read", whatever_can_be_read),
-        mock.patch.object(follower, "behind", lambda *_: None),
+        mock.patch.object(follower, "check_not_behind", lambda *_: None),
     ]
 
 
 def lose_news() -> list[Any]:
     """Return the patches: an error while news are taken over is not made good."""
-    tell = RegistryFollower._tell
+    tell = RegistryFollower._deliver
 
     def sometimes(self: RegistryFollower, snapshot: follower.Snapshot) -> None:
         if snapshot.table.version % UNTOLD_SHARE:
             tell(self, snapshot)
 
-    return [mock.patch.object(RegistryFollower, "_tell", sometimes)]
+    return [mock.patch.object(RegistryFollower, "_deliver", sometimes)]
 
 
 def start_on_any_answer() -> list[Any]:
@@ -71,10 +71,10 @@
 
     def applied(self: RegistryHub) -> object:
         self._refresh()
-        return self._news(WatchRequest(table_version=-1, revision=-1, wait_ms=0), 0.0)
+        return self._make_reply(WatchRequest(table_version=-1, revision=-1, wait_ms=0), 0.0)
 
     return [
-        mock.patch.object(RegistryHub, "_fresh", applied),
+        mock.patch.object(RegistryHub, "_read_from_leader", applied),
         mock.patch.object(RegistryHub, "stale", _only_refresh),
     ]
 
@@ -94,9 +94,9 @@
     """Return the patches: a table is acknowledged though its outcome is not known."""
     put = RegistryNode.put_table
 
-    def hopeful(self: RegistryNode, table: Any, source: str) -> TableHeld:
+    def hopeful(self: RegistryNode, table: Any, source: str) -> StoredTableVersion:
         put(self, table, source)
-        return TableHeld(table.version)
+        return StoredTableVersion(table.version)
 
     return [mock.patch.object(RegistryNode, "put_table", hopeful)]
 
@@ -109,10 +109,10 @@
 def wait_for_good_after_a_silence() -> list[Any]:
     """Return the patches."""
 
-    def forever(_self: AskingPlan, failure: Failure, _lasted_s: float) -> float:
+    def forever(_self: WatchSchedule, failure: Failure, _lasted_s: float) -> float:
         return FOREVER_S if failure.kind is FailureKind.TIMEOUT else RETRY_PAUSE_S
 
-    return [mock.patch.object(AskingPlan, "failed", forever)]
+    return [mock.patch.object(WatchSchedule, "record_failure", forever)]
 
 
 def _only_refresh(hub: RegistryHub) -> None:
--- a/src/testbed/simulation/seeded/operators.py
+++ b/src/testbed/simulation/seeded/operators.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from leverjunction.errors import Failure
-from leverjunction.registry.commands import TableHeld, TableSource
+from leverjunction.registry.commands import StoredTableVersion, TableSource
 from leverjunction.routes import Route, RouteClass
 from testbed.routed import make_route, make_table
 from testbed.simulation.fiber import Fibers
@@ -110,7 +110,7 @@
         table = make_table(*self._routes, *self._added(version), version=version)
         held = self._call(name, "put", lambda node: node.put_table(table, str(version)))
         # A machine that holds a later version acknowledges an earlier one too.
-        if not isinstance(held, TableHeld) or held.version < version:
+        if not isinstance(held, StoredTableVersion) or held.version < version:
             return False
         at_s = self._machine.monotonic_s()
         self._history.acknowledged.append(Acknowledged(version, at_s, name))
--- a/src/testbed/simulation/seeded/routed/back_end.py
+++ b/src/testbed/simulation/seeded/routed/back_end.py
@@ -108,7 +108,7 @@
             born_ms=born_ms,
         )
         name = self._random.choice(self._control.names())
-        answer = self._control.call(name, lambda node: node.runner_heard(record) or Done())
+        answer = self._control.call(name, lambda node: node.handle_heartbeat(record) or Done())
         if isinstance(answer, Done) and record.state is RunnerState.LEAVING:
             place = self.name, self.start_number
             self._history.left.setdefault(place, self.machine.monotonic_s())
--- a/tests/unit/test_changes_in_force.py
+++ b/tests/unit/test_changes_in_force.py
@@ -16,7 +16,7 @@
 from leverjunction.errors import Failure
 from leverjunction.proxy.balancer import Balancer
 from leverjunction.registry.cluster import CLUSTER_KEY
-from leverjunction.registry.commands import TableHeld
+from leverjunction.registry.commands import StoredTableVersion
 from leverjunction.registry.follower import RegistryFollower
 from leverjunction.registry.node import RegistryNode
 from leverjunction.wire.rpc_client import RpcClient
@@ -47,7 +47,7 @@
     table = make_table(version=version)
 
     def is_held() -> bool:
-        return node.put_table(table, str(version)) == TableHeld(version)
+        return node.put_table(table, str(version)) == StoredTableVersion(version)
 
     wait_until(is_held)
 
--- a/tests/unit/test_crashing_requests.py
+++ b/tests/unit/test_crashing_requests.py
@@ -68,7 +68,7 @@
         )
         wait_until(lambda: not isinstance(node.put_table(make_table(*routes), "{}"), Failure))
         for number in range(RUNNERS):
-            runner = MortalRunner(f"i-{number}", b"deadly", RESTART_S, node.runner_heard)
+            runner = MortalRunner(f"i-{number}", b"deadly", RESTART_S, node.handle_heartbeat)
             self.runners.append(runner)
         for number in range(1, GATEWAYS + 1):
             gateway = self.fleet.start_gateway(number)
--- a/tests/unit/test_registry_state_machine.py
+++ b/tests/unit/test_registry_state_machine.py
@@ -29,7 +29,7 @@
     GetTable,
     GetTableSource,
     GetView,
-    TableHeld,
+    StoredTableVersion,
     TableSource,
 )
 from leverjunction.routes.types import RouteTable
@@ -94,15 +94,15 @@
 def test_the_highest_table_wins_and_older_ones_are_acknowledged(registry: Registry) -> None:
     for version, held in ((5, 5), (3, 5), (5, 5), (9, 9)):
         reply = registry.apply(
-            PutTable(RouteTable(version=version), f"text of {version}"), TableHeld
+            PutTable(RouteTable(version=version), f"text of {version}"), StoredTableVersion
         )
-        assert reply == TableHeld(held)
+        assert reply == StoredTableVersion(held)
         assert registry.table().version == held
 
 
 def test_other_content_under_the_held_version_changes_nothing(registry: Registry) -> None:
-    registry.apply(PutTable(RouteTable(version=5), "first"), TableHeld)
-    registry.apply(PutTable(RouteTable(version=5), "second"), TableHeld)
+    registry.apply(PutTable(RouteTable(version=5), "first"), StoredTableVersion)
+    registry.apply(PutTable(RouteTable(version=5), "second"), StoredTableVersion)
     raw = registry.machine.query(registry.connection, encode(GetTableSource()))
     assert decode_reply(raw, TableSource) == TableSource(5, "first")
 
--- a/tests/unit/test_registry_watch_schedule.py
+++ b/tests/unit/test_registry_watch_schedule.py
@@ -13,8 +13,8 @@
     CALL_TIMEOUT_S,
     QUICK_TIMEOUT_S,
     RETRY_PAUSE_S,
-    AskingPlan,
-    behind,
+    WatchSchedule,
+    check_not_behind,
 )
 
 IN_FORCE_S = 2.0
@@ -32,10 +32,10 @@
 
 def longest_s(*kinds: FailureKind) -> float:
     """Return how long a change may stay unknown, if processes fail so as it is acknowledged."""
-    plan = AskingPlan(Random(1))
+    plan = WatchSchedule(Random(1))
     sum_s = 0.0
     for number, kind in enumerate(kinds):
-        ask = plan.next_ask(True, PROCESSES)
+        ask = plan.next_options(True, PROCESSES)
         if kind is SILENT:
             lasted_s = ask.timeout_s
         elif kind is CUT_OFF and number == 0:
@@ -43,7 +43,7 @@
             lasted_s = STALE_CONTACT_S
         else:
             lasted_s = ANSWER_S
-        sum_s += lasted_s + plan.failed(failure(kind), lasted_s)
+        sum_s += lasted_s + plan.record_failure(failure(kind), lasted_s)
     return sum_s + ANSWER_S
 
 
@@ -69,25 +69,25 @@
 
 
 def test_an_answer_is_held_again_once_one_came() -> None:
-    plan = AskingPlan(Random(1))
-    held = plan.next_ask(True, PROCESSES)
-    plan.failed(failure(SILENT), CALL_TIMEOUT_S)
-    assert plan.next_ask(True, PROCESSES).wait_ms == 0
-    plan.answered()
-    assert plan.next_ask(True, PROCESSES) == held
+    plan = WatchSchedule(Random(1))
+    held = plan.next_options(True, PROCESSES)
+    plan.record_failure(failure(SILENT), CALL_TIMEOUT_S)
+    assert plan.next_options(True, PROCESSES).wait_ms == 0
+    plan.record_success()
+    assert plan.next_options(True, PROCESSES) == held
 
 
 def test_slow_processes_get_the_long_time_after_each_was_asked() -> None:
     """Short times alone would give up each large answer of a fleet that starts at once."""
-    plan = AskingPlan(Random(1))
+    plan = WatchSchedule(Random(1))
     for _ in range(PROCESSES + 1):
-        plan.failed(failure(SILENT), QUICK_TIMEOUT_S)
-    assert plan.next_ask(True, PROCESSES).timeout_s == CALL_TIMEOUT_S
+        plan.record_failure(failure(SILENT), QUICK_TIMEOUT_S)
+    assert plan.next_options(True, PROCESSES).timeout_s == CALL_TIMEOUT_S
 
 
 @pytest.mark.parametrize("kind", list(FailureKind))
 def test_whatever_fails_at_once_is_followed_by_a_pause(kind: FailureKind) -> None:
-    assert AskingPlan(Random(1)).failed(failure(kind), 0.0) >= RETRY_PAUSE_S / 2
+    assert WatchSchedule(Random(1)).record_failure(failure(kind), 0.0) >= RETRY_PAUSE_S / 2
 
 
 def reply(table_version: int, revision: int) -> WatchReply:
@@ -114,4 +114,4 @@
     ],
 )
 def test_a_process_that_knows_less_is_not_followed(answer: WatchReply, is_behind: bool) -> None:
-    assert (behind(answer, 5, 9) is not None) == is_behind
+    assert (check_not_behind(answer, 5, 9) is not None) == is_behind
--- a/tests/unit/test_untrusted_input.py
+++ b/tests/unit/test_untrusted_input.py
@@ -64,11 +64,11 @@
         self.heard: list[RunnerRecord] = []
         self.left: list[tuple[str, int]] = []
 
-    def runner_heard(self, record: RunnerRecord) -> Failure | None:
+    def handle_heartbeat(self, record: RunnerRecord) -> Failure | None:
         self.heard.append(record)
         return None
 
-    def runner_left(self, runner_id: str, born_ms: int = 0) -> Failure | None:
+    def handle_leave(self, runner_id: str, born_ms: int = 0) -> Failure | None:
         self.left.append((runner_id, born_ms))
         return None
 
