--- a/src/leverjunction/registry/__init__.py
+++ b/src/leverjunction/registry/__init__.py
@@ -1,4 +1,9 @@
-"""Replicated registry: the route table, the runners and the machines that hold state."""
+"""Replicated registry: the route table, the runners, and the machines that hold replicas.
+
+A *runner* is a back-end process that serves requests. Control processes replicate the
+registry by consensus; gateways and stores keep a copy of it and watch for changes. A *suspect* is a
+request during which a back end crashed.
+"""
 
 from leverjunction.registry.commands import (
     DropMember,
--- a/src/leverjunction/registry/commands.py
+++ b/src/leverjunction/registry/commands.py
@@ -15,11 +15,11 @@
 
 
 class PutTable(msgspec.Struct, frozen=True, tag="put_table"):
-    """Replace the route table if its version is higher than the one held.
+    """Replace the route table if its version is higher than the stored one.
 
     Attributes:
-        table: The checked table.
-        source: The operator's own text of it, which reads return unchanged.
+        table: The validated table.
+        source: The table as the operator wrote it; reads return this text unchanged.
     """
 
     table: RouteTable
@@ -27,12 +27,12 @@
 
 
 class PutRunner(msgspec.Struct, frozen=True, tag="put_runner"):
-    """Register a start of a runner or change its record; never brings back one that is gone.
+    """Add or update the record of a runner's start; a start that is gone is not restored.
 
     Attributes:
-        record: The record.
-        shown_alive: It replaces a start that claims to be later: this one was heard for so long
-            that its words can be no late ones.
+        record: The new record.
+        shown_alive: True if the record replaces a start with a later start time, because this start
+            has sent messages for so long that they cannot be delayed ones.
     """
 
     record: RunnerRecord
@@ -40,11 +40,12 @@
 
 
 class RemoveRunner(msgspec.Struct, frozen=True, tag="remove_runner"):
-    """A runner said that it ends.
+    """Mark a runner as gone after it reported its shutdown.
 
     Attributes:
-        runner_id: Its id.
-        born_ms: Which start of it; 0 for the one that is known.
+        runner_id: Id of the runner.
+        born_ms: Start time that identifies the start, in milliseconds since the Unix epoch; 0 for
+            the start that the registry has stored.
     """
 
     runner_id: str
@@ -52,52 +53,54 @@
 
 
 class ExpireRunners(msgspec.Struct, frozen=True, tag="expire_runners"):
-    """Runners fell silent; they return with their next message.
+    """Mark runners as silent, or as gone if they were leaving.
+
+    A silent runner becomes ready again with its next message.
 
     Attributes:
-        runner_ids: Their starts (``RunnerRecord.start``).
+        runner_ids: Starts of the runners (``RunnerRecord.start``).
     """
 
     runner_ids: tuple[str, ...]
 
 
 class JoinMember(msgspec.Struct, frozen=True, tag="join_member"):
-    """A machine that may hold replicas has started."""
+    """Add or update a machine that may hold replicas, after its process has started."""
 
     record: MemberRecord
 
 
 class DropMember(msgspec.Struct, frozen=True, tag="drop_member"):
-    """A machine is gone for good."""
+    """Remove a machine that will not return."""
 
     name: str
 
 
 class PutGroup(msgspec.Struct, frozen=True, tag="put_group"):
-    """Found a group, or set where its voters shall be."""
+    """Found a consensus group, or set the target addresses of its voters."""
 
     name: str
     voters: tuple[str, ...]
 
 
 class StartRetirement(msgspec.Struct, frozen=True, tag="start_retirement"):
-    """An operator asks that a machine be emptied.
+    """Start moving all replicas off a machine at an operator's request.
 
     Attributes:
         name: Name of the machine.
-        least_members: Machines of its role that must remain.
+        least_members: Minimum number of machines with the same role that must remain.
     """
 
     name: str
     least_members: int
 
 
-class NoteRuns(msgspec.Struct, frozen=True, kw_only=True, tag="note_runs"):
-    """A process tells what became of runs of suspect requests.
+class ReportRuns(msgspec.Struct, frozen=True, kw_only=True, tag="note_runs"):
+    """Record the outcomes of runs of suspect requests, as one process saw them.
 
     Attributes:
-        ended: Runs under which their back ends ended.
-        answered: Keys of suspects that were answered whole, which clears them.
+        ended: Runs during which the back end crashed.
+        answered: Keys of suspects that got a complete response, which clears them.
     """
 
     ended: tuple[EndedRun, ...] = ()
@@ -105,11 +108,11 @@
 
 
 class ReviewSuspects(msgspec.Struct, frozen=True, kw_only=True, tag="review_suspects"):
-    """Change records of suspects, by their keys.
+    """Update suspect records whose retention time is over.
 
     Attributes:
-        on_trial: Their verdict is over.
-        forgotten: Nothing is held against them any more.
+        on_trial: Keys of refused requests that may be tried again, since their verdict has expired.
+        forgotten: Keys of suspects whose records are deleted.
     """
 
     on_trial: tuple[str, ...] = ()
@@ -129,7 +132,7 @@
 
 
 class GetTableSource(msgspec.Struct, frozen=True, tag="get_table_source"):
-    """Read the operator's own text of the route table."""
+    """Read the route table as the operator wrote it."""
 
 
 RegistryCommand = (
@@ -141,14 +144,14 @@
     | DropMember
     | PutGroup
     | StartRetirement
-    | NoteRuns
+    | ReportRuns
     | ReviewSuspects
 )
 RegistryQuery = GetView | GetTable | GetTableSource | GetSuspects
 
 
 class StoredTableVersion(msgspec.Struct, frozen=True):
-    """Reply to ``PutTable``: the version held now."""
+    """Reply to ``PutTable``: version of the table that is stored after the command."""
 
     version: int
 
@@ -158,23 +161,24 @@
 
 
 class TableSource(msgspec.Struct, frozen=True):
-    """Reply to ``GetTableSource``; version 0 when there is none."""
+    """Reply to ``GetTableSource``; version 0 if no table is stored."""
 
     version: int
     source: str
 
 
 class WatchRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask a control process for what is newer than the sender knows.
+    """Long poll of a control process for registry state newer than the sender's copy.
 
     Attributes:
-        table_version: Version of the sender's table, -1 when it has none yet.
-        revision: Revision of the sender's view, -1 when it has none yet.
-        wait_ms: The answer may be held for so long until something is newer.
+        table_version: Version of the sender's table, -1 if it has none yet.
+        revision: Revision of the sender's view, -1 if it has none yet.
+        wait_ms: Longest time for which the reply may be held until something is newer, in
+            milliseconds.
         member: Name of the sending machine if it may hold replicas, else empty.
-        fresh: Ask the group's leader, as a process must that has known nothing so far.
-        suspects_revision: Revision of the sender's list of suspects; None from a process that does
-            not know of such lists.
+        fresh: True to read from the group's leader; required for a process without any state.
+        suspects_revision: Revision of the sender's list of suspects; None from a release without
+            suspect lists.
     """
 
     table_version: int
@@ -186,18 +190,22 @@
 
 
 class WatchReply(msgspec.Struct, frozen=True, kw_only=True):
-    """What is newer; None for what the sender has already.
+    """Registry state newer than the copy of the requesting process.
+
+    ``table``, ``view`` and ``suspects`` are None if the requester has the same or newer ones.
 
     Attributes:
-        table: The table.
-        view: The rest of the registry.
+        table: The route table.
+        view: The registry without the route table.
         controls: RPC addresses of the control processes.
-        contact_age_s: Seconds since what is told here was known to be all that is committed.
+        contact_age_s: Upper bound of the state's age: seconds since it was last known to include
+            everything committed.
         suspects: The suspect requests.
-        table_version: Version of the table that the answering process holds; -1 from one that does
-            not say.
-        revision: Revision of the view that it holds; -1 from one that does not say.
-        held_s: How long the answer was held.
+        table_version: Version of the table at the replying process; -1 from a release that does
+            not send it.
+        revision: Revision of the view at the replying process; -1 from a release that does not
+            send it.
+        held_s: Time for which the reply was held, in seconds.
     """
 
     table: RouteTable | None
@@ -210,8 +218,8 @@
     held_s: float = 0.0
 
 
-class Heard(msgspec.Struct, frozen=True):
-    """A control process tells the leader whom it has heard since its last message.
+class LivenessReport(msgspec.Struct, frozen=True):
+    """Runners and machines that contacted a control process since its last report to the leader.
 
     Attributes:
         runner_ids: Starts of runners (``RunnerRecord.start``).
@@ -223,12 +231,12 @@
 
 
 class GroupMembership(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a replica sees its group: RPC addresses.
+    """Membership of a group as one of its replicas sees it.
 
     Attributes:
-        leads: True when it leads the group.
-        voters: Voters alone.
-        members: Voters and learners.
+        leads: True if the replica leads the group.
+        voters: RPC addresses of the voters.
+        members: RPC addresses of the voters and learners.
     """
 
     leads: bool
@@ -246,15 +254,15 @@
     "GetView",
     "GroupMembership",
     "GroupRecord",
-    "Heard",
     "JoinMember",
-    "NoteRuns",
+    "LivenessReport",
     "PutGroup",
     "PutRunner",
     "PutTable",
     "RegistryCommand",
     "RegistryQuery",
     "RemoveRunner",
+    "ReportRuns",
     "ReviewSuspects",
     "StartRetirement",
     "StoredTableVersion",
--- a/src/leverjunction/registry/node.py
+++ b/src/leverjunction/registry/node.py
@@ -26,8 +26,8 @@
     Done,
     GetTableSource,
     GroupMembership,
-    Heard,
     JoinMember,
+    LivenessReport,
     PutRunner,
     PutTable,
     RegistryCommand,
@@ -38,7 +38,7 @@
     WatchRequest,
 )
 from leverjunction.registry.hub import RegistryHub
-from leverjunction.registry.reconciler import Steward, StewardLimits
+from leverjunction.registry.reconciler import Reconciler, ReconcilerLimits
 from leverjunction.registry.records import (
     JOBS_GROUP,
     REGISTRY_GROUP,
@@ -48,7 +48,7 @@
     RunnerState,
     runner_key,
 )
-from leverjunction.registry.start_liveness import LateStarts
+from leverjunction.registry.start_liveness import StartLiveness
 from leverjunction.registry.state_machine import RegistryStateMachine
 from leverjunction.routes.checks import check_table
 from leverjunction.routes.types import RouteTable
@@ -60,15 +60,15 @@
 
 T = TypeVar("T")
 
-WATCHERS = 64
+MAX_WATCHERS = 64
 """Calls of gateways and stores that may be held at once; each keeps a thread of the RPC server."""
 
 COMMAND_TIMEOUT_S = 0.85
 """Below a second, after which callers turn to another control process."""
 
-HEARD_INTERVAL_S = 0.7
-STEWARD_INTERVAL_S = 0.4
-HEARD_TIMEOUT_S = 0.6
+LIVENESS_INTERVAL_S = 0.7
+RECONCILE_INTERVAL_S = 0.4
+CALL_TIMEOUT_S = 0.6
 
 
 class RegistryNode:
@@ -102,7 +102,7 @@
             clock,
             random,
             silent_since_s=started_s,
-            listener=self._applied,
+            listener=self._on_applied,
         )
         self._voters = {REGISTRY_GROUP: list(config.seed_addresses())}
         self.host = GroupHost(
@@ -114,20 +114,20 @@
             calls_at_once=CALLS_AT_ONCE,
         )
         self.hub = RegistryHub(self._replica, self.host, clock)
-        self._heard_runners: set[str] = set()
-        self._heard_members: set[str] = set()
-        self._late_starts = LateStarts()
-        self._late_starts_lock = threading.Lock()
-        self._steward: Steward | None = None
-        self._limits = StewardLimits(losses=config.losses)
+        self._live_runners: set[str] = set()
+        self._live_members: set[str] = set()
+        self._start_liveness = StartLiveness()
+        self._start_liveness_lock = threading.Lock()
+        self._reconciler: Reconciler | None = None
+        self._limits = ReconcilerLimits(losses=config.losses)
         host, _, port = self._address.rpartition(":")
         self._server = RpcServer(
-            host, int(port), self._endpoint(incarnation), RPC_THREADS + WATCHERS
+            host, int(port), self._endpoint(incarnation), RPC_THREADS + MAX_WATCHERS
         )
         self._tasks = [
-            PeriodicTask("join", HEARD_INTERVAL_S, self._join),
-            PeriodicTask("heard", HEARD_INTERVAL_S, self._tell_heard),
-            PeriodicTask("steward", STEWARD_INTERVAL_S, self._steer),
+            PeriodicTask("join", LIVENESS_INTERVAL_S, self._join),
+            PeriodicTask("heard", LIVENESS_INTERVAL_S, self._report_liveness),
+            PeriodicTask("steward", RECONCILE_INTERVAL_S, self._reconcile),
         ]
 
     def start(self) -> Failure | None:
@@ -170,10 +170,10 @@
             return stale
         # A leader that has just been elected replicates the message, whatever it knows by then.
         known = None if stale is not None else self._known_runner(record.runner_id)
-        self._heard_runners.add(record.start)
+        self._live_runners.add(record.start)
         shown_alive = False
         if known is not None and record.born_ms < known.born_ms:
-            shown_alive = self._is_alive(record)
+            shown_alive = self._is_shown_alive(record)
             if not shown_alive:
                 return None
             logger.warning(
@@ -181,7 +181,7 @@
                 record.start,
                 known.start,
             )
-        if known is not None and _says_nothing_new(record, known):
+        if known is not None and _is_unchanged(record, known):
             return None
         reply = self._propose(PutRunner(record, shown_alive), Done)
         if isinstance(reply, Failure):
@@ -194,10 +194,10 @@
         runners = self.hub.view().runners
         return next((item for item in runners if item.runner_id == runner_id), None)
 
-    def _is_alive(self, record: RunnerRecord) -> bool:
-        with self._late_starts_lock:
+    def _is_shown_alive(self, record: RunnerRecord) -> bool:
+        with self._start_liveness_lock:
             now_s = self._clock.monotonic_s()
-            return self._late_starts.is_alive(record.start, record.sequence, now_s)
+            return self._start_liveness.is_alive(record.start, record.sequence, now_s)
 
     def handle_leave(self, runner_id: str, born_ms: int = 0) -> Failure | None:
         """Take a runner's last word; ``born_ms`` is 0 when it does not name its start."""
@@ -225,7 +225,7 @@
         group = view.group(JOBS_GROUP)
         if group is None or member.address in group.voters:
             return False
-        return self._has_left(member.address, group.voters)
+        return self._holds_no_replica(member.address, group.voters)
 
     def fault(self) -> Failure | None:
         """Return why this process serves nothing any more, None while it does."""
@@ -237,14 +237,14 @@
 
     def silence_s(self, name: str) -> float | None:
         """Return since when the leader has not heard a machine or runner; None elsewhere."""
-        steward = self._steward
-        return None if steward is None else steward.silence_s(name, self._clock.monotonic_s())
+        reconciler = self._reconciler
+        return None if reconciler is None else reconciler.silence_s(name, self._clock.monotonic_s())
 
-    def _has_left(self, address: str, voters: tuple[str, ...]) -> bool:
+    def _holds_no_replica(self, address: str, voters: tuple[str, ...]) -> bool:
         """Return whether the group's leader says that a machine holds no replica any more."""
         for voter in voters:
             status = self._rpc.call(
-                voter, MessageKind.STATUS, Done(), GroupMembership, timeout_s=HEARD_TIMEOUT_S
+                voter, MessageKind.STATUS, Done(), GroupMembership, timeout_s=CALL_TIMEOUT_S
             )
             if isinstance(status, Failure) or not status.leads:
                 continue
@@ -254,7 +254,7 @@
     def _propose(self, command: RegistryCommand, reply_type: type[T]) -> T | Failure:
         return self.host.propose(REGISTRY_GROUP, command, reply_type, COMMAND_TIMEOUT_S)
 
-    def _applied(self, _replaced: bool) -> None:
+    def _on_applied(self, _replaced: bool) -> None:
         self.hub.changed()
 
     def _endpoint(self, incarnation: int) -> RpcEndpoint:
@@ -266,7 +266,7 @@
         for kind in (MessageKind.FORWARDED_PROPOSE, MessageKind.FORWARDED_QUERY):
             endpoint.register(kind, self.host.serve_forwarded)
         endpoint.register(MessageKind.REGISTRY_WATCH, self._on_watch)
-        endpoint.register(MessageKind.REGISTRY_HEARD, self._on_heard)
+        endpoint.register(MessageKind.REGISTRY_HEARD, self._on_liveness)
         return endpoint
 
     def _on_watch(self, envelope: Envelope, peer: str) -> bytes:
@@ -274,14 +274,14 @@
         if isinstance(request, Failure):
             return encode_reply(request)
         if request.member:
-            self._heard_members.add(request.member)
+            self._live_members.add(request.member)
         return encode_reply(self.hub.watch(request))
 
-    def _on_heard(self, envelope: Envelope, peer: str) -> bytes:
-        word = decode(envelope.body, Heard, peer)
-        if isinstance(word, Failure):
-            return encode_reply(word)
-        reply = self._heard_here(word)
+    def _on_liveness(self, envelope: Envelope, peer: str) -> bytes:
+        report = decode(envelope.body, LivenessReport, peer)
+        if isinstance(report, Failure):
+            return encode_reply(report)
+        reply = self._record_liveness(report)
         return encode_reply(reply) if isinstance(reply, Failure) else reply
 
     def _join(self) -> None:
@@ -295,28 +295,28 @@
         if record not in self.hub.view().members:
             self._propose(JoinMember(record), Done)
 
-    def _tell_heard(self) -> None:
+    def _report_liveness(self) -> None:
         """Tell the leader whom this process has heard."""
-        runners, self._heard_runners = self._heard_runners, set()
-        members, self._heard_members = self._heard_members, set()
-        word = Heard(tuple(runners), (*members, self._config.name))
-        body = encode(word)
+        runners, self._live_runners = self._live_runners, set()
+        members, self._live_members = self._live_members, set()
+        report = LivenessReport(tuple(runners), (*members, self._config.name))
+        body = encode(report)
         self.host.at_leader(
             REGISTRY_GROUP,
             MessageKind.REGISTRY_HEARD,
             body,
-            lambda: self._heard_here(word),
-            HEARD_TIMEOUT_S,
+            lambda: self._record_liveness(report),
+            CALL_TIMEOUT_S,
         )
 
-    def _heard_here(self, word: Heard) -> bytes | Failure:
-        steward = self._steward
-        if steward is None:
-            return _does_not_lead(self._replica.status().leader_address)
-        steward.heard(word, self._clock.monotonic_s())
+    def _record_liveness(self, report: LivenessReport) -> bytes | Failure:
+        reconciler = self._reconciler
+        if reconciler is None:
+            return _not_leader(self._replica.status().leader_address)
+        reconciler.record_contact(report, self._clock.monotonic_s())
         return encode_reply(Done())
 
-    def _steer(self) -> None:
+    def _reconcile(self) -> None:
         """Do what the leader does on its own."""
         status = self._replica.status()
         if status.voters:
@@ -325,23 +325,23 @@
             )
         now_s = self._clock.monotonic_s()
         if status.role != "leader":
-            self._steward = None
+            self._reconciler = None
             return
-        if self._steward is None:
-            self._steward = Steward(self._limits, now_s)
-        steward = self._steward
+        if self._reconciler is None:
+            self._reconciler = Reconciler(self._limits, now_s)
+        reconciler = self._reconciler
         view = self.hub.view()
         places = tuple(sorted({*status.voters, *status.learners}))
-        for command in steward.step(view, places, now_s, self.hub.suspects()):
+        for command in reconciler.step(view, places, now_s, self.hub.suspects()):
             logger.info("{}", command)
             self._propose(command, Done)
-        wanted = steward.control_voters(view, places, now_s)
+        wanted = reconciler.control_voters(view, places, now_s)
         if wanted != places:
             logger.info("control processes shall be {}, were {}", wanted, places)
             self._replica.change_members(list(wanted), COMMAND_TIMEOUT_S)
 
 
-def _says_nothing_new(record: RunnerRecord, known: RunnerRecord) -> bool:
+def _is_unchanged(record: RunnerRecord, known: RunnerRecord) -> bool:
     if record.born_ms != known.born_ms:
         return False
     if known.state is RunnerState.LEAVING and record.state is not RunnerState.LEAVING:
@@ -350,7 +350,7 @@
     return runner_key(record) == runner_key(known)
 
 
-def _does_not_lead(leader: str) -> Failure:
+def _not_leader(leader: str) -> Failure:
     return Failure(
         kind=FailureKind.NOT_LEADER,
         reason="this process does not lead the registry",
--- a/src/leverjunction/registry/records.py
+++ b/src/leverjunction/registry/records.py
@@ -1,4 +1,4 @@
-"""Records of the registry, as they are replicated and as gateways see them."""
+"""Records of the registry, as they are replicated and as they are sent to gateways and stores."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 JOBS_GROUP = "jobs-0"
-"""Name of the group that keeps batch jobs."""
+"""Name of the consensus group that stores batch jobs."""
 
 
 class RunnerState(StrEnum):
-    """What a runner is to the gateways."""
+    """Availability of a runner for the gateways."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -24,26 +24,26 @@
 
 
 class MemberRole(StrEnum):
-    """What a machine that holds state does."""
+    """Kind of replica that a machine may hold."""
 
     CONTROL = "control"
     STORE = "store"
 
 
 class RunnerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of a runner; a later one may have the same id.
+    """One start of a runner, that is, one run of its process; a later start may have the same id.
 
     Attributes:
-        runner_id: Id of the runner; the only name that it knows itself by.
-        service: Service that it belongs to.
-        address: ``host:port`` of its HTTP port; may have been another runner's before.
-        zone: Zone it runs in.
-        slots: Requests that it works on at a time.
-        state: Whether it gets new work.
-        sequence: Highest number of its own messages that was taken into account; each start
-            counts anew.
-        born_ms: When this start began, by its own clock, in milliseconds since the Unix epoch; 0
-            when it does not say.
+        runner_id: Id of the runner; the only name that the runner itself knows.
+        service: Service that the runner belongs to.
+        address: ``host:port`` of the runner's HTTP port; another runner may have used it before.
+        zone: Zone that the runner is in.
+        slots: Number of requests that the runner processes at the same time.
+        state: Availability of the runner.
+        sequence: Highest sequence number among the runner's messages that were applied; numbers
+            begin anew with each start.
+        born_ms: Start time by the runner's own clock, in milliseconds since the Unix epoch; 0 if
+            the runner does not send it.
     """
 
     runner_id: str
@@ -57,14 +57,14 @@
 
     @property
     def start(self) -> str:
-        """What tells this start from all others: key of all that is known of it elsewhere."""
+        """Unique key of this start: the id, with the start time if it is known."""
         return f"{self.runner_id}@{self.born_ms}" if self.born_ms else self.runner_id
 
 
 def runner_key(record: RunnerRecord) -> tuple[str, str, str, int, RunnerState, int]:
-    """Return what must be replicated when it changes."""
-    place = (record.service, record.address, record.zone)
-    return (*place, record.slots, record.state, record.born_ms)
+    """Return the fields whose change must be replicated; all but the id and sequence number."""
+    location = (record.service, record.address, record.zone)
+    return (*location, record.slots, record.state, record.born_ms)
 
 
 class MemberRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -72,10 +72,10 @@
 
     Attributes:
         name: Unique name of the machine.
-        role: What it holds.
+        role: Kind of replica that the machine may hold.
         address: RPC address, ``host:port``.
-        zone: Zone it runs in.
-        retiring: True once an operator asked that it be emptied.
+        zone: Zone that the machine is in.
+        retiring: True after an operator asked to move all replicas off the machine.
     """
 
     name: str
@@ -86,12 +86,12 @@
 
 
 class GroupRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a group's voters shall be.
+    """Target placement of a consensus group's voters.
 
     Attributes:
         name: Name of the group.
-        founders: RPC addresses of the members that found it; never changes.
-        voters: RPC addresses that shall hold its voters.
+        founders: RPC addresses of the members that form the group at first; never changes.
+        voters: RPC addresses of the machines that are to hold the voters.
     """
 
     name: str
@@ -104,9 +104,9 @@
 
     Attributes:
         revision: Log index of the last change.
-        runners: All runners that are not gone.
+        runners: All runners except those that are gone.
         members: Machines that may hold replicas.
-        groups: Groups besides the registry.
+        groups: Consensus groups other than the registry group.
     """
 
     revision: int = 0
@@ -115,11 +115,11 @@
     groups: tuple[GroupRecord, ...] = ()
 
     def group(self, name: str) -> GroupRecord | None:
-        """Return a group by its name."""
+        """Return the group with a name, None if it is not founded."""
         return next((group for group in self.groups if group.name == name), None)
 
     def voters(self, name: str) -> tuple[str, ...]:
-        """Return where a group's voters shall be; nowhere before it is founded."""
+        """Return the target addresses of a group's voters; empty before the group is founded."""
         group = self.group(name)
         return group.voters if group is not None else ()
 
--- a/src/leverjunction/registry/run_reporter.py
+++ b/src/leverjunction/registry/run_reporter.py
@@ -14,7 +14,7 @@
 from leverjunction.clock import Clock
 from leverjunction.errors import Failure
 from leverjunction.quarantine.records import EndedRun
-from leverjunction.registry.commands import Done, NoteRuns
+from leverjunction.registry.commands import Done, ReportRuns
 from leverjunction.registry.records import REGISTRY_GROUP
 from leverjunction.wire.envelope import MessageKind
 from leverjunction.wire.rpc_client import RpcClient
@@ -90,13 +90,13 @@
                     return
                 # Woken by more of the same, not by the time alone: only a stop ends it early.
                 self._changed.wait_for(lambda: self._stopped, GATHER_S)
-                command = NoteRuns(
+                command = ReportRuns(
                     ended=tuple(self._ended.values()), answered=tuple(sorted(self._answered))
                 )
             if not self._tell(command):
                 self._give_up_old()
 
-    def _tell(self, command: NoteRuns) -> bool:
+    def _tell(self, command: ReportRuns) -> bool:
         """Have a control process take a command; what it holds then need not be told again."""
         reason = "no control process is known"
         for hub in self._hubs():
@@ -117,7 +117,7 @@
         logger.warning("ended back ends are not told of yet: {}", reason)
         return False
 
-    def _forget(self, command: NoteRuns) -> None:
+    def _forget(self, command: ReportRuns) -> None:
         with self._changed:
             for run in command.ended:
                 self._ended.pop((run.key, run.start), None)
--- a/src/leverjunction/registry/start_liveness.py
+++ b/src/leverjunction/registry/start_liveness.py
@@ -30,7 +30,7 @@
         self.sequence = sequence
 
 
-class LateStarts:
+class StartLiveness:
     """Not safe between threads; the time is passed in."""
 
     __slots__ = ("_starts",)
@@ -56,4 +56,4 @@
         self._starts.pop(start, None)
 
 
-__all__ = ["ALIVE_S", "LateStarts"]
+__all__ = ["ALIVE_S", "StartLiveness"]
--- a/src/leverjunction/registry/state_machine.py
+++ b/src/leverjunction/registry/state_machine.py
@@ -1,13 +1,15 @@
 """Replicated state machine of the registry group.
 
-State is kept in SQLite tables, written inside the group's own transaction. The rules:
-
-* A route table replaces another only by a higher version; an equal or lower one changes nothing
-  and is acknowledged.
-* A start of a runner that is gone never returns. Of two starts under one id the later one counts;
-  within one, a message with a lower number than one taken before changes nothing.
-* A group's founders are set once.
-* Of a suspect request each ended start of a back end counts once; a whole answer clears it.
+State is kept in SQLite tables, which are written in the consensus group's own transaction. A
+*start* is one run of a runner's process, identified by the runner's id and the start time. Rules:
+
+* A route table is replaced only by one with a higher version. An equal or lower version changes
+  nothing and is acknowledged.
+* A start that is gone never returns. Of two starts with the same id the later one is kept. Within
+  one start, a message with a lower sequence number than an applied one changes nothing.
+* The founders of a group are set once.
+* Each crashed start of a back end counts once against a suspect request; a complete response clears
+  the request.
 """
 
 from __future__ import annotations
@@ -83,7 +85,7 @@
         )
 
     def query(self, connection: sqlite3.Connection, query: bytes) -> bytes:
-        """Answer a read and return its encoded reply."""
+        """Run a read-only query and return its encoded reply."""
         try:
             decoded = _QUERIES.decode(query)
         except msgspec.MsgspecError as error:
@@ -100,9 +102,9 @@
 
 @_handles(commands.PutTable)
 def _put_table(tables: RegistryTables, change: commands.PutTable) -> commands.StoredTableVersion:
-    held = tables.table_version()
-    if change.table.version <= held:
-        return commands.StoredTableVersion(held)
+    stored = tables.table_version()
+    if change.table.version <= stored:
+        return commands.StoredTableVersion(stored)
     tables.set_table(change)
     return commands.StoredTableVersion(change.table.version)
 
@@ -118,11 +120,11 @@
 
 def _supersedes(record: RunnerRecord, known: RunnerRecord, shown_alive: bool) -> bool:
     if record.born_ms != known.born_ms:
-        # Of two starts the later one counts: its predecessor has ended, whatever its last word was.
+        # The later start wins: the earlier process has ended, whatever state it last reported.
         return record.born_ms > known.born_ms or shown_alive
     if known.state is RunnerState.GONE:
         return False
-    # One that leaves does not come back in the same start, however late another word comes.
+    # A leaving runner stays leaving until it starts again, even if a delayed message says READY.
     if known.state is RunnerState.LEAVING and record.state is not RunnerState.LEAVING:
         return False
     return record.sequence >= known.sequence or record.state is RunnerState.LEAVING
@@ -132,7 +134,7 @@
 def _remove_runner(tables: RegistryTables, change: commands.RemoveRunner) -> commands.Done:
     known = tables.record(RUNNER, change.runner_id, RunnerRecord)
     if known is None or known.born_ms < change.born_ms:
-        # Remembered all the same: its first message may still be on its way.
+        # The id is stored anyway, because the runner's first message may still be in transit.
         known = RunnerRecord(
             runner_id=change.runner_id,
             service="",
@@ -142,11 +144,11 @@
             born_ms=change.born_ms,
         )
     if change.born_ms and change.born_ms != known.born_ms:
-        # The farewell of an earlier start.
+        # The leave message belongs to an earlier start.
         return commands.Done()
     gone = msgspec.structs.replace(known, state=RunnerState.GONE)
     tables.put(RUNNER, change.runner_id, gone)
-    tables.forget_old_runners()
+    tables.prune_gone_runners()
     return commands.Done()
 
 
@@ -217,12 +219,12 @@
     return commands.Done()
 
 
-@_handles(commands.NoteRuns)
-def _note_runs(tables: RegistryTables, change: commands.NoteRuns) -> commands.Done:
+@_handles(commands.ReportRuns)
+def _report_runs(tables: RegistryTables, change: commands.ReportRuns) -> commands.Done:
     for run in change.ended:
         known = tables.record(SUSPECT, run.key, SuspectRecord)
         tables.put(SUSPECT, run.key, with_ended_run(known, run))
-        tables.limit_suspects(run.route)
+        tables.evict_excess_suspect(run.route)
     for key in change.answered:
         if tables.record(SUSPECT, key, SuspectRecord) is not None:
             tables.delete(SUSPECT, key)
--- a/src/leverjunction/registry/tables.py
+++ b/src/leverjunction/registry/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the registry's state machine, in SQLite."""
+"""SQLite tables of the registry's state machine."""
 
 from __future__ import annotations
 
@@ -20,17 +20,19 @@
 from leverjunction.routes.types import RouteTable
 from leverjunction.wire.codec import encode
 
-GONE_KEPT = 2_000
-"""Runners that are gone whose ids are remembered, so that a late message does not revive them."""
+MAX_GONE_RUNNERS = 2_000
+"""Number of gone runners whose ids are kept, so that a delayed message does not restore them."""
 
-SUSPECTS_KEPT = 1_000
-"""Suspect requests that are remembered, some 200 bytes each."""
+MAX_SUSPECTS = 1_000
+"""Number of suspect requests that are kept, of about 200 bytes each."""
 
-SUSPECTS_OF_ROUTE = 250
-"""Of one route: a caller with very many bad requests pushes out no other route's suspects."""
+MAX_SUSPECTS_PER_ROUTE = 250
+"""Number of suspects kept for one route, so that a caller with very many crashing requests does not
+evict the suspects of other routes.
+"""
 
-SUSPECTS_TOLD = 200
-"""Of them that gateways are told: 40 KB, to hundreds of gateways after a crash."""
+MAX_SUSPECTS_SENT = 200
+"""Number of suspects sent to gateways: 40 KB, to hundreds of gateways after each crash."""
 
 TABLES = """
 CREATE TABLE IF NOT EXISTS sm_registry_meta (
@@ -55,7 +57,12 @@
 
 
 class RegistryTables:
-    """The tables, at the log index of the command under way."""
+    """Access to the tables for one command or query.
+
+    Args:
+        connection: Connection of the group's database.
+        index: Log index of the command, stored as the revision of what it changes.
+    """
 
     __slots__ = ("_connection", "_index")
 
@@ -64,17 +71,17 @@
         self._index = index
 
     def route_table(self) -> RouteTable:
-        """Return the route table in force."""
+        """Return the stored route table; one without routes and version if there is none."""
         row = self._connection.execute("SELECT content FROM sm_registry_table").fetchone()
         return msgspec.json.decode(row[0], type=RouteTable) if row else RouteTable()
 
     def source(self) -> commands.TableSource:
-        """Return the operator's text of the route table."""
+        """Return the route table as the operator wrote it."""
         row = self._connection.execute("SELECT version, source FROM sm_registry_table").fetchone()
         return commands.TableSource(*row) if row else commands.TableSource(0, "")
 
     def table_version(self) -> int:
-        """Return the version of the route table, 0 for none."""
+        """Return the version of the stored route table, 0 if there is none."""
         row = self._connection.execute("SELECT version FROM sm_registry_table").fetchone()
         return int(row[0]) if row else 0
 
@@ -96,26 +103,29 @@
         )
 
     def suspects(self) -> SuspectList:
-        """Return those that gateways are told: the most serious ones."""
+        """Return the most serious suspects, at most as many as are sent to gateways."""
         records = sorted(self.records(SUSPECT, SuspectRecord), key=eviction_weight, reverse=True)
         return SuspectList(
-            revision=self._revision(_SUSPECTS_REVISION), suspects=tuple(records[:SUSPECTS_TOLD])
+            revision=self._revision(_SUSPECTS_REVISION), suspects=tuple(records[:MAX_SUSPECTS_SENT])
         )
 
-    def limit_suspects(self, route: str) -> None:
-        """Give up what is least serious, and oldest, of a route that has very many suspects."""
+    def evict_excess_suspect(self, route: str) -> None:
+        """Delete the least serious suspect if the route or the whole table has too many.
+
+        Among equally serious suspects the one that was changed longest ago is deleted.
+        """
         rows = self._connection.execute(
             "SELECT content FROM sm_registry_record WHERE kind = ? ORDER BY changed", (SUSPECT,)
         )
         records = [msgspec.json.decode(row[0], type=SuspectRecord) for row in rows]
-        own = [record for record in records if record.route == route]
-        if len(own) > SUSPECTS_OF_ROUTE:
-            self.delete(SUSPECT, min(own, key=eviction_weight).key)
-        elif len(records) > SUSPECTS_KEPT:
+        route_suspects = [record for record in records if record.route == route]
+        if len(route_suspects) > MAX_SUSPECTS_PER_ROUTE:
+            self.delete(SUSPECT, min(route_suspects, key=eviction_weight).key)
+        elif len(records) > MAX_SUSPECTS:
             self.delete(SUSPECT, min(records, key=eviction_weight).key)
 
     def records(self, kind: str, record_type: type[R]) -> list[R]:
-        """Return the records of a kind, by their names."""
+        """Return the records of a kind, ordered by name."""
         rows = self._connection.execute(
             "SELECT content FROM sm_registry_record WHERE kind = ? ORDER BY name", (kind,)
         )
@@ -129,7 +139,7 @@
         return msgspec.json.decode(row[0], type=record_type) if row else None
 
     def put(self, kind: str, name: str, record: R) -> None:
-        """Write a record; one that says the same changes nothing."""
+        """Write a record; an identical record leaves the revision unchanged."""
         row = self._connection.execute(
             "SELECT content FROM sm_registry_record WHERE kind = ? AND name = ?", (kind, name)
         ).fetchone()
@@ -140,17 +150,17 @@
             "INSERT OR REPLACE INTO sm_registry_record VALUES (?, ?, ?, ?)",
             (kind, name, content, self._index),
         )
-        self._touch(kind)
+        self._set_revision(kind)
 
     def delete(self, kind: str, name: str) -> None:
         """Remove a record."""
         self._connection.execute(
             "DELETE FROM sm_registry_record WHERE kind = ? AND name = ?", (kind, name)
         )
-        self._touch(kind)
+        self._set_revision(kind)
 
-    def forget_old_runners(self) -> None:
-        """Forget the ids of those that are gone longest."""
+    def prune_gone_runners(self) -> None:
+        """Delete the longest-gone runners beyond ``MAX_GONE_RUNNERS``."""
         rows = self._connection.execute(
             "SELECT name, content FROM sm_registry_record WHERE kind = ? ORDER BY changed DESC",
             (RUNNER,),
@@ -160,7 +170,7 @@
             for name, content in rows
             if msgspec.json.decode(content, type=RunnerRecord).state is RunnerState.GONE
         ]
-        for name in gone[GONE_KEPT:]:
+        for name in gone[MAX_GONE_RUNNERS:]:
             self.delete(RUNNER, name)
 
     def _revision(self, key: str) -> int:
@@ -169,8 +179,9 @@
         ).fetchone()
         return int(row[0]) if row else 0
 
-    def _touch(self, kind: str) -> None:
-        # Suspects change in each crash: the long list of back ends is not sent again for them.
+    def _set_revision(self, kind: str) -> None:
+        # Suspects have a revision of their own: each crash changes them, and the long list of back
+        # ends must not be sent again for that.
         key = _SUSPECTS_REVISION if kind == SUSPECT else _REVISION
         self._connection.execute(
             "INSERT OR REPLACE INTO sm_registry_meta VALUES (?, ?)", (key, self._index)
--- a/tests/unit/test_registry_message_order.py
+++ b/tests/unit/test_registry_message_order.py
@@ -1,4 +1,7 @@
-"""Words of a back end's starts, lost, doubled and in any order: the registry ends at the latest."""
+"""Property tests: the registry ends with the latest start of a runner.
+
+Its messages may be lost, duplicated or delivered in any order.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 
 EXAMPLES = settings(max_examples=400, deadline=None, database=None)
 STARTS = 4
-WORDS_OF_START = 4
+MESSAGES_PER_START = 4
 
 
-def word(born: int, number: int, *, leaving: bool = False) -> PutRunner:
+def message(born: int, number: int, *, leaving: bool = False) -> PutRunner:
     return PutRunner(
         RunnerRecord(
             runner_id="i-1",
@@ -28,40 +31,44 @@
     )
 
 
-ALL = [word(born, number) for born in range(1, STARTS + 1) for number in range(1, WORDS_OF_START)]
-FAREWELLS = [
+HEARTBEATS = [
+    message(born, number)
+    for born in range(1, STARTS + 1)
+    for number in range(1, MESSAGES_PER_START)
+]
+LEAVES = [
     command
     for born in range(1, STARTS)
-    for command in (word(born, WORDS_OF_START, leaving=True), RemoveRunner("i-1", born))
+    for command in (message(born, MESSAGES_PER_START, leaving=True), RemoveRunner("i-1", born))
 ]
 EXPIRIES = [ExpireRunners((f"i-1@{born}",)) for born in range(1, STARTS)]
-LAST = word(STARTS, WORDS_OF_START)
+LAST = message(STARTS, MESSAGES_PER_START)
 
 
 @EXAMPLES
-@given(st.lists(st.sampled_from([*ALL, *FAREWELLS, *EXPIRIES]), max_size=40))
+@given(st.lists(st.sampled_from([*HEARTBEATS, *LEAVES, *EXPIRIES]), max_size=40))
 def test_the_latest_start_is_known_whatever_came_before(
-    words: list[PutRunner | RemoveRunner | ExpireRunners],
+    commands: list[PutRunner | RemoveRunner | ExpireRunners],
 ) -> None:
     registry = Registry()
-    for command in words:
+    for command in commands:
         registry.apply(command)
     registry.apply(LAST)
     [known] = registry.view().runners
     assert (known.address, known.state) == (f"a:{STARTS}", RunnerState.READY)
-    # Nothing of earlier starts that comes after it changes anything.
-    for command in [*FAREWELLS, *EXPIRIES, *ALL[: -WORDS_OF_START + 1]]:
+    # Messages of earlier starts that arrive after it change nothing.
+    for command in [*LEAVES, *EXPIRIES, *HEARTBEATS[: -MESSAGES_PER_START + 1]]:
         registry.apply(command)
     assert registry.view().runners == (known,)
 
 
 @EXAMPLES
-@given(st.lists(st.sampled_from([*ALL, *FAREWELLS, *EXPIRIES]), max_size=30))
-def test_doubled_words_change_nothing(
-    words: list[PutRunner | RemoveRunner | ExpireRunners],
+@given(st.lists(st.sampled_from([*HEARTBEATS, *LEAVES, *EXPIRIES]), max_size=30))
+def test_duplicated_messages_change_nothing(
+    commands: list[PutRunner | RemoveRunner | ExpireRunners],
 ) -> None:
     registry = Registry()
-    for command in words:
+    for command in commands:
         registry.apply(command)
         once = registry.view()
         registry.apply(command)
--- a/tests/unit/test_registry_reconciler.py
+++ b/tests/unit/test_registry_reconciler.py
@@ -1,4 +1,4 @@
-"""Who is expired, where groups are founded, and where their voters move."""
+"""Tests of the leader's decisions: expiry, founding of groups, and placement of voters."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     PutGroup,
     RunnerRecord,
 )
-from leverjunction.registry.commands import DropMember, Heard, RegistryCommand
-from leverjunction.registry.reconciler import Steward, StewardLimits
+from leverjunction.registry.commands import DropMember, LivenessReport, RegistryCommand
+from leverjunction.registry.reconciler import Reconciler, ReconcilerLimits
 from leverjunction.registry.records import JOBS_GROUP
 
-LIMITS = StewardLimits(losses=1)
+LIMITS = ReconcilerLimits(losses=1)
 
 
 def member(name: str, role: MemberRole = MemberRole.STORE, zone: str = "z1") -> MemberRecord:
@@ -35,48 +35,48 @@
 
 
 def steps(
-    steward: Steward, seen: FleetView, until_s: float, heard: tuple[str, ...] = ()
+    reconciler: Reconciler, seen: FleetView, until_s: float, heard: tuple[str, ...] = ()
 ) -> list[RegistryCommand]:
-    """Step every half second; return all that was due, each once."""
+    """Step every 0.5 s of test time; return each distinct command once."""
     due: list[RegistryCommand] = []
     now_s = 0.0
     while now_s <= until_s:
-        steward.heard(Heard((), heard), now_s)
-        due += [item for item in steward.step(seen, (), now_s) if item not in due]
+        reconciler.record_contact(LivenessReport((), heard), now_s)
+        due += [item for item in reconciler.step(seen, (), now_s) if item not in due]
         now_s += 0.5
     return due
 
 
 def test_the_group_is_founded_once_enough_stores_have_settled() -> None:
-    steward = Steward(LIMITS, 0.0)
+    reconciler = Reconciler(LIMITS, 0.0)
     stores = [member("a", zone="z1"), member("b", zone="z1"), member("c", zone="z2")]
-    assert steps(steward, view(*stores[:2]), 0.5) == []
-    assert steps(Steward(LIMITS, 0.0), view(*stores), 2.0) == [put("a", "b", "c")]
+    assert steps(reconciler, view(*stores[:2]), 0.5) == []
+    assert steps(Reconciler(LIMITS, 0.0), view(*stores), 2.0) == [put("a", "b", "c")]
 
 
 def test_founders_are_spread_over_zones() -> None:
     stores = [member(name, zone=zone) for name, zone in zip("abcd", "1123", strict=True)]
-    assert steps(Steward(LIMITS, 0.0), view(*stores), 2.0) == [put("a", "c", "d")]
+    assert steps(Reconciler(LIMITS, 0.0), view(*stores), 2.0) == [put("a", "c", "d")]
 
 
-def test_with_too_few_stores_it_is_founded_in_the_end() -> None:
+def test_with_too_few_stores_the_group_is_founded_after_the_longest_wait() -> None:
     stores = [member("a"), member("b")]
-    assert steps(Steward(LIMITS, 0.0), view(*stores), 4.0) == []
-    assert steps(Steward(LIMITS, 0.0), view(*stores), 6.0) == [put("a", "b")]
+    assert steps(Reconciler(LIMITS, 0.0), view(*stores), 4.0) == []
+    assert steps(Reconciler(LIMITS, 0.0), view(*stores), 6.0) == [put("a", "b")]
 
 
 def test_a_silent_voter_is_replaced_by_a_spare() -> None:
     stores = [member(name) for name in "abcd"]
     seen = view(*stores, voters=("a", "b", "c"))
-    due = steps(Steward(LIMITS, 0.0), seen, 2.0, heard=("a", "b", "d"))
+    due = steps(Reconciler(LIMITS, 0.0), seen, 2.0, heard=("a", "b", "d"))
     assert due == []
-    due = steps(Steward(LIMITS, 0.0), seen, 3.0, heard=("a", "b", "d"))
+    due = steps(Reconciler(LIMITS, 0.0), seen, 3.0, heard=("a", "b", "d"))
     assert due == [put("a", "b", "d")]
 
 
 def test_without_a_spare_a_silent_voter_stays() -> None:
     stores = [member(name) for name in "abc"]
-    due = steps(Steward(LIMITS, 0.0), view(*stores, voters=("a", "b", "c")), 9.0, ("a", "b"))
+    due = steps(Reconciler(LIMITS, 0.0), view(*stores, voters=("a", "b", "c")), 9.0, ("a", "b"))
     assert due == []
 
 
@@ -85,33 +85,36 @@
         name="a", role=MemberRole.STORE, address="a:1", zone="z1", retiring=True
     )
     stores = [retiring, member("b"), member("c"), member("d")]
-    due = steps(Steward(LIMITS, 0.0), view(*stores, voters=("a", "b", "c")), 0.5, tuple("abcd"))
+    due = steps(Reconciler(LIMITS, 0.0), view(*stores, voters=("a", "b", "c")), 0.5, tuple("abcd"))
     assert due == [put("b", "c", "d")]
 
 
-def test_a_new_leader_gives_runners_the_whole_time() -> None:
+def test_a_new_leader_waits_the_full_timeout_before_it_expires_a_runner() -> None:
     runner = RunnerRecord(runner_id="i-1", service="s", address="a:1", zone="z", slots=1)
     seen = FleetView(revision=1, runners=(runner,))
-    steward = Steward(LIMITS, 100.0)
-    assert steward.step(seen, (), 100.0) == []
-    assert steward.step(seen, (), 105.0) == []
-    assert steward.step(seen, (), 106.0) == [ExpireRunners(("i-1",))]
+    reconciler = Reconciler(LIMITS, 100.0)
+    assert reconciler.step(seen, (), 100.0) == []
+    assert reconciler.step(seen, (), 105.0) == []
+    assert reconciler.step(seen, (), 106.0) == [ExpireRunners(("i-1",))]
 
 
 def test_a_machine_that_is_silent_for_long_and_holds_nothing_is_dropped() -> None:
     stores = [member(name) for name in "abcd"]
     seen = view(*stores, voters=("a", "b", "c"))
-    due = steps(Steward(LIMITS, 0.0), seen, 12.0, heard=("a", "b", "c"))
+    due = steps(Reconciler(LIMITS, 0.0), seen, 12.0, heard=("a", "b", "c"))
     assert due == [DropMember("d")]
 
 
-def test_a_machine_that_joins_late_is_given_the_whole_time() -> None:
-    """A new machine was taken for silent since the leader's start, and dropped as it joined."""
+def test_the_silence_of_a_new_machine_counts_from_its_join() -> None:
+    """Guards against removing a machine as it joins.
+
+    The failure: its silence was counted from the leader's start instead of from its join.
+    """
     stores = [member(name) for name in "abcd"]
-    steward = Steward(LIMITS, 0.0)
-    steps(steward, view(*stores[:3], voters=("a", "b", "c")), 30.0, heard=("a", "b", "c"))
-    steward.heard(Heard((), ("a", "b", "c")), 30.0)
-    assert steward.step(view(*stores, voters=("a", "b", "c")), (), 30.5) == []
+    reconciler = Reconciler(LIMITS, 0.0)
+    steps(reconciler, view(*stores[:3], voters=("a", "b", "c")), 30.0, heard=("a", "b", "c"))
+    reconciler.record_contact(LivenessReport((), ("a", "b", "c")), 30.0)
+    assert reconciler.step(view(*stores, voters=("a", "b", "c")), (), 30.5) == []
 
 
 def controls(*names: str) -> FleetView:
@@ -123,19 +126,19 @@
     [
         ("abc", "abcde", 0.5, "abcde"),
         ("abcde", "abcde", 20.0, "abcde"),
-        # A new machine takes the place of a silent one.
+        # A new machine replaces a silent one.
         ("abcde", "abcdf", 3.0, "abcdf"),
-        # A silent one without successor is dropped later, as long as enough are left.
+        # Without a replacement a silent machine is removed later, if enough voters remain.
         ("abcde", "abcd", 3.0, "abcde"),
         ("abcde", "abcd", 11.0, "abcd"),
         ("abc", "ab", 30.0, "abc"),
     ],
 )
 def test_control_voters(current: str, heard: str, at_s: float, wanted: str) -> None:
-    steward = Steward(LIMITS, 0.0)
+    reconciler = Reconciler(LIMITS, 0.0)
     known = controls(*sorted(set(current) | set(heard)))
-    steward.step(known, (), 0.0)
-    steward.heard(Heard((), tuple(heard)), at_s)
+    reconciler.step(known, (), 0.0)
+    reconciler.record_contact(LivenessReport((), tuple(heard)), at_s)
     before = tuple(f"{name}:1" for name in current)
-    after = steward.control_voters(known, before, at_s)
+    after = reconciler.control_voters(known, before, at_s)
     assert after == tuple(f"{name}:1" for name in wanted)
--- a/tests/unit/test_registry_starts.py
+++ b/tests/unit/test_registry_starts.py
@@ -27,7 +27,7 @@
 from leverjunction.registry.hub import RegistryHub
 from leverjunction.registry.node import RegistryNode
 from leverjunction.registry.records import RunnerRecord, RunnerState
-from leverjunction.registry.start_liveness import ALIVE_S, LateStarts
+from leverjunction.registry.start_liveness import ALIVE_S, StartLiveness
 
 CONTROLS = 3
 SOON_S = 1.0
@@ -173,7 +173,7 @@
 
 def test_a_start_that_seems_earlier_but_goes_on_is_taken() -> None:
     """A machine's clock was set back between two starts of its back end."""
-    starts = LateStarts()
+    starts = StartLiveness()
     assert not starts.is_alive("i-1@5", 1, 0.0)
     assert not starts.is_alive("i-1@5", 9, ALIVE_S - 0.1)
     # An old word that comes late does not count, however late it comes.
--- a/tests/unit/test_registry_state_machine.py
+++ b/tests/unit/test_registry_state_machine.py
@@ -1,4 +1,4 @@
-"""Registry: highest table wins, gone runners stay gone, retirement leaves enough machines."""
+"""Tests of the registry's state machine: tables, runners, groups and retirement of machines."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Registry:
-    """The state machine on a database in memory."""
+    """State machine on an in-memory database."""
 
     def __init__(self) -> None:
         self.machine = RegistryStateMachine()
@@ -92,29 +92,29 @@
 
 
 def test_the_highest_table_wins_and_older_ones_are_acknowledged(registry: Registry) -> None:
-    for version, held in ((5, 5), (3, 5), (5, 5), (9, 9)):
+    for version, stored in ((5, 5), (3, 5), (5, 5), (9, 9)):
         reply = registry.apply(
             PutTable(RouteTable(version=version), f"text of {version}"), StoredTableVersion
         )
-        assert reply == StoredTableVersion(held)
-        assert registry.table().version == held
+        assert reply == StoredTableVersion(stored)
+        assert registry.table().version == stored
 
 
-def test_other_content_under_the_held_version_changes_nothing(registry: Registry) -> None:
+def test_other_content_with_the_stored_version_changes_nothing(registry: Registry) -> None:
     registry.apply(PutTable(RouteTable(version=5), "first"), StoredTableVersion)
     registry.apply(PutTable(RouteTable(version=5), "second"), StoredTableVersion)
     raw = registry.machine.query(registry.connection, encode(GetTableSource()))
     assert decode_reply(raw, TableSource) == TableSource(5, "first")
 
 
-def test_a_runner_that_is_gone_is_not_revived_by_a_late_word(registry: Registry) -> None:
+def test_a_gone_runner_is_not_restored_by_a_delayed_message(registry: Registry) -> None:
     registry.apply(PutRunner(runner()))
     registry.apply(RemoveRunner("i-1"))
     registry.apply(PutRunner(runner(sequence=9)))
     assert registry.state("i-1") is None
 
 
-def test_a_leave_that_comes_before_the_first_word_is_remembered(registry: Registry) -> None:
+def test_a_leave_that_arrives_before_the_first_message_is_stored(registry: Registry) -> None:
     registry.apply(RemoveRunner("i-1"))
     registry.apply(PutRunner(runner()))
     assert registry.state("i-1") is None
@@ -126,14 +126,14 @@
     assert registry.state("i-1") is RunnerState.LEAVING
 
 
-def test_an_older_word_changes_nothing(registry: Registry) -> None:
+def test_an_older_message_changes_nothing(registry: Registry) -> None:
     registry.apply(PutRunner(runner(sequence=7)))
     moved = msgspec.structs.replace(runner(sequence=6), address="b:1")
     registry.apply(PutRunner(moved))
     assert registry.view().runners[0].address == "a:1"
 
 
-def test_a_silent_runner_returns_with_its_next_word(registry: Registry) -> None:
+def test_a_silent_runner_is_ready_again_after_its_next_message(registry: Registry) -> None:
     registry.apply(PutRunner(runner()))
     registry.apply(ExpireRunners(("i-1", "i-2")))
     assert registry.state("i-1") is RunnerState.SILENT
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize(("stores", "kind"), [(3, FailureKind.CONFLICT), (4, None)])
-def test_a_machine_is_emptied_only_if_enough_remain(
+def test_a_machine_is_retired_only_if_enough_remain(
     registry: Registry, stores: int, kind: FailureKind | None
 ) -> None:
     for number in range(stores):
@@ -177,7 +177,7 @@
     assert (again.kind if isinstance(again, Failure) else None) == kind
 
 
-def test_an_unknown_machine_is_not_emptied(registry: Registry) -> None:
+def test_an_unknown_machine_is_not_retired(registry: Registry) -> None:
     reply = registry.apply(StartRetirement("store-9", 3))
     assert isinstance(reply, Failure)
     assert reply.kind is FailureKind.NOT_FOUND
