--- a/src/leverjunction/registry/hub.py
+++ b/src/leverjunction/registry/hub.py
@@ -1,4 +1,7 @@
-"""Serves the registry to gateways and stores: an answer as soon as something is newer."""
+"""Serves the registry of a control process to gateways and stores by long polling.
+
+A watch call is held until the registry is newer than the caller's copy or its waiting time is over.
+"""
 
 from __future__ import annotations
 
@@ -26,88 +29,104 @@
 
 T = TypeVar("T")
 
-STALE_CONTACT_S = 1.2
-"""A process that has not heard the leader for so long says so, and is asked no more."""
+MAX_CONTACT_AGE_S = 1.2
+"""Longest time without contact with the leader for which this process serves its state. Beyond it,
+calls fail as stale and callers switch to another process.
+"""
 
 REFRESH_S = 0.5
-"""Longest age of the cached state, should a notice be late."""
+"""Longest time between two reads of the replica, in case a change notification is late."""
 
-LEAST_WAIT_S = 0.01
+MIN_WAIT_S = 0.01
 FRESH_TIMEOUT_S = 0.8
-NEVER_COMPLETE_S = 3600.0
+MAX_AGE_S = 3600.0
 
 
 class LeaderQueries(Protocol):
-    """The part of ``GroupHost`` that is used here."""
+    """The part of ``GroupHost`` that the hub uses."""
 
     def query(
         self, group: str, query: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
-        """Ask the group's leader."""
+        """Send a query to the group's leader and return its reply."""
         ...
 
 
 class RegistryHub:
-    """Cached registry of one control process. Safe to share between threads."""
+    """Cached registry of one control process. Thread-safe.
+
+    Args:
+        replica: Local replica of the registry group.
+        leader: Sends queries to the group's leader.
+        clock: Source of monotonic time.
+    """
 
     def __init__(self, replica: ReplicatedGroup, leader: LeaderQueries, clock: Clock) -> None:
         self._replica = replica
         self._leader = leader
         self._clock = clock
-        # The replica calls ``changed`` under its own lock, and a refresh takes that lock: so what
-        # ``changed`` needs is never held during a refresh.
-        self._notice = threading.Condition()
+        # The replica calls ``notify_changed`` while it holds its own lock, and a refresh acquires
+        # that lock. To avoid a deadlock, ``_condition`` is never held during a refresh.
+        self._condition = threading.Condition()
         self._changes = 0
-        self._refreshing = threading.Lock()
+        self._refresh_lock = threading.Lock()
         self._read_changes = -1
         self._read_s = 0.0
-        self._complete_s = -math.inf
-        """Until when what was read is known to be all that was committed."""
+        self._complete_until_s = -math.inf
+        """Latest time up to which the cached state is known to include all commits."""
         self._failing = False
         self._table = RouteTable()
         self._view = FleetView()
         self._suspects = SuspectList()
 
-    def changed(self) -> None:
-        """Note that a command was applied; called by the replica's own thread."""
-        with self._notice:
+    def notify_changed(self) -> None:
+        """Wake waiting calls after a command was applied; called by the replica's thread."""
+        with self._condition:
             self._changes += 1
-            self._notice.notify_all()
+            self._condition.notify_all()
 
     def view(self) -> FleetView:
-        """Return the registry as applied here."""
+        """Return the registry as applied by the local replica."""
         self._refresh()
         return self._view
 
     def suspects(self) -> SuspectList:
-        """Return the suspect requests as applied here."""
+        """Return the suspect requests as applied by the local replica."""
         self._refresh()
         return self._suspects
 
     def status(self) -> GroupStatus:
-        """Return what the local replica knows of its group."""
+        """Return the status of the registry group at the local replica."""
         return self._replica.status()
 
     def stale(self) -> Failure | None:
-        """Return a failure while what is served here may be old."""
+        """Return a failure if the cached state may be out of date, else None."""
         self._refresh()
         age_s = self._age_s()
-        if age_s <= STALE_CONTACT_S:
+        if age_s <= MAX_CONTACT_AGE_S:
             return None
         return Failure(
             kind=FailureKind.STALE,
-            reason=f"the registry's leader was not heard for {age_s:.1f} s; ask another process",
+            reason=f"no contact with the registry's leader for {age_s:.1f} s; use another process",
             step=Step.EXCHANGING,
         )
 
     def watch(self, request: WatchRequest) -> WatchReply | Failure:
-        """Return what is newer than the sender knows, waiting a while for it."""
+        """Return the state that is newer than the sender's, waiting for a change if there is none.
+
+        Args:
+            request: Versions that the sender has, and how long to wait.
+
+        Returns:
+            The newer parts, or a failure if the state here may be out of date or if the leader
+            could not be reached for a fresh read.
+        """
         began_s = self._clock.monotonic_s()
         if request.fresh:
             return self.stale() or self._read_from_leader()
         until_s = began_s + request.wait_ms / 1000
         while True:
-            with self._notice:
+            with self._condition:
                 seen = self._changes
             stale = self.stale()
             if stale is not None:
@@ -115,15 +134,17 @@
             left_s = until_s - self._clock.monotonic_s()
             if left_s <= 0 or self._is_newer(request):
                 break
-            # A process that is cut off meanwhile says so when its contact is too old, not later.
-            fresh_s = max(STALE_CONTACT_S - self._age_s(), LEAST_WAIT_S)
-            with self._notice:
+            # If the leader becomes unreachable meanwhile, the call fails as soon as the contact is
+            # too old instead of at the end of its waiting time.
+            contact_left_s = max(MAX_CONTACT_AGE_S - self._age_s(), MIN_WAIT_S)
+            with self._condition:
                 if self._changes == seen:
-                    self._notice.wait(min(left_s, REFRESH_S, fresh_s))
+                    self._condition.wait(min(left_s, REFRESH_S, contact_left_s))
         return self._make_reply(request, self._clock.monotonic_s() - began_s)
 
     def _make_reply(self, request: WatchRequest, held_s: float) -> WatchReply:
-        # Before the table: a later age would say more than was read.
+        # The age is read before the state: read later, it could claim a refresh that the state
+        # does not contain.
         age_s = self._age_s()
         table, view = self._table, self._view
         return WatchReply(
@@ -150,7 +171,10 @@
         return self._suspects if is_newer else None
 
     def _read_from_leader(self) -> WatchReply | Failure:
-        """Read at the leader: a process that starts must not go back behind what others saw."""
+        """Return the state of the leader.
+
+        A starting process needs it so that it does not use state older than others already use.
+        """
         asked_s = self._clock.monotonic_s()
         view = self._leader.query(REGISTRY_GROUP, GetView(), FleetView, FRESH_TIMEOUT_S)
         if isinstance(view, Failure):
@@ -168,16 +192,17 @@
         )
 
     def _age_s(self) -> float:
-        """Return how old what was read last may be, in seconds."""
-        return min(self._clock.monotonic_s() - self._complete_s, NEVER_COMPLETE_S)
+        """Return the upper bound of the cached state's age, in seconds."""
+        return min(self._clock.monotonic_s() - self._complete_until_s, MAX_AGE_S)
 
     def _refresh(self) -> None:
-        """Read what was applied since the last time, and note how far that is complete."""
-        with self._refreshing:
-            # First: what is applied after it can only make what is read newer.
+        """Read changes from the replica and record up to when the cached state is complete."""
+        with self._refresh_lock:
+            # The status is taken before the read: commands applied in between only make the state
+            # newer than the status claims.
             now_s = self._clock.monotonic_s()
             status = self._replica.status()
-            with self._notice:
+            with self._condition:
                 changes = self._changes
             is_due = changes != self._read_changes or now_s - self._read_s >= REFRESH_S
             if is_due and not self._read():
@@ -186,16 +211,16 @@
                 self._read_changes, self._read_s = changes, now_s
             if status.applied_index >= status.commit_index:
                 complete_s = now_s - status.leader_contact_age_s
-                self._complete_s = max(self._complete_s, complete_s)
+                self._complete_until_s = max(self._complete_until_s, complete_s)
 
     def _read(self) -> bool:
-        """Read the replica's tables; return whether all could be read."""
+        """Read the replica's tables into the cache; return whether all reads succeeded."""
         view = decode_reply(self._replica.query_local(encode(GetView())), FleetView)
         table = decode_reply(self._replica.query_local(encode(GetTable())), RouteTable)
         suspects = decode_reply(self._replica.query_local(encode(GetSuspects())), SuspectList)
         failed = next((item for item in (view, table, suspects) if isinstance(item, Failure)), None)
         if failed is not None and not self._failing:
-            logger.warning("the registry cannot be read here: {}", failed.reason)
+            logger.warning("cannot read the registry from the local replica: {}", failed.reason)
         self._failing = failed is not None
         if not isinstance(view, Failure) and view.revision >= self._view.revision:
             self._view = view
--- a/src/leverjunction/registry/node.py
+++ b/src/leverjunction/registry/node.py
@@ -1,4 +1,9 @@
-"""The control process of a deployment whose machines find each other by seeds."""
+"""Control process of a seeded deployment.
+
+In a seeded deployment, machines find each other through a configured list of *seed* addresses. Each
+control process has a replica of the registry, serves it to gateways and stores, and takes messages
+of back ends. The process that leads the registry group also runs the reconciler.
+"""
 
 from __future__ import annotations
 
@@ -61,10 +66,10 @@
 T = TypeVar("T")
 
 MAX_WATCHERS = 64
-"""Calls of gateways and stores that may be held at once; each keeps a thread of the RPC server."""
+"""Calls of gateways and stores held at the same time; each occupies a thread of the RPC server."""
 
 COMMAND_TIMEOUT_S = 0.85
-"""Below a second, after which callers turn to another control process."""
+"""Below 1 s, after which callers switch to another control process."""
 
 LIVENESS_INTERVAL_S = 0.7
 RECONCILE_INTERVAL_S = 0.4
@@ -72,7 +77,12 @@
 
 
 class RegistryNode:
-    """One control process: a replica of the registry, and what it serves to the others."""
+    """One control process: a replica of the registry, its RPC server and its periodic tasks.
+
+    Attributes:
+        host: Sends proposals and queries to the leader of the registry group.
+        hub: Serves the registry to gateways and stores.
+    """
 
     def __init__(
         self,
@@ -81,14 +91,14 @@
         random: Random,
         started_s: float | None = None,
     ) -> None:
-        """Prepare a process.
+        """Create the node without starting it.
 
         Args:
-            config: Its settings.
+            config: Settings of the machine.
             clock: Source of time.
             random: Source of ids and timeouts.
-            started_s: When its operating system process started, in monotonic seconds; None where
-                several share one.
+            started_s: Start of the operating system process, in monotonic seconds; None if several
+                nodes share one process.
         """
         self._config = config
         self._clock = clock
@@ -131,8 +141,13 @@
         ]
 
     def start(self) -> Failure | None:
-        """Start the RPC port, the replica and the background tasks."""
-        # First: a port that refuses connections is the proof that no leader lives behind it.
+        """Start the RPC server, the replica and the periodic tasks.
+
+        Returns:
+            The failure of the replica's start, None on success.
+        """
+        # The server starts first and ends after the replica: peers take a refused connection as
+        # proof that this process leads no group.
         self._server.start()
         fault = start_replica(self._replica)
         if fault is not None:
@@ -144,7 +159,7 @@
         return None
 
     def stop(self) -> None:
-        """Hand the lead over, then stop."""
+        """Stop the replica, which hands over its leadership, and then the server."""
         logger.info("stopping")
         stop_all(self._tasks)
         self._replica.stop()
@@ -153,22 +168,42 @@
         logger.info("stopped")
 
     def put_table(self, table: RouteTable, source: str) -> StoredTableVersion | Failure:
-        """Check and replicate a route table; an older one is acknowledged and changes nothing."""
+        """Validate and replicate a route table; an older one is acknowledged without effect.
+
+        Args:
+            table: The table.
+            source: The table as the operator wrote it.
+
+        Returns:
+            The version that is stored then, or why the table was rejected or not committed.
+        """
         fault = check_table(table)
         if fault is not None:
             return fault
         return self._propose(PutTable(table, source), StoredTableVersion)
 
     def table_source(self) -> TableSource | Failure:
-        """Return the operator's text of the newest table, or say that it is not sure."""
+        """Return the newest committed table as the operator wrote it.
+
+        Returns:
+            The text and its version, or a failure if the leader could not be reached.
+        """
         return self.host.query(REGISTRY_GROUP, GetTableSource(), TableSource, COMMAND_TIMEOUT_S)
 
     def handle_heartbeat(self, record: RunnerRecord) -> Failure | None:
-        """Take a runner's message; it is acknowledged once what it changes is replicated."""
+        """Process a runner's message; return after the change that it causes is replicated.
+
+        Args:
+            record: State of the runner as it reports itself.
+
+        Returns:
+            Why the message was not processed; None if it was, or if it belongs to an ended start.
+        """
         stale = self.hub.stale()
         if stale is not None and not self.leads():
             return stale
-        # A leader that has just been elected replicates the message, whatever it knows by then.
+        # A newly elected leader may be stale itself. It then replicates every message, since it
+        # cannot tell whether the message changes anything.
         known = None if stale is not None else self._known_runner(record.runner_id)
         self._live_runners.add(record.start)
         shown_alive = False
@@ -177,17 +212,17 @@
             if not shown_alive:
                 return None
             logger.warning(
-                "{} goes on, though {} seems to have started later: a clock was set back",
+                "{} is still alive although {} has a later start time: a clock was set back",
                 record.start,
                 known.start,
             )
-        if known is not None and _is_unchanged(record, known):
+        if known is not None and _has_no_effect(record, known):
             return None
         reply = self._propose(PutRunner(record, shown_alive), Done)
         if isinstance(reply, Failure):
             return reply
         if known is not None and known.start != record.start:
-            logger.info("back end {} has started again, after {}", record.start, known.start)
+            logger.info("back end restarted: {} replaces {}", record.start, known.start)
         return None
 
     def _known_runner(self, runner_id: str) -> RunnerRecord | None:
@@ -200,17 +235,30 @@
             return self._start_liveness.is_alive(record.start, record.sequence, now_s)
 
     def handle_leave(self, runner_id: str, born_ms: int = 0) -> Failure | None:
-        """Take a runner's last word; ``born_ms`` is 0 when it does not name its start."""
+        """Process a runner's report that it shuts down.
+
+        Args:
+            runner_id: Id of the runner.
+            born_ms: Start time of the runner, in milliseconds since the Unix epoch; 0 if the runner
+                does not send it.
+
+        Returns:
+            Why the removal was not replicated, None if it was.
+        """
         reply = self._propose(RemoveRunner(runner_id, born_ms), Done)
         return reply if isinstance(reply, Failure) else None
 
     def start_retirement(self, name: str) -> Failure | None:
-        """Have a store machine emptied."""
+        """Start moving all replicas off a machine; return why not, None on success."""
         reply = self._propose(StartRetirement(name, self._limits.voters), Done)
         return reply if isinstance(reply, Failure) else None
 
     def is_retired(self, name: str) -> bool | Failure:
-        """Return whether a machine that was to be emptied holds nothing any more."""
+        """Return whether all replicas have left a retiring machine.
+
+        Returns:
+            A failure if the machine is not retiring, or if this process may be out of date.
+        """
         stale = self.hub.stale()
         if stale is not None:
             return stale
@@ -219,7 +267,7 @@
         if member is None or not member.retiring:
             return Failure(
                 kind=FailureKind.NOT_FOUND,
-                reason=f"no machine {name!r} is to be emptied",
+                reason=f"machine {name!r} does not exist or is not retiring",
                 step=Step.QUERYING,
             )
         group = view.group(JOBS_GROUP)
@@ -228,7 +276,7 @@
         return self._holds_no_replica(member.address, group.voters)
 
     def fault(self) -> Failure | None:
-        """Return why this process serves nothing any more, None while it does."""
+        """Return why this process has stopped serving, None while it serves."""
         return self._replica.fault()
 
     def leads(self) -> bool:
@@ -236,12 +284,15 @@
         return self._replica.status().role == "leader"
 
     def silence_s(self, name: str) -> float | None:
-        """Return since when the leader has not heard a machine or runner; None elsewhere."""
+        """Return the seconds since the last contact with a machine or the start of a runner.
+
+        Only the leader knows it; None on other processes and for unknown names.
+        """
         reconciler = self._reconciler
         return None if reconciler is None else reconciler.silence_s(name, self._clock.monotonic_s())
 
     def _holds_no_replica(self, address: str, voters: tuple[str, ...]) -> bool:
-        """Return whether the group's leader says that a machine holds no replica any more."""
+        """Return whether the group's leader reports that a machine holds no replica."""
         for voter in voters:
             status = self._rpc.call(
                 voter, MessageKind.STATUS, Done(), GroupMembership, timeout_s=CALL_TIMEOUT_S
@@ -255,7 +306,7 @@
         return self.host.propose(REGISTRY_GROUP, command, reply_type, COMMAND_TIMEOUT_S)
 
     def _on_applied(self, _replaced: bool) -> None:
-        self.hub.changed()
+        self.hub.notify_changed()
 
     def _endpoint(self, incarnation: int) -> RpcEndpoint:
         endpoint = RpcEndpoint(CLUSTER_KEY, incarnation)
@@ -291,12 +342,12 @@
             address=self._address,
             zone=self._config.zone,
         )
-        # Also again later, should the others have taken this process for gone.
+        # Runs periodically: the leader may have removed this machine after a long silence.
         if record not in self.hub.view().members:
             self._propose(JoinMember(record), Done)
 
     def _report_liveness(self) -> None:
-        """Tell the leader whom this process has heard."""
+        """Report to the leader which runners and machines contacted this process."""
         runners, self._live_runners = self._live_runners, set()
         members, self._live_members = self._live_members, set()
         report = LivenessReport(tuple(runners), (*members, self._config.name))
@@ -317,7 +368,7 @@
         return encode_reply(Done())
 
     def _reconcile(self) -> None:
-        """Do what the leader does on its own."""
+        """Update the known voters; on the leader also run the reconciler and apply its changes."""
         status = self._replica.status()
         if status.voters:
             self._voters[REGISTRY_GROUP] = list(
@@ -331,21 +382,21 @@
             self._reconciler = Reconciler(self._limits, now_s)
         reconciler = self._reconciler
         view = self.hub.view()
-        places = tuple(sorted({*status.voters, *status.learners}))
-        for command in reconciler.step(view, places, now_s, self.hub.suspects()):
-            logger.info("{}", command)
+        members = tuple(sorted({*status.voters, *status.learners}))
+        for command in reconciler.step(view, members, now_s, self.hub.suspects()):
+            logger.info("proposing {}", command)
             self._propose(command, Done)
-        wanted = reconciler.control_voters(view, places, now_s)
-        if wanted != places:
-            logger.info("control processes shall be {}, were {}", wanted, places)
+        wanted = reconciler.control_voters(view, members, now_s)
+        if wanted != members:
+            logger.info("changing registry members from {} to {}", members, wanted)
             self._replica.change_members(list(wanted), COMMAND_TIMEOUT_S)
 
 
-def _is_unchanged(record: RunnerRecord, known: RunnerRecord) -> bool:
+def _has_no_effect(record: RunnerRecord, known: RunnerRecord) -> bool:
     if record.born_ms != known.born_ms:
         return False
     if known.state is RunnerState.LEAVING and record.state is not RunnerState.LEAVING:
-        # An old word that came late.
+        # A delayed message from before the leave.
         return True
     return runner_key(record) == runner_key(known)
 
@@ -369,7 +420,7 @@
     return GroupConfig(
         group=REGISTRY_GROUP,
         address=config.listen.rpc,
-        # Empty on a machine that came later: it joins, and never founds.
+        # Empty on a machine that joins an existing deployment: it must not found a group.
         first_members=founders,
         data_path=str(folder / f"{REGISTRY_GROUP}.sqlite"),
         heartbeat_interval_s=config.elections.heartbeat_s,
--- a/tests/unit/test_registry_hub.py
+++ b/tests/unit/test_registry_hub.py
@@ -1,4 +1,4 @@
-"""The hub of a control process: held calls, staleness, and locks that never cross."""
+"""Tests of a control process's hub: held calls, staleness, and freedom from deadlocks."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Replica:
-    """Answers like a group's replica, whose state and notices share one lock."""
+    """Test double of a group's replica; one lock guards its state and its notifications."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -53,11 +53,11 @@
         )
 
     def set_table(self, version: int) -> None:
-        """Apply as the driver thread does: the notice comes while the lock is held."""
+        """Apply a table and notify the hub while holding the lock, as the driver thread does."""
         with self.lock:
             self.table = RouteTable(version=version)
             assert self.hub is not None
-            self.hub.changed()
+            self.hub.notify_changed()
 
 
 def make_hub() -> tuple[RegistryHub, Replica]:
@@ -71,7 +71,7 @@
     return hub.watch(WatchRequest(table_version=version, revision=1, wait_ms=wait_ms))
 
 
-def test_an_answer_is_held_until_something_is_newer() -> None:
+def test_a_reply_is_held_until_something_is_newer() -> None:
     hub, replica = make_hub()
     threading.Timer(0.15, replica.set_table, (2,)).start()
     started_s = time.monotonic()
@@ -82,7 +82,7 @@
     assert (reply.table.version, reply.view) == (2, None)
 
 
-def test_an_answer_without_news_comes_after_the_wait() -> None:
+def test_a_reply_without_changes_comes_after_the_wait() -> None:
     hub, _replica = make_hub()
     started_s = time.monotonic()
     reply = watch(hub, 1, 200)
@@ -91,7 +91,7 @@
     assert (reply.table, reply.view) == (None, None)
 
 
-def test_a_process_that_may_be_cut_off_says_so() -> None:
+def test_a_process_without_recent_contact_replies_stale() -> None:
     hub, replica = make_hub()
     replica.age_s = 5.0
     reply = watch(hub, 0, 100)
@@ -99,8 +99,11 @@
     assert reply.kind is FailureKind.STALE
 
 
-def test_a_replica_that_never_started_makes_no_process_fresh(tmp_path: Path) -> None:
-    """It was told as heard 0 s ago: gateways stayed with a process that had no state."""
+def test_a_process_whose_replica_never_started_is_stale(tmp_path: Path) -> None:
+    """Guards against gateways that stay with a control process without state.
+
+    The failure: a replica that had not started reported a leader contact of 0 s ago.
+    """
     config = GroupConfig(
         group="registry", address="a:1", first_members=(), data_path=str(tmp_path / "r.sqlite")
     )
@@ -117,7 +120,7 @@
     assert reply.kind is FailureKind.STALE
 
 
-def test_what_cannot_be_read_is_not_fresh() -> None:
+def test_an_unreadable_replica_is_stale() -> None:
     hub, replica = make_hub()
     replica.fault = Failure(kind=FailureKind.CORRUPT, reason="damaged", step=Step.QUERYING)
     assert isinstance(watch(hub, 1, 0), Failure)
@@ -125,14 +128,18 @@
     assert isinstance(watch(hub, 1, 0), WatchReply)
 
 
-def test_contact_makes_nothing_fresh_that_is_still_to_be_applied() -> None:
+def test_committed_commands_that_are_not_applied_make_the_state_stale() -> None:
     hub, replica = make_hub()
     replica.commit_index = 2
     assert isinstance(watch(hub, 1, 0), Failure)
 
 
 def test_a_held_call_ends_when_the_contact_is_too_old() -> None:
-    """It was held to its end: 1.2 s of contact and 0.9 s of holding were above the bound."""
+    """Guards against a change that reaches a gateway too late.
+
+    The failure: the call was held for its whole waiting time. 1.2 s of old contact and 0.9 s of
+    holding exceeded the time in which a change must be in force.
+    """
     hub, replica = make_hub()
     threading.Timer(0.1, lambda: setattr(replica, "age_s", 5.0)).start()
     started_s = time.monotonic()
@@ -140,7 +147,7 @@
     assert time.monotonic() - started_s < 1.6
 
 
-def test_an_answer_tells_what_it_rests_on() -> None:
+def test_a_reply_contains_its_versions_contact_age_and_held_time() -> None:
     hub, replica = make_hub()
     replica.table = RouteTable(version=7)
     reply = watch(hub, 7, 200)
@@ -150,8 +157,11 @@
     assert 0.15 < reply.held_s < 0.4
 
 
-def test_notices_and_reads_never_wait_for_each_other() -> None:
-    """A notice under the replica's lock met a read under the hub's lock: both stood for good."""
+def test_notifications_and_reads_do_not_deadlock() -> None:
+    """Guards against a deadlock of the replica's lock and the hub's lock.
+
+    The failure: a notification came under the replica's lock while a read held the hub's lock.
+    """
     hub, replica = make_hub()
     stop = threading.Event()
 
--- a/tests/unit/test_registry_watch_schedule.py
+++ b/tests/unit/test_registry_watch_schedule.py
@@ -8,7 +8,7 @@
 
 from leverjunction.errors import Failure, FailureKind, Step
 from leverjunction.registry.commands import WatchReply
-from leverjunction.registry.hub import STALE_CONTACT_S
+from leverjunction.registry.hub import MAX_CONTACT_AGE_S
 from leverjunction.registry.watch_schedule import (
     CALL_TIMEOUT_S,
     QUICK_TIMEOUT_S,
@@ -40,7 +40,7 @@
             lasted_s = ask.timeout_s
         elif kind is CUT_OFF and number == 0:
             # It holds the call for as long as its contact is recent.
-            lasted_s = STALE_CONTACT_S
+            lasted_s = MAX_CONTACT_AGE_S
         else:
             lasted_s = ANSWER_S
         sum_s += lasted_s + plan.record_failure(failure(kind), lasted_s)
