--- a/src/leverjunction/registry/cluster.py
+++ b/src/leverjunction/registry/cluster.py
@@ -1,19 +1,22 @@
-"""What the processes of a seeded deployment have in common."""
+"""Constants shared by all processes of a seeded deployment.
+
+In a seeded deployment, machines find each other through a configured list of seed addresses.
+"""
 
 from __future__ import annotations
 
 CLUSTER_KEY = b"leverjunction-seeded-cluster"
-"""Processes of such a deployment have no secret in common: the key only tells a peer from a
-stranger that happens to use the port.
+"""Identifies peers of the deployment. It is not a secret: it only rejects unrelated processes that
+connect to the port by accident.
 """
 
 CALLS_AT_ONCE = 24
-"""Proposals and queries in progress at a process, for clients and for forwarded ones each. Beyond
-it they are refused at once: without a leader each waits for over a second, and together they would
-hold all threads, so that no vote came through and no leader was ever elected.
+"""Limit of concurrent proposals and queries at a process, once for clients and once for forwarded
+calls; more are refused at once. Without a leader each call waits for over a second. Unlimited calls
+would occupy all threads, so that votes would not get through and no leader would be elected.
 """
 
 PEER_THREADS = 16
-"""Threads of the RPC server that are left for messages between replicas and for status."""
+"""Threads of the RPC server reserved for messages between replicas and status calls."""
 
 RPC_THREADS = 2 * CALLS_AT_ONCE + PEER_THREADS
--- a/src/leverjunction/registry/follower.py
+++ b/src/leverjunction/registry/follower.py
@@ -1,4 +1,8 @@
-"""Keeps a gateway's or a store's copy of the registry up to date."""
+"""Keeps a gateway's or a store's copy of the registry up to date by long polling.
+
+A *hub* is a control process that serves the registry. A *stall* is a time in which this process did
+not run, for example because its machine was suspended: the copy may be out of date afterwards.
+"""
 
 from __future__ import annotations
 
@@ -21,24 +25,24 @@
 from leverjunction.wire.envelope import MessageKind
 from leverjunction.wire.rpc_client import RpcClient
 
-NEVER_COMPLETE_S = 3600.0
+MAX_AGE_S = 3600.0
 
-STANDSTILL_S = 0.5
-"""Shortest standstill after which a control process is asked before back ends are chosen. With the
-longest wait for an answer it is below the 2 s in which news are to be in force.
+MIN_STALL_S = 0.5
+"""Shortest stall after which the copy must be confirmed by a hub before back ends are chosen. With
+the longest wait for a reply it is below the 2 s in which changes must be in force.
 """
 
-DOUBT_S = 2.0
-"""How long requests wait for that answer: two silent control processes, and an election."""
+MAX_DOUBT_S = 2.0
+"""Longest wait of requests for that reply: covers two unresponsive hubs and an election."""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What a process knows of the registry.
+    """State of the registry as one gateway or store knows it.
 
     Attributes:
         table: The route table in force.
         view: The runners and the machines.
-        suspects: Requests under which back ends ended.
+        suspects: Requests during which back ends crashed.
     """
 
     table: RouteTable
@@ -47,18 +51,18 @@
 
 
 class RegistryFollower:
-    """One thread that asks one control process at a time, the next one when that is silent.
+    """Polls one hub at a time from a thread, and switches to the next one when a call fails.
 
     Attributes:
-        standstills: How often this process was found to have stood still.
+        standstills: Number of stalls of this process that were detected.
 
     Args:
         rpc: Client of the internal RPC.
-        seeds: RPC addresses to begin with.
+        seeds: RPC addresses of the hubs that are known at the start.
         member: Name of this machine if it may hold replicas, else empty.
         clock: Source of monotonic time.
-        random: Chooses where to begin.
-        changed: Called with each newer state, from this thread.
+        random: Shuffles the order of the hubs and varies the pauses between calls.
+        changed: Called with each newer state, from the follower's thread.
     """
 
     def __init__(
@@ -74,110 +78,117 @@
         self._member = member
         self._clock = clock
         self._random = random
-        self._plan = WatchSchedule(random)
+        self._schedule = WatchSchedule(random)
         self._changed = changed
         self._hubs = list(seeds)
         self._seeds = seeds
         random.shuffle(self._hubs)
         self._snapshot: Snapshot | None = None
-        self._is_told = True
-        self._answered_s = clock.monotonic_s()
-        self._complete_s = -math.inf
-        """Until when the newest state is known to be all that was committed."""
-        self._in_touch = False
-        self._freshness = Freshness(STANDSTILL_S, DOUBT_S)
+        self._is_delivered = True
+        self._replied_s = clock.monotonic_s()
+        self._complete_until_s = -math.inf
+        """Latest time up to which the newest state is known to include all commits."""
+        self._is_connected = False
+        self._freshness = Freshness(MIN_STALL_S, MAX_DOUBT_S)
         self.standstills = 0
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="registry-follower", daemon=True)
 
     def start(self) -> None:
-        """Start following."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask the thread to end."""
+        """Tell the thread to stop, without waiting for it."""
         self._stopped.set()
 
     def snapshot(self) -> Snapshot | None:
-        """Return the newest state, None before the first."""
+        """Return the newest state, None before the first reply."""
         return self._snapshot
 
     def hubs(self) -> list[str]:
-        """Return the RPC addresses of control processes, the one that answers first."""
+        """Return the RPC addresses of all known hubs, beginning with the one being polled."""
         return list(self._hubs)
 
     def age_s(self) -> float:
-        """Return the seconds since a control process last answered."""
-        return self._clock.monotonic_s() - self._answered_s
+        """Return the seconds since the last successful reply of a hub."""
+        return self._clock.monotonic_s() - self._replied_s
 
     def table_age_s(self) -> float:
-        """Return how old the newest state may be, in seconds: what changed since is not known."""
-        return min(self._clock.monotonic_s() - self._complete_s, NEVER_COMPLETE_S)
+        """Return the upper bound of the newest state's age, in seconds.
+
+        Changes during that time may be unknown to this process.
+        """
+        return min(self._clock.monotonic_s() - self._complete_until_s, MAX_AGE_S)
 
     def is_in_doubt(self) -> bool:
-        """Return whether this process stood still and has not been told the newest state since."""
+        """Return whether this process stalled and has not confirmed its state since."""
         return self._freshness.is_in_doubt(self._clock.monotonic_s())
 
     def _run(self) -> None:
         while not self._stopped.is_set():
             try:
-                self._ask_once()
+                self._poll_once()
             except Exception:
-                # This thread must go on: nothing else would learn of routes and back ends.
-                logger.exception("asking control process {} failed", self._hubs[0])
-                self._ask_another(RETRY_PAUSE_S)
+                # The thread must survive: nothing else receives changes of routes and back ends.
+                logger.exception("polling control process {} failed", self._hubs[0])
+                self._switch_hub(RETRY_PAUSE_S)
 
-    def _ask_once(self) -> None:
+    def _poll_once(self) -> None:
         sent_s = self._clock.monotonic_s()
-        reply = self._ask(self._hubs[0])
+        reply = self._poll(self._hubs[0])
         if isinstance(reply, Failure):
-            self._note_loss(reply)
+            self._log_loss(reply)
             lasted_s = self._clock.monotonic_s() - sent_s
-            self._ask_another(self._plan.record_failure(reply, lasted_s))
+            self._switch_hub(self._schedule.record_failure(reply, lasted_s))
             return
-        self._answered_s = self._clock.monotonic_s()
-        self._plan.record_success()
-        self._note_answer(reply)
-        self._learn_hubs(reply.controls)
-        self._take(reply)
+        self._replied_s = self._clock.monotonic_s()
+        self._schedule.record_success()
+        self._log_reply(reply)
+        self._update_hubs(reply.controls)
+        self._merge_reply(reply)
         complete_s = sent_s + reply.held_s - reply.contact_age_s
-        self._complete_s = max(self._complete_s, complete_s)
-        # A hub that answers has heard its leader lately; one that stood still as well says so.
+        self._complete_until_s = max(self._complete_until_s, complete_s)
+        # A hub without recent contact with its leader, for example after a stall of its own,
+        # replies with a failure and never gets here.
         self._freshness.refreshed(sent_s)
 
-    def _step_begins(self, longest_s: float) -> None:
-        stood_s = self._freshness.step_begins(self._clock.monotonic_s(), longest_s)
-        if stood_s > 0:
+    def _begin_step(self, longest_s: float) -> None:
+        stalled_s = self._freshness.step_begins(self._clock.monotonic_s(), longest_s)
+        if stalled_s > 0:
             self.standstills += 1
-            logger.warning("this process stood still for {:.1f} s; work waits for news", stood_s)
+            logger.warning(
+                "this process stalled for {:.1f} s; requests wait for the current registry",
+                stalled_s,
+            )
 
-    def _ask_another(self, pause_s: float) -> None:
-        self._step_begins(pause_s)
+    def _switch_hub(self, pause_s: float) -> None:
+        self._begin_step(pause_s)
         self._hubs.append(self._hubs.pop(0))
         self._stopped.wait(pause_s)
 
-    def _ask(self, hub: str) -> WatchReply | Failure:
+    def _poll(self, hub: str) -> WatchReply | Failure:
         known = self._snapshot
-        ask = self._plan.next_options(
+        options = self._schedule.next_options(
             known is not None, len(self._hubs), at_once=self.is_in_doubt()
         )
-        self._step_begins(ask.timeout_s)
+        self._begin_step(options.timeout_s)
         request = WatchRequest(
             table_version=known.table.version if known else -1,
             revision=known.view.revision if known else -1,
-            wait_ms=ask.wait_ms,
+            wait_ms=options.wait_ms,
             member=self._member,
             fresh=known is None,
             suspects_revision=known.suspects.revision if known else 0,
         )
         reply = self._rpc.call(
-            hub, MessageKind.REGISTRY_WATCH, request, WatchReply, timeout_s=ask.timeout_s
+            hub, MessageKind.REGISTRY_WATCH, request, WatchReply, timeout_s=options.timeout_s
         )
         if isinstance(reply, Failure):
             return reply
         return check_not_behind(reply, request.table_version, request.revision) or reply
 
-    def _take(self, reply: WatchReply) -> None:
+    def _merge_reply(self, reply: WatchReply) -> None:
         known = self._snapshot or Snapshot(RouteTable(), FleetView())
         table = known.table
         if reply.table is not None and reply.table.version > table.version:
@@ -189,38 +200,40 @@
         if reply.suspects is not None and reply.suspects.revision > suspects.revision:
             suspects = reply.suspects
         unchanged = table is known.table and view is known.view and suspects is known.suspects
-        if self._snapshot is not None and unchanged and self._is_told:
+        if self._snapshot is not None and unchanged and self._is_delivered:
             return
         if table is not known.table:
-            logger.info("route table {} is in force, after {}", table.version, known.table.version)
+            logger.info(
+                "route table {} is in force, replaces {}", table.version, known.table.version
+            )
         self._snapshot = Snapshot(table, view, suspects)
         self._deliver(self._snapshot)
 
     def _deliver(self, snapshot: Snapshot) -> None:
-        """Pass a state on; one whose receiver fails is passed on again with the next answer."""
-        self._is_told = False
+        """Call the receiver with a state; if it raises, the next reply triggers another call."""
+        self._is_delivered = False
         try:
             self._changed(snapshot)
         except Exception:
-            # This thread must go on: without it the process would never hear of anything again.
-            logger.exception("a change of the registry could not be taken over")
+            # The thread must survive: without it the process would miss all later changes.
+            logger.exception("applying a change of the registry failed")
             return
-        self._is_told = True
+        self._is_delivered = True
 
-    def _learn_hubs(self, controls: tuple[str, ...]) -> None:
+    def _update_hubs(self, controls: tuple[str, ...]) -> None:
         known = dict.fromkeys([self._hubs[0], *controls, *self._seeds])
         if set(known) != set(self._hubs):
             others = [hub for hub in known if hub != self._hubs[0]]
             self._random.shuffle(others)
             self._hubs = [self._hubs[0], *others]
 
-    def _note_loss(self, failure: Failure) -> None:
-        if self._in_touch:
-            logger.warning("control process {} is lost: {}", self._hubs[0], failure.reason)
-        self._in_touch = False
+    def _log_loss(self, failure: Failure) -> None:
+        if self._is_connected:
+            logger.warning("lost control process {}: {}", self._hubs[0], failure.reason)
+        self._is_connected = False
 
-    def _note_answer(self, reply: WatchReply) -> None:
-        if not self._in_touch:
+    def _log_reply(self, reply: WatchReply) -> None:
+        if not self._is_connected:
             logger.info(
                 "following control process {}: table {}, contact {:.1f} s ago, held {:.1f} s",
                 self._hubs[0],
@@ -228,4 +241,4 @@
                 reply.contact_age_s,
                 reply.held_s,
             )
-        self._in_touch = True
+        self._is_connected = True
--- a/src/leverjunction/registry/records.py
+++ b/src/leverjunction/registry/records.py
@@ -31,7 +31,7 @@
 
 
 class RunnerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of a runner, that is, one run of its process; a later start may have the same id.
+    """One start of a runner: one lifetime of its process. A later start may have the same id.
 
     Attributes:
         runner_id: Id of the runner; the only name that the runner itself knows.
--- a/src/leverjunction/registry/run_reporter.py
+++ b/src/leverjunction/registry/run_reporter.py
@@ -1,7 +1,8 @@
-"""Tells the registry what became of runs of suspect requests, from a thread of its own.
+"""Reports the outcomes of runs of suspect requests to the registry from a background thread.
 
-What is told waits until a control process has taken it: while none can, since no leader is known,
-the process goes on with its own evidence. Telling it twice changes nothing.
+A *run* is one attempt to process a request at a back end. Reports are kept until a control process
+has accepted them. While none does, for example without a leader, this process goes on with its own
+evidence. A report that is sent twice changes nothing.
 """
 
 from __future__ import annotations
@@ -19,19 +20,21 @@
 from leverjunction.wire.envelope import MessageKind
 from leverjunction.wire.rpc_client import RpcClient
 
-GATHER_S = 0.02
-"""The ends of runs at one back end come within milliseconds, and go out in one command."""
+COLLECT_S = 0.02
+"""Time to collect reports: runs at a crashed back end end within milliseconds, and go into one
+command.
+"""
 
 CALL_TIMEOUT_S = 1.2
 RETRY_PAUSE_S = 0.2
-KEPT_S = 30.0
-"""Longest time that something waits to be told: an outage longer than that gathers no backlog."""
+MAX_REPORT_AGE_S = 30.0
+"""Age after which unsent reports are dropped, so that a longer outage builds up no backlog."""
 
-WAITING_MOST = 500
+MAX_WAITING = 500
 
 
 class RunReporter:
-    """Safe to share between threads.
+    """Queues reports and sends them from a background thread. Thread-safe.
 
     Args:
         rpc: Client of the internal RPC.
@@ -45,7 +48,7 @@
         self._clock = clock
         self._ended: dict[tuple[str, str], EndedRun] = {}
         self._answered: set[str] = set()
-        self._since_s = 0.0
+        self._waiting_since_s = 0.0
         self._changed = threading.Condition()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="run-reporter", daemon=True)
@@ -55,31 +58,34 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask the thread to end; what was not told is lost, others have seen other runs."""
+        """Tell the thread to stop; unsent reports are lost.
+
+        The registry can do without them, since other processes report runs of their own.
+        """
         with self._changed:
             self._stopped = True
             self._changed.notify_all()
 
     def ended(self, run: EndedRun) -> None:
-        """Tell of a run under which its back end ended."""
+        """Report a run during which its back end crashed."""
         with self._changed:
-            self._note_begin()
-            if len(self._ended) < WAITING_MOST:
+            self._start_waiting()
+            if len(self._ended) < MAX_WAITING:
                 self._ended[run.key, run.start] = run
             self._answered.discard(run.key)
             self._changed.notify_all()
 
     def answered(self, key: str) -> None:
-        """Tell that a suspect request was answered whole."""
+        """Report that a suspect request got a complete response."""
         with self._changed:
-            self._note_begin()
-            if len(self._answered) < WAITING_MOST:
+            self._start_waiting()
+            if len(self._answered) < MAX_WAITING:
                 self._answered.add(key)
             self._changed.notify_all()
 
-    def _note_begin(self) -> None:
+    def _start_waiting(self) -> None:
         if not self._ended and not self._answered:
-            self._since_s = self._clock.monotonic_s()
+            self._waiting_since_s = self._clock.monotonic_s()
 
     def _run(self) -> None:
         while True:
@@ -88,16 +94,16 @@
                     self._changed.wait()
                 if self._stopped:
                     return
-                # Woken by more of the same, not by the time alone: only a stop ends it early.
-                self._changed.wait_for(lambda: self._stopped, GATHER_S)
+                # More reports also notify the condition; only a stop ends the collecting early.
+                self._changed.wait_for(lambda: self._stopped, COLLECT_S)
                 command = ReportRuns(
                     ended=tuple(self._ended.values()), answered=tuple(sorted(self._answered))
                 )
-            if not self._tell(command):
-                self._give_up_old()
+            if not self._send(command):
+                self._drop_old()
 
-    def _tell(self, command: ReportRuns) -> bool:
-        """Have a control process take a command; what it holds then need not be told again."""
+    def _send(self, command: ReportRuns) -> bool:
+        """Send a command to the control processes in turn; return whether one accepted it."""
         reason = "no control process is known"
         for hub in self._hubs():
             reply = self._rpc.call(
@@ -109,29 +115,29 @@
                 timeout_s=CALL_TIMEOUT_S,
             )
             if not isinstance(reply, Failure):
-                self._forget(command)
+                self._remove_sent(command)
                 return True
             reason = f"{hub}: {reply.reason}"
             if self._stopped:
                 return False
-        logger.warning("ended back ends are not told of yet: {}", reason)
+        logger.warning("crashes of back ends are not reported yet: {}", reason)
         return False
 
-    def _forget(self, command: ReportRuns) -> None:
+    def _remove_sent(self, command: ReportRuns) -> None:
         with self._changed:
             for run in command.ended:
                 self._ended.pop((run.key, run.start), None)
             self._answered.difference_update(command.answered)
-            self._since_s = self._clock.monotonic_s()
+            self._waiting_since_s = self._clock.monotonic_s()
 
-    def _give_up_old(self) -> None:
+    def _drop_old(self) -> None:
         with self._changed:
-            if self._clock.monotonic_s() - self._since_s > KEPT_S:
+            if self._clock.monotonic_s() - self._waiting_since_s > MAX_REPORT_AGE_S:
                 logger.warning(
-                    "{} ended runs and {} answers were not told of in {:.0f} s and are given up",
+                    "dropping {} ended runs and {} complete responses, unreported for {:.0f} s",
                     len(self._ended),
                     len(self._answered),
-                    KEPT_S,
+                    MAX_REPORT_AGE_S,
                 )
                 self._ended.clear()
                 self._answered.clear()
--- a/src/leverjunction/registry/start_liveness.py
+++ b/src/leverjunction/registry/start_liveness.py
@@ -1,26 +1,30 @@
-"""Tells a start whose machine's clock was set back from late words of an ended one. Pure.
+"""Detects a runner that is alive although its start time lies before the stored one.
 
-Of two starts under one id the one that began later counts, by the machine's own clock. If that was
-set back in between, the start that lives seems to be the earlier one. But late words of an ended
-start stop coming after some seconds, and those of a living one go on, with rising numbers.
+A *start* is one lifetime of a runner's process. Of two starts with the same id the registry keeps
+the one with the later start time, by the clock of the runner's machine. If that clock was set back
+between the starts, the running process seems to be the earlier one. It can be told from an ended
+start: delayed messages of an ended start stop within seconds, while a running process keeps sending
+messages with rising sequence numbers.
+
+This module does no I/O; callers pass in the time.
 """
 
 from __future__ import annotations
 
-ALIVE_S = 10.0
-"""Time over which words of a start must go on to show that it lives: late ones come within seconds
-of its end.
+MIN_ALIVE_S = 10.0
+"""Time for which messages of a start must go on to prove that it is running. Delayed messages of an
+ended start arrive within seconds of its end.
 """
 
-STARTS_MOST = 500
+MAX_STARTS = 500
 
 
 class EarlyStart:
-    """A start that seems to be earlier than the known one.
+    """A start with an earlier start time than the stored one.
 
     Attributes:
-        first_s: When its first word came.
-        sequence: Number of its last word.
+        first_s: Monotonic time of its first message, in seconds.
+        sequence: Highest sequence number among its messages.
     """
 
     __slots__ = ("first_s", "sequence")
@@ -31,7 +35,7 @@
 
 
 class StartLiveness:
-    """Not safe between threads; the time is passed in."""
+    """Tracks starts whose start time is earlier than the stored one. Not thread-safe."""
 
     __slots__ = ("_starts",)
 
@@ -39,21 +43,27 @@
         self._starts: dict[str, EarlyStart] = {}
 
     def is_alive(self, start: str, sequence: int, now_s: float) -> bool:
-        """Take a word of a start that seems earlier; return whether it is shown to live."""
+        """Record a message of a seemingly earlier start; return whether the start is running.
+
+        Args:
+            start: Key of the start (``RunnerRecord.start``).
+            sequence: Sequence number of the message.
+            now_s: Monotonic time in seconds.
+        """
         known = self._starts.get(start)
         if known is None:
-            if len(self._starts) >= STARTS_MOST:
+            if len(self._starts) >= MAX_STARTS:
                 self._starts.pop(next(iter(self._starts)))
             self._starts[start] = EarlyStart(now_s, sequence)
             return False
         if sequence <= known.sequence:
             return False
         known.sequence = sequence
-        return now_s - known.first_s >= ALIVE_S
+        return now_s - known.first_s >= MIN_ALIVE_S
 
     def forget(self, start: str) -> None:
-        """Forget a start that is known now."""
+        """Delete what was recorded of a start."""
         self._starts.pop(start, None)
 
 
-__all__ = ["ALIVE_S", "StartLiveness"]
+__all__ = ["MIN_ALIVE_S", "StartLiveness"]
--- a/src/leverjunction/registry/state_machine.py
+++ b/src/leverjunction/registry/state_machine.py
@@ -1,7 +1,8 @@
 """Replicated state machine of the registry group.
 
 State is kept in SQLite tables, which are written in the consensus group's own transaction. A
-*start* is one run of a runner's process, identified by the runner's id and the start time. Rules:
+*start* is one lifetime of a runner's process, identified by the runner's id and the start time. The
+rules are:
 
 * A route table is replaced only by one with a higher version. An equal or lower version changes
   nothing and is acknowledged.
--- a/src/leverjunction/registry/suspect_review.py
+++ b/src/leverjunction/registry/suspect_review.py
@@ -1,7 +1,10 @@
-"""When the registry's leader changes the records of suspect requests by itself. Pure.
+"""Expires the records of suspect requests on the registry's leader.
 
-Counted from when this leader first saw a record as it is: another leader begins anew, so a verdict
-may last longer than meant, never shorter.
+A *verdict* is the refusal of a suspect request for a limited time. The retention of a record counts
+from the moment when this leader first saw its present content. A new leader starts counting anew,
+so a verdict may last longer than intended, but never shorter.
+
+This module does no I/O; callers pass in the time.
 """
 
 from __future__ import annotations
@@ -14,7 +17,7 @@
 
 
 class SuspectReview:
-    """Used by one thread; the time is passed in."""
+    """Tracks the ages of suspect records. Not thread-safe."""
 
     __slots__ = ("_seen",)
 
@@ -22,8 +25,13 @@
         self._seen: dict[str, tuple[SuspectRecord, float]] = {}
 
     def due(self, suspects: SuspectList, now_s: float) -> list[RegistryCommand]:
-        """Return the changes that are due; verdicts that are new get a line."""
-        self._meet(suspects, now_s)
+        """Return the changes that are due, and log new verdicts.
+
+        Args:
+            suspects: All suspects as applied on the leader.
+            now_s: Monotonic time in seconds.
+        """
+        self._update_seen(suspects, now_s)
         over = [
             record
             for record, since_s in self._seen.values()
@@ -35,10 +43,10 @@
         others = [item.key for item in over if not _is_refused(item)]
         return [ReviewSuspects(on_trial=tuple(refused), forgotten=tuple(others))]
 
-    def _meet(self, suspects: SuspectList, now_s: float) -> None:
+    def _update_seen(self, suspects: SuspectList, now_s: float) -> None:
         known, self._seen = self._seen, {}
         for key in known.keys() - {record.key for record in suspects.suspects}:
-            logger.info("request {} is no suspect any more", key)
+            logger.info("request {} is no longer a suspect", key)
         for record in suspects.suspects:
             before = known.get(record.key)
             if before is not None and before[0] == record:
@@ -47,7 +55,7 @@
             self._seen[record.key] = (record, now_s)
             if _is_refused(record) and (before is None or not _is_refused(before[0])):
                 logger.warning(
-                    "request {} of route {} is refused for {:.0f} s: back ends {} ended under it"
+                    "request {} of route {} is refused for {:.0f} s: it crashed back ends {}"
                     " (last attempt {})",
                     record.key,
                     record.route,
--- a/src/leverjunction/registry/watch_schedule.py
+++ b/src/leverjunction/registry/watch_schedule.py
@@ -1,8 +1,10 @@
-"""How a follower of the registry asks control processes. Pure.
+"""Chooses timeouts and pauses for the polling of control processes.
 
-One call is held at a control process until something is newer. After a silence others are asked
-one by one without holding, since a change may have been missed: their sum with the silence that
-was waited for stays below the time in which a change is to be in force.
+Normally one call is held at a control process until the registry changes. After a failed call a
+change may have been missed, so the next processes are called one by one without holding. The failed
+call and those that follow together stay below the time in which a change must be in force.
+
+This module does no I/O; callers pass in how long calls took.
 """
 
 from __future__ import annotations
@@ -16,23 +18,23 @@
 
 WAIT_MS = 900
 CALL_TIMEOUT_S = 1.3
-"""Above the time for which an answer may be held."""
+"""Longer than the time for which a reply may be held (``WAIT_MS``)."""
 
 QUICK_TIMEOUT_S = 0.35
-"""For an answer that is not held: two silent processes in a row cost 1.65 s."""
+"""Timeout of a call that is not held: two unresponsive processes in a row cost 1.65 s."""
 
 FIRST_TIMEOUT_S = 1.0
 RETRY_PAUSE_S = 0.1
 
-_SILENCE = frozenset({FailureKind.TIMEOUT, FailureKind.UNREACHABLE})
+_NO_REPLY = frozenset({FailureKind.TIMEOUT, FailureKind.UNREACHABLE})
 
 
 class WatchOptions(msgspec.Struct, frozen=True):
-    """How the next question is put.
+    """Options of one poll.
 
     Attributes:
-        wait_ms: For how long the answer may be held.
-        timeout_s: Longest wait for the answer.
+        wait_ms: Longest time for which the reply may be held, in milliseconds.
+        timeout_s: Timeout of the call, in seconds.
     """
 
     wait_ms: int
@@ -40,62 +42,73 @@
 
 
 class WatchSchedule:
-    """What the next question looks like, by what became of those before."""
+    """Chooses the options of the next poll by the outcomes of earlier ones.
+
+    Args:
+        random: Varies the pauses between failed calls.
+    """
 
-    __slots__ = ("_random", "_silences", "_unanswered")
+    __slots__ = ("_has_failed", "_random", "_timeouts")
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._unanswered = False
-        self._silences = 0
+        self._has_failed = False
+        self._timeouts = 0
 
     def next_options(
         self, has_state: bool, processes: int, *, at_once: bool = False
     ) -> WatchOptions:
-        """Return how to ask.
+        """Return the options of the next poll.
 
         Args:
-            has_state: The asker has had a state before.
-            processes: Control processes that are known.
-            at_once: Somebody waits for the answer, whether there is news or not.
+            has_state: Whether the caller has any state of the registry.
+            processes: Number of known control processes.
+            at_once: Whether the reply must not be held, because requests wait for it.
         """
         if not has_state:
             return WatchOptions(0, FIRST_TIMEOUT_S)
-        if not (self._unanswered or at_once):
+        if not (self._has_failed or at_once):
             return WatchOptions(WAIT_MS, CALL_TIMEOUT_S)
-        # All in a row may be slow, not silent: large answers to many processes that start at once.
-        is_quick = self._silences <= processes
+        # If every process timed out, they may be slow rather than down: large replies to many
+        # processes that start at the same time.
+        is_quick = self._timeouts <= processes
         return WatchOptions(0, QUICK_TIMEOUT_S if is_quick else CALL_TIMEOUT_S)
 
     def record_success(self) -> None:
-        """Note an answer that can be relied on."""
-        self._unanswered = False
-        self._silences = 0
+        """Record a valid reply."""
+        self._has_failed = False
+        self._timeouts = 0
 
     def record_failure(self, failure: Failure, lasted_s: float) -> float:
-        """Note that a process is of no use now; return the pause before the next, in seconds.
+        """Record a failed call and return the pause before the next call, in seconds.
 
         Args:
-            failure: What it answered, or that it did not.
-            lasted_s: How long that took; it counts as a part of the pause.
+            failure: Failure that the process returned, or why it could not be reached.
+            lasted_s: Duration of the call in seconds; it is subtracted from the pause.
         """
-        self._unanswered = True
-        if failure.kind in _SILENCE:
-            self._silences += 1
+        self._has_failed = True
+        if failure.kind in _NO_REPLY:
+            self._timeouts += 1
         pause_s = RETRY_PAUSE_S * self._random.uniform(0.5, 1.5)
         return max(0.0, pause_s - lasted_s)
 
 
 def check_not_behind(reply: WatchReply, table_version: int, revision: int) -> Failure | None:
-    """Return a failure if an answer comes from a process that knows less than the asker."""
-    says_nothing = reply.table_version < 0
-    if says_nothing or (reply.table_version >= table_version and reply.revision >= revision):
+    """Return a failure if the replying process has older state than the caller, else None.
+
+    Args:
+        reply: Reply of a control process.
+        table_version: Version of the caller's route table, -1 for none.
+        revision: Revision of the caller's view, -1 for none.
+    """
+    has_no_versions = reply.table_version < 0
+    if has_no_versions or (reply.table_version >= table_version and reply.revision >= revision):
         return None
     return Failure(
         kind=FailureKind.STALE,
         reason=(
-            f"it has table {reply.table_version} and revision {reply.revision}, "
-            f"here are {table_version} and {revision}"
+            f"it has table {reply.table_version} and revision {reply.revision}, older than "
+            f"{table_version} and {revision} here"
         ),
         step=Step.EXCHANGING,
     )
--- a/tests/unit/seeded_support.py
+++ b/tests/unit/seeded_support.py
@@ -1,4 +1,7 @@
-"""Control and store processes of a seeded deployment, as objects in one process on loopback."""
+"""Test support: processes of a seeded deployment as objects in one process, on loopback addresses.
+
+In a seeded deployment, machines find each other through a configured list of seed addresses.
+"""
 
 from __future__ import annotations
 
@@ -35,11 +38,11 @@
 READY_PORT = 19073
 
 ELECTIONS = MachineElections(heartbeat_s=0.2, timeout_min_s=0.6, timeout_max_s=1.2)
-"""Many nodes share one interpreter here, perhaps beside busy processes."""
+"""Longer than the defaults: many nodes share one interpreter on a machine that may be busy."""
 
 
 def wait_until(condition: Callable[[], object], timeout_s: float = 15.0) -> None:
-    """Wait for a condition; fails the test when it does not come true in time."""
+    """Wait for a condition; fail the test if it does not come true within ``timeout_s``."""
     until_s = time.monotonic() + timeout_s
     while not condition():
         assert time.monotonic() < until_s, "the condition did not come true in time"
@@ -47,10 +50,10 @@
 
 
 class GatewayThread:
-    """A gateway with an event loop in a thread of its own.
+    """Gateway that runs its event loop in a separate thread.
 
     Attributes:
-        address: Where it takes callers.
+        address: ``host:port`` on which the gateway accepts requests.
     """
 
     def __init__(self, config: MachineConfig) -> None:
@@ -63,12 +66,12 @@
         assert self._started.wait(10), "the gateway does not listen"
 
     def stop(self) -> None:
-        """End it as a kill does."""
+        """Stop the event loop without a graceful shutdown, as a kill would."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
     def is_ready(self) -> bool:
-        """Return whether it says that it has a route table."""
+        """Return whether the gateway reports that it has a route table."""
         caller = RawCaller(self._config.listen.ready)
         try:
             return caller.ask("GET", READY_PATH, {"Host": "any"}).status == 200
@@ -93,14 +96,17 @@
 
 
 class SeededFleet:
-    """Machines by name; each keeps its folder when it is stopped.
+    """Processes of one deployment, by machine name; data folders stay when a process stops.
 
     Attributes:
-        net: First three numbers of its loopback addresses.
+        net: First three numbers of the fleet's loopback addresses.
+        controls: Running control processes.
+        stores: Running store processes.
+        gateways: Running gateways.
     """
 
     def __init__(self, folder: Path) -> None:
-        # Own loopback addresses for each fleet and test process: tests run side by side.
+        # Each fleet of each test process has its own loopback addresses, for parallel tests.
         self.net = f"127.{FIRST_NET + os.getpid() % NETS}.{next(_FLEETS)}"
         self._folder = folder
         self.controls: dict[str, RegistryNode] = {}
@@ -117,7 +123,7 @@
         return node
 
     def try_to_start_control(self, number: int) -> None:
-        """Start a control process whose start may fail; it is no member of the fleet."""
+        """Start a control process whose start may fail; it is not added to ``controls``."""
         config = self._config(f"core-{number}", f"{self.net}.{number}", True)
         node = RegistryNode(config, SystemClock(), Random())
         self._failed.append(node)
@@ -143,7 +149,7 @@
         return self.gateways[name]
 
     def control_addresses(self) -> list[str]:
-        """Return the RPC addresses of the control machines that are up."""
+        """Return the RPC addresses of the running control processes."""
         return [f"{self.net}.{name.rpartition('-')[2]}:{RPC_PORT}" for name in self.controls]
 
     def store_address(self, number: int) -> str:
@@ -151,7 +157,7 @@
         return f"{self.net}.{STORE_HOSTS + number}:{RPC_PORT}"
 
     def forget_disk(self, name: str) -> None:
-        """Lose a stopped machine's disk."""
+        """Delete the data folder of a stopped machine."""
         shutil.rmtree(self._folder / name)
 
     def stop(self) -> None:
@@ -161,7 +167,7 @@
             node.stop()
 
     def leader(self) -> RegistryNode | None:
-        """Return the control process that leads the registry."""
+        """Return the control process that leads the registry, None without exactly one leader."""
         leading = [node for node in self.controls.values() if node.leads()]
         return leading[0] if len(leading) == 1 else None
 
--- a/tests/unit/test_changes_in_force.py
+++ b/tests/unit/test_changes_in_force.py
@@ -1,4 +1,7 @@
-"""An accepted route table is in force at each gateway in time, whatever control processes do."""
+"""Tests that an accepted route table is in force at each gateway in time.
+
+This must hold while control processes fail.
+"""
 
 from __future__ import annotations
 
@@ -24,11 +27,11 @@
 
 CONTROLS = 5
 IN_FORCE_S = 2.0
-"""What the seeded deployments promise."""
+"""Time in which a change must be in force in seeded deployments, in seconds."""
 
 
 class InOrder(Random):
-    """Leaves the control processes in the order in which they are given."""
+    """Random source that does not shuffle, so control processes are polled in the given order."""
 
     def shuffle(self, x: object) -> None:
         pass
@@ -46,10 +49,10 @@
 def put(node: RegistryNode, version: int) -> None:
     table = make_table(version=version)
 
-    def is_held() -> bool:
+    def is_stored() -> bool:
         return node.put_table(table, str(version)) == StoredTableVersion(version)
 
-    wait_until(is_held)
+    wait_until(is_stored)
 
 
 def test_a_gateway_leaves_a_control_process_whose_start_failed(
@@ -57,7 +60,10 @@
     monkeypatch: pytest.MonkeyPatch,
     paused_s: Callable[[], float],
 ) -> None:
-    """Its port stayed open, and it said "nothing newer" for good to the gateway that came to it."""
+    """Guards against a gateway that stays with a process without a running replica.
+
+    The failure: the process kept its port open and replied "nothing newer" forever.
+    """
     leader = fleet.controls["core-1"]
     wait_until(lambda: len(leader.hub.status().voters) == CONTROLS)
     put(leader, 1)
@@ -71,7 +77,7 @@
         return start(replica)
 
     monkeypatch.setattr(GroupReplica, "start", on_a_full_disk)
-    # The interpreter prints what a start raises; threads that were started before go on.
+    # As in a real process, the exception is only printed, and threads started before it go on.
     fleet.try_to_start_control(3)
     seeds = (f"{fleet.net}.2:{RPC_PORT}", broken, *fleet.control_addresses())
     rpc = RpcClient(CLUSTER_KEY, 1)
@@ -89,10 +95,13 @@
         rpc.close()
 
 
-def test_an_error_on_back_ends_keeps_no_route_table_from_a_gateway(
+def test_an_error_in_applying_back_ends_does_not_block_the_route_table(
     fleet: SeededFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What was done before the table in the same callback raised: it was never in force."""
+    """Guards against a route table that is never in force.
+
+    The failure: the update of the back ends, earlier in the same callback, raised an exception.
+    """
 
     def fails(_balancer: Balancer, _records: object) -> None:
         raise KeyError("i-1")
--- a/tests/unit/test_registry_fleet.py
+++ b/tests/unit/test_registry_fleet.py
@@ -1,4 +1,7 @@
-"""Control and store processes that find each other by seeds, over real sockets and files."""
+"""Integration tests of control and store processes that find each other through seed addresses.
+
+They use real sockets and files. A *lot* is a batch job of opaque items.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SeededFleet]:
     fleet = SeededFleet(tmp_path_factory.mktemp("seeded"))
-    # The seeds last: nobody listens yet when the others start.
+    # The seeds start last, so that no process listens yet when the others start.
     for number in range(CONTROLS, 0, -1):
         fleet.start_control(number)
     for number in range(1, STORES + 1):
@@ -41,40 +44,43 @@
     fleet.stop()
 
 
-def test_machines_that_know_only_seeds_become_one_registry(fleet: SeededFleet) -> None:
+def test_machines_that_know_only_seeds_form_one_registry(fleet: SeededFleet) -> None:
     wait_until(lambda: fleet.leader() is not None)
     for node in fleet.controls.values():
         wait_until(lambda node=node: len(node.hub.status().voters) == CONTROLS)
 
 
-LEADERS_MOST = 5
-"""Leaders that are waited for: after a pause of this process, in which all nodes of the fleet run,
-another one may lead, which begins to hear the others then.
+MAX_LEADERS = 5
+"""Number of leaders to wait for. All nodes of the fleet run in this process: after a pause of the
+process another node may lead, and its record of contacts begins then.
 """
 
 
-def hears(leader: RegistryNode, names: set[str]) -> bool:
+def has_contact(leader: RegistryNode, names: set[str]) -> bool:
     members = {item.name for item in leader.hub.view().members}
     return members == names and all(leader.silence_s(name) is not None for name in names)
 
 
-def test_the_leader_hears_all_through_every_process(
+def test_the_leader_learns_of_contacts_from_every_process(
     fleet: SeededFleet, paused_s: Callable[[], float]
 ) -> None:
-    """Words of some processes never came to a leader that was not among the first voters."""
+    """Guards against liveness reports that never reach the leader.
+
+    The failure: reports of some processes were lost if the leader was not among the first voters.
+    """
     names = {*fleet.controls, *fleet.stores}
-    for _ in range(LEADERS_MOST):
+    for _ in range(MAX_LEADERS):
         wait_until(lambda: fleet.leader() is not None)
         leader = fleet.leader()
         if leader is None:
             continue
-        wait_until(lambda leader=leader: hears(leader, names) or fleet.leader() is not leader)
+        wait_until(lambda leader=leader: has_contact(leader, names) or fleet.leader() is not leader)
         time.sleep(2.5)
         if fleet.leader() is leader:
             break
     assert leader is not None
-    assert hears(leader, names)
-    # Pauses of this process, in which all nodes of the fleet run, are nobody's silence.
+    assert has_contact(leader, names)
+    # All nodes of the fleet run in this process, so its pauses do not count as silence.
     silences_s = {name: leader.silence_s(name) for name in names}
     bound_s = 2.0 + paused_s()
     assert all(value is not None and value < bound_s for value in silences_s.values()), silences_s
@@ -92,7 +98,7 @@
             assert (source.version, source.source) == (version, f"text {version}")
 
 
-def test_the_lots_group_is_founded_and_keeps_a_lot(fleet: SeededFleet) -> None:
+def test_the_lots_group_is_founded_and_stores_a_lot(fleet: SeededFleet) -> None:
     wait_until(lambda: fleet.leader() is not None)
     leader = fleet.leader()
     assert leader is not None
@@ -142,7 +148,10 @@
 def test_stores_lead_their_group_again_while_all_control_processes_are_down(
     tmp_path: Path,
 ) -> None:
-    """When all machines start at once, stores waited for a leader of the registry first."""
+    """Guards against stores that wait for a leader of the registry.
+
+    The failure: when all machines start at once, the stores' own group had no leader until then.
+    """
     fleet = SeededFleet(tmp_path)
     try:
         for number in (1, 2, 3):
--- a/tests/unit/test_registry_follower.py
+++ b/tests/unit/test_registry_follower.py
@@ -1,4 +1,4 @@
-"""The copy of the registry in a gateway or a store."""
+"""Tests of the follower, which keeps the copy of the registry in a gateway or a store."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class Hubs:
-    """Stands for the RPC client: control processes that answer what a test says."""
+    """Test double of the RPC client: control processes that reply as a test specifies."""
 
     def __init__(self, answer: Callable[[str, WatchRequest], WatchReply | Failure]) -> None:
         self.answer = answer
-        self.asked: list[tuple[str, WatchRequest]] = []
+        self.calls: list[tuple[str, WatchRequest]] = []
 
     def call(
         self, hub: str, _kind: object, request: WatchRequest, *_: object, **__: object
     ) -> object:
-        self.asked.append((hub, request))
+        self.calls.append((hub, request))
         return self.answer(hub, request)
 
 
@@ -62,27 +62,30 @@
     return follower
 
 
-def test_a_receiver_that_fails_once_is_told_again() -> None:
-    """The thread ended with the receiver's fault, and the process never heard anything again."""
-    told: list[int] = []
+def test_a_receiver_that_raises_is_called_again() -> None:
+    """Guards against a process that gets no more changes.
+
+    The failure: an exception of the receiver ended the follower's thread.
+    """
+    received: list[int] = []
 
     def changed(snapshot: Snapshot) -> None:
-        told.append(snapshot.table.version)
-        if len(told) == 1:
+        received.append(snapshot.table.version)
+        if len(received) == 1:
             raise sqlite3.OperationalError("database or disk is full")
 
     follower = follow(Hubs(lambda _hub, _request: reply(3)), changed)
-    wait_until(lambda: len(told) >= 2, 5.0)
+    wait_until(lambda: len(received) >= 2, 5.0)
     follower.stop()
-    assert told[:2] == [3, 3]
+    assert received[:2] == [3, 3]
 
 
-def test_a_question_that_raises_is_asked_again() -> None:
-    """A process kept its old routes and back ends for good, though all others had newer ones.
+def test_a_call_that_raises_is_repeated() -> None:
+    """Guards against a process that keeps old routes and back ends forever.
 
-    Sequence: asking a control process raises what the client does not turn into a failure. Cause:
-    the thread ended, and nobody watches it. What settled it: no further question reached any
-    control process, and no line but the interpreter's own told of it.
+    The failure: an exception that the RPC client does not turn into a ``Failure`` ended the
+    follower's thread. No further call reached a control process, and only the interpreter reported
+    the exception.
     """
     raised: list[str] = []
 
@@ -92,38 +95,41 @@
             raise RuntimeError("can't start new thread")
         return reply(3)
 
-    told: list[int] = []
-    follower = follow(Hubs(answer), lambda snapshot: told.append(snapshot.table.version))
-    wait_until(lambda: told == [3], 5.0)
+    received: list[int] = []
+    follower = follow(Hubs(answer), lambda snapshot: received.append(snapshot.table.version))
+    wait_until(lambda: received == [3], 5.0)
     follower.stop()
 
 
-def test_it_never_goes_back() -> None:
+def test_older_state_never_replaces_newer_state() -> None:
     versions = iter([5, 3, 4, 6])
-    told: list[int] = []
+    received: list[int] = []
     hubs = Hubs(lambda _hub, _request: reply(next(versions, 6)))
-    follower = follow(hubs, lambda snapshot: told.append(snapshot.table.version))
-    wait_until(lambda: len(hubs.asked) > 6, 5.0)
+    follower = follow(hubs, lambda snapshot: received.append(snapshot.table.version))
+    wait_until(lambda: len(hubs.calls) > 6, 5.0)
     follower.stop()
-    assert told == [5, 6]
-    # The first answer must be fresh by quorum.
-    assert [request.fresh for _, request in hubs.asked[:3]] == [True, False, False]
+    assert received == [5, 6]
+    # The first reply must come from the leader, confirmed by a quorum.
+    assert [request.fresh for _, request in hubs.calls[:3]] == [True, False, False]
 
 
-def test_a_process_that_does_not_answer_is_left_for_the_next() -> None:
+def test_after_a_failure_the_next_process_is_polled() -> None:
     failure = Failure(kind=FailureKind.STALE, reason="cut off", step=Step.EXCHANGING)
     hubs = Hubs(lambda hub, _request: reply(2) if hub == "b:1" else failure)
-    told: list[int] = []
-    follower = follow(hubs, lambda snapshot: told.append(snapshot.table.version))
-    wait_until(lambda: told == [2], 5.0)
-    asked = len(hubs.asked)
-    wait_until(lambda: len(hubs.asked) > asked + 3, 5.0)
+    received: list[int] = []
+    follower = follow(hubs, lambda snapshot: received.append(snapshot.table.version))
+    wait_until(lambda: received == [2], 5.0)
+    call_count = len(hubs.calls)
+    wait_until(lambda: len(hubs.calls) > call_count + 3, 5.0)
     follower.stop()
-    assert {hub for hub, _ in hubs.asked[asked:]} == {"b:1"}
+    assert {hub for hub, _ in hubs.calls[call_count:]} == {"b:1"}
+
 
+def test_a_process_with_older_state_is_left_for_the_next() -> None:
+    """Guards against following a process with old state forever.
 
-def test_a_process_that_knows_less_is_left_for_the_next() -> None:
-    """It answers in time and has nothing newer, so it was followed for good."""
+    The failure: such a process replies in time that it has nothing newer.
+    """
 
     def answer(hub: str, request: WatchRequest) -> WatchReply:
         if request.fresh or hub == "b:1":
@@ -131,14 +137,14 @@
             return msgspec.structs.replace(reply(version), table_version=version, revision=version)
         return msgspec.structs.replace(reply(0), table=None, view=None, table_version=0, revision=0)
 
-    told: list[int] = []
-    follower = follow(Hubs(answer), lambda snapshot: told.append(snapshot.table.version))
-    wait_until(lambda: told == [3, 4], 5.0)
+    received: list[int] = []
+    follower = follow(Hubs(answer), lambda snapshot: received.append(snapshot.table.version))
+    wait_until(lambda: received == [3, 4], 5.0)
     follower.stop()
 
 
 class SilentHubs(Hubs):
-    """Control processes of which some never answer, once they are told to."""
+    """Control processes of which those in ``silent`` never reply."""
 
     silent: frozenset[str] = frozenset()
 
@@ -153,10 +159,13 @@
         return Failure(kind=FailureKind.TIMEOUT, reason="", step=Step.RESPONDING)
 
 
-def test_a_change_is_known_in_time_though_two_processes_in_a_row_are_silent(
+def test_a_change_arrives_in_time_though_two_processes_in_a_row_are_unresponsive(
     paused_s: Callable[[], float],
 ) -> None:
-    """Each silent one was waited for as if it held the call: 2.9 s for two."""
+    """Guards against late changes.
+
+    The failure: the timeout of a held call was used for each unresponsive process, 2.9 s for two.
+    """
     version = 1
     hubs = SilentHubs(lambda _hub, _request: reply(version))
     follower = follow(hubs, lambda _snapshot: None, ("a:1", "b:1", "c:1"))
@@ -170,13 +179,13 @@
         snapshot = follower.snapshot()
         return snapshot is not None and snapshot.table.version == 2
 
-    # The call under way is answered with the version before.
+    # The call in progress returns the version before.
     wait_until(is_known, 8.0)
     follower.stop()
     assert time.monotonic() - began_s - (paused_s() - before_s) < 2.0
 
 
-def test_the_age_of_the_table_counts_from_what_an_answer_rests_on() -> None:
+def test_the_age_of_the_table_includes_the_contact_age_of_the_reply() -> None:
     def answer(_hub: str, _request: WatchRequest) -> WatchReply:
         return msgspec.structs.replace(reply(3), contact_age_s=0.7)
 
@@ -196,10 +205,10 @@
     follower.stop()
 
 
-def test_a_store_whose_disk_is_full_at_its_start_says_so(
+def test_a_store_whose_disk_is_full_at_its_start_reports_a_fault(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It went on without a replica for good: its process must end, to start anew."""
+    """Guards against a store that runs on without a replica: its process must end and restart."""
     fleet = SeededFleet(tmp_path)
     start = GroupReplica.start
 
@@ -223,26 +232,27 @@
 
 
 class SteppedClock(SystemClock):
-    """The machine's clock, which a test can put forward: the process stood still."""
+    """Clock that a test can move forward to simulate a stall of the process."""
 
-    stood_s = 0.0
+    stalled_s = 0.0
 
     def monotonic_s(self) -> float:
-        return super().monotonic_s() + self.stood_s
+        return super().monotonic_s() + self.stalled_s
 
 
-def test_after_a_standstill_what_is_known_is_in_doubt_until_a_process_answers_at_once() -> None:
-    """A gateway that woke up sent requests to back ends that had left meanwhile.
+def test_after_a_stall_the_state_is_in_doubt_until_a_process_replies_without_holding() -> None:
+    """Guards against requests to back ends that left while the gateway was suspended.
 
-    The next question was held at the control process like all others, for 0.9 s without news.
+    The failure: the first call after a stall was held at the control process like all others, for
+    0.9 s without a change.
     """
-    clock, answers = SteppedClock(), threading.Event()
-    answers.set()
+    clock, may_reply = SteppedClock(), threading.Event()
+    may_reply.set()
 
     def answer(_hub: str, request: WatchRequest) -> WatchReply:
         if request.fresh:
             return reply(3)
-        answers.wait(5.0)
+        may_reply.wait(5.0)
         time.sleep(request.wait_ms / 1000)
         return reply(3)
 
@@ -256,14 +266,14 @@
         lambda _snapshot: None,
     )
     follower.start()
-    wait_until(lambda: len(hubs.asked) > 1, 5.0)
+    wait_until(lambda: len(hubs.calls) > 1, 5.0)
     assert not follower.is_in_doubt()
-    answers.clear()
-    clock.stood_s = 5.0
+    may_reply.clear()
+    clock.stalled_s = 5.0
     assert follower.is_in_doubt()
-    asked = len(hubs.asked)
-    answers.set()
+    call_count = len(hubs.calls)
+    may_reply.set()
     wait_until(lambda: not follower.is_in_doubt(), 5.0)
     follower.stop()
-    # The one under way says nothing of the time in which the process stood still.
-    assert hubs.asked[asked][1].wait_ms == 0
+    # The call in progress cannot confirm the state, since it was sent before the stall.
+    assert hubs.calls[call_count][1].wait_ms == 0
--- a/tests/unit/test_registry_rpc_threads.py
+++ b/tests/unit/test_registry_rpc_threads.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a leader never keep the messages that elect one from coming through."""
+"""Tests that calls waiting for a leader do not block the messages that elect one."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 CALLERS = 100
 WAIT_S = 1.0
 PAUSE_S = 0.2
-"""A caller that is refused comes back after a while."""
+"""Pause of a caller between two calls, in seconds."""
 
 
 class LeaderlessReplica:
-    """Lets every call wait, as a replica does that hears no quorum."""
+    """Test double of a replica without a quorum: every call waits, then fails."""
 
     def propose(self, _command: bytes, _timeout_s: float) -> Failure:
         time.sleep(WAIT_S)
@@ -40,7 +40,10 @@
 
 
 def test_votes_come_through_while_calls_wait_for_a_leader(paused_s: Callable[[], float]) -> None:
-    """Fronts' calls held all 48 threads of each store, so no leader was elected any more."""
+    """Guards against an election that never ends.
+
+    The failure: calls of gateways occupied all 48 threads of each store, so no leader was elected.
+    """
     rpc = RpcClient(CLUSTER_KEY, 1)
     host = GroupHost(
         "127.0.0.1:1",
--- a/tests/unit/test_registry_start.py
+++ b/tests/unit/test_registry_start.py
@@ -1,4 +1,7 @@
-"""While a replica runs, its process can be reached: a refused connection says that it has ended."""
+"""Tests that the RPC port of a process is open while its replica runs.
+
+Peers take a refused connection as proof that the process has ended.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from leverjunction.registry.records import JOBS_GROUP, GroupRecord
 
 
-def is_reached(address: str) -> bool:
+def is_port_open(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), timeout=2.0):
@@ -23,32 +26,34 @@
 
 
 @pytest.fixture
-def reached(monkeypatch: pytest.MonkeyPatch) -> list[bool]:
-    """Whether the port was reached before each start and after each stop of a replica."""
-    seen: list[bool] = []
+def port_open(monkeypatch: pytest.MonkeyPatch) -> list[bool]:
+    """Return whether the port was open before each start and after each stop of a replica."""
+    open_states: list[bool] = []
     start, stop = GroupReplica.start, GroupReplica.stop
 
     def observed_start(replica: GroupReplica) -> Failure | None:
-        seen.append(is_reached(replica.config.address))
+        open_states.append(is_port_open(replica.config.address))
         return start(replica)
 
     def observed_stop(replica: GroupReplica) -> None:
         stop(replica)
-        seen.append(is_reached(replica.config.address))
+        open_states.append(is_port_open(replica.config.address))
 
     monkeypatch.setattr(GroupReplica, "start", observed_start)
     monkeypatch.setattr(GroupReplica, "stop", observed_stop)
-    return seen
+    return open_states
 
 
-def test_a_control_process_can_be_reached_while_its_replica_runs(
-    tmp_path: Path, reached: list[bool]
+def test_the_port_of_a_control_process_is_open_while_its_replica_runs(
+    tmp_path: Path, port_open: list[bool]
 ) -> None:
     SeededFleet(tmp_path).start_control(1).stop()
-    assert reached == [True, True]
+    assert port_open == [True, True]
 
 
-def test_a_store_can_be_reached_while_its_replica_runs(tmp_path: Path, reached: list[bool]) -> None:
+def test_the_port_of_a_store_is_open_while_its_replica_runs(
+    tmp_path: Path, port_open: list[bool]
+) -> None:
     fleet = SeededFleet(tmp_path)
     address = fleet.store_address(1)
     store = fleet.start_store(1)
@@ -56,4 +61,4 @@
         store._start_replica(GroupRecord(name=JOBS_GROUP, founders=(address,), voters=(address,)))
     finally:
         store.stop()
-    assert reached == [True, True]
+    assert port_open == [True, True]
--- a/tests/unit/test_registry_starts.py
+++ b/tests/unit/test_registry_starts.py
@@ -1,12 +1,12 @@
-"""A back end that starts again under its id is another start: it is used, and knows nothing.
+"""Tests of a back end that restarts under the same id: it is a new start without any history.
 
-A back end crashed and was started again under the id that it had, with its counts from the
-beginning. Its words were taken for late ones of the start before, whose count was higher, or which
-had left: it got no work until its own count had passed the old one, or never. A word with count 1
-after one with 50, after a farewell, after an end: refused each time.
+The failure: a back end crashed and restarted under the same id, and its sequence numbers began
+anew. Its messages were taken for delayed ones of the start before, which had a higher sequence
+number or had left. The back end got no work until its sequence number exceeded the old one, or
+never. A message with number 1 was refused after one with 50, after a leave, and after an end.
 
-Mended: each word names the moment of the start; a later start replaces all that is known of the
-earlier one, and words of an earlier one change nothing.
+Each message therefore contains the start time. A later start replaces everything known of an
+earlier one, and messages of an earlier start change nothing.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from leverjunction.registry.hub import RegistryHub
 from leverjunction.registry.node import RegistryNode
 from leverjunction.registry.records import RunnerRecord, RunnerState
-from leverjunction.registry.start_liveness import ALIVE_S, StartLiveness
+from leverjunction.registry.start_liveness import MIN_ALIVE_S, StartLiveness
 
 CONTROLS = 3
 SOON_S = 1.0
@@ -46,7 +46,7 @@
     fleet.stop()
 
 
-def _soon(condition: Callable[[], bool]) -> bool:
+def _comes_true_soon(condition: Callable[[], bool]) -> bool:
     until_s = time.monotonic() + SOON_S
     while not condition():
         if time.monotonic() > until_s:
@@ -56,14 +56,14 @@
 
 
 class BackEnd:
-    """Says what a back end says, through the platform's calls."""
+    """Sends the messages of a back end through the platform's HTTP calls."""
 
     def __init__(self, calls: ControlCalls) -> None:
         self._calls = calls
         self.runner_id = f"i-{next(_IDS)}"
 
     def beat(self, born: object, sequence: int, address: str = "a:1", state: str = "ready") -> str:
-        form = {
+        payload = {
             "Service": "s",
             "Address": address,
             "Zone": "z",
@@ -74,8 +74,8 @@
             "Sequence": sequence,
         }
         if born is not None:
-            form["born"] = born
-        return self._post("/api/Instances.Heartbeat/", form)
+            payload["born"] = born
+        return self._post("/api/Instances.Heartbeat/", payload)
 
     def leave(self, born: object = None) -> str:
         return self._post("/api/Instances.Leave/", {} if born is None else {"born": born})
@@ -85,27 +85,27 @@
         return next((item for item in runners if item.runner_id == self.runner_id), None)
 
     def is_at(self, address: str, state: RunnerState = RunnerState.READY) -> bool:
-        """Return whether it is known there, waiting a moment: the view follows the answer."""
-        return _soon(lambda: self._is(address, state))
+        """Return whether it is registered there; waits, as the view is updated after the reply."""
+        return _comes_true_soon(lambda: self._is(address, state))
 
     def is_gone(self) -> bool:
-        return _soon(lambda: self.known() is None)
+        return _comes_true_soon(lambda: self.known() is None)
 
     def _is(self, address: str, state: RunnerState) -> bool:
         known = self.known()
         return known is not None and (known.address, known.state) == (address, state)
 
-    def _post(self, folder: str, form: object) -> str:
-        body = msgspec.json.encode(form)
+    def _post(self, folder: str, payload: object) -> str:
+        body = msgspec.json.encode(payload)
         environ = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": folder + self.runner_id,
             "CONTENT_LENGTH": str(len(body)),
             "wsgi.input": io.BytesIO(body),
         }
-        told: list[str] = []
-        self._calls(environ, lambda status, _headers: told.append(status))
-        return told[0]
+        statuses: list[str] = []
+        self._calls(environ, lambda status, _headers: statuses.append(status))
+        return statuses[0]
 
 
 def test_a_later_start_replaces_an_earlier_one(calls: ControlCalls) -> None:
@@ -121,10 +121,13 @@
         assert known.sequence == 1
 
 
-def test_a_leader_takes_messages_before_it_knows_what_is_committed(
+def test_a_leader_accepts_messages_while_its_state_is_stale(
     calls: ControlCalls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Right after a founding, back ends were told to ask another process; it is the leader."""
+    """Guards against back ends that cannot register right after the group is founded.
+
+    The failure: the new leader itself told them to use another process.
+    """
     leader = BackEnd(calls)
     stale = Failure(kind=FailureKind.STALE, reason="no contact yet", step=Step.EXCHANGING)
     monkeypatch.setattr(RegistryHub, "stale", lambda _hub: stale)
@@ -133,7 +136,7 @@
     assert leader.beat(1_000, 2).startswith("503")
 
 
-def test_each_word_concerns_its_own_start(calls: ControlCalls) -> None:
+def test_each_message_applies_to_its_own_start(calls: ControlCalls) -> None:
     back_end = BackEnd(calls)
     back_end.beat(2_000, 1, address="b:1")
     assert back_end.is_at("b:1")
@@ -154,7 +157,7 @@
     assert back_end.is_gone()
 
 
-def test_without_the_moment_of_its_start_one_that_left_stays_away(calls: ControlCalls) -> None:
+def test_without_a_start_time_a_back_end_that_left_stays_gone(calls: ControlCalls) -> None:
     back_end = BackEnd(calls)
     back_end.beat(None, 5)
     back_end.leave()
@@ -171,32 +174,32 @@
     assert back_end.is_at("a:30")
 
 
-def test_a_start_that_seems_earlier_but_goes_on_is_taken() -> None:
-    """A machine's clock was set back between two starts of its back end."""
+def test_a_start_with_an_earlier_time_that_keeps_sending_is_accepted() -> None:
+    """Covers a machine whose clock was set back between two starts of its back end."""
     starts = StartLiveness()
     assert not starts.is_alive("i-1@5", 1, 0.0)
-    assert not starts.is_alive("i-1@5", 9, ALIVE_S - 0.1)
-    # An old word that comes late does not count, however late it comes.
-    assert not starts.is_alive("i-1@5", 2, ALIVE_S + 60)
-    assert starts.is_alive("i-1@5", 10, ALIVE_S)
+    assert not starts.is_alive("i-1@5", 9, MIN_ALIVE_S - 0.1)
+    # A delayed message with a lower number does not count, however late it arrives.
+    assert not starts.is_alive("i-1@5", 2, MIN_ALIVE_S + 60)
+    assert starts.is_alive("i-1@5", 10, MIN_ALIVE_S)
 
 
-def test_what_was_known_of_an_earlier_start_dies_with_it() -> None:
+def test_a_new_start_discards_what_the_balancer_knew_of_the_earlier_one() -> None:
     balancer = Balancer("z", Random(1))
     first = RunnerRecord(
         runner_id="i-1", service="s", address="a:1", zone="z", slots=4, born_ms=1_000
     )
     balancer.replace([first])
-    seat = balancer.available("s")[0]
+    runner = balancer.available("s")[0]
     for _ in range(5):
-        balancer.failed(seat, 10.0)
+        balancer.failed(runner, 10.0)
     balancer.set_other_loads({first.start: 4}, 10.0)
     balancer.replace([msgspec.structs.replace(first, sequence=9)])
-    assert balancer.available("s")[0] is seat
+    assert balancer.available("s")[0] is runner
     second = msgspec.structs.replace(first, born_ms=2_000)
     balancer.replace([second])
     [fresh] = balancer.available("s")
     assert (fresh.suspicion(10.0), fresh.other_requests, fresh.ejected_until_s) == (0.0, 0.0, 0.0)
-    # What a process that has not heard of the new start tells of the old one is not taken for it.
+    # Loads of the old start, reported by a process that does not know the new one, do not count.
     balancer.set_other_loads({first.start: 4}, 11.0)
     assert fresh.other_requests == 0.0
--- a/tests/unit/test_registry_watch_schedule.py
+++ b/tests/unit/test_registry_watch_schedule.py
@@ -1,4 +1,4 @@
-"""How long a change may take to a gateway while control processes fail, by the plan of asking."""
+"""Tests of the poll schedule: delay of a change to a gateway while control processes fail."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ANSWER_S = 0.05
 PROCESSES = 5
 
-SILENT = FailureKind.TIMEOUT
-CUT_OFF = FailureKind.STALE
+UNRESPONSIVE = FailureKind.TIMEOUT
+OUT_OF_CONTACT = FailureKind.STALE
 ENDED = FailureKind.NOT_LISTENING
 
 
@@ -31,62 +31,69 @@
 
 
 def longest_s(*kinds: FailureKind) -> float:
-    """Return how long a change may stay unknown, if processes fail so as it is acknowledged."""
-    plan = WatchSchedule(Random(1))
-    sum_s = 0.0
+    """Return the longest delay of a change if processes fail in this way when it is acknowledged.
+
+    Args:
+        kinds: Failure of each process in the order in which they are called.
+    """
+    schedule = WatchSchedule(Random(1))
+    total_s = 0.0
     for number, kind in enumerate(kinds):
-        ask = plan.next_options(True, PROCESSES)
-        if kind is SILENT:
-            lasted_s = ask.timeout_s
-        elif kind is CUT_OFF and number == 0:
-            # It holds the call for as long as its contact is recent.
+        options = schedule.next_options(True, PROCESSES)
+        if kind is UNRESPONSIVE:
+            lasted_s = options.timeout_s
+        elif kind is OUT_OF_CONTACT and number == 0:
+            # The process holds the call while its contact with the leader is recent.
             lasted_s = MAX_CONTACT_AGE_S
         else:
             lasted_s = ANSWER_S
-        sum_s += lasted_s + plan.record_failure(failure(kind), lasted_s)
-    return sum_s + ANSWER_S
+        total_s += lasted_s + schedule.record_failure(failure(kind), lasted_s)
+    return total_s + ANSWER_S
 
 
 @pytest.mark.parametrize(
     "kinds",
     [
         (),
-        (SILENT,),
-        (CUT_OFF,),
+        (UNRESPONSIVE,),
+        (OUT_OF_CONTACT,),
         (ENDED,),
-        (SILENT, SILENT),
-        (SILENT, CUT_OFF),
-        (CUT_OFF, SILENT),
-        (CUT_OFF, CUT_OFF),
-        (SILENT, ENDED),
-        (ENDED, SILENT),
-        (CUT_OFF, SILENT, ENDED),
+        (UNRESPONSIVE, UNRESPONSIVE),
+        (UNRESPONSIVE, OUT_OF_CONTACT),
+        (OUT_OF_CONTACT, UNRESPONSIVE),
+        (OUT_OF_CONTACT, OUT_OF_CONTACT),
+        (UNRESPONSIVE, ENDED),
+        (ENDED, UNRESPONSIVE),
+        (OUT_OF_CONTACT, UNRESPONSIVE, ENDED),
     ],
 )
-def test_one_process_and_one_more_may_fail(kinds: tuple[FailureKind, ...]) -> None:
-    """Two that say nothing took 2.9 s: each was waited for as if it held the call."""
+def test_changes_arrive_in_time_while_two_processes_fail(kinds: tuple[FailureKind, ...]) -> None:
+    """Guards against late changes.
+
+    The failure: the timeout of a held call was used for each unresponsive process, 2.9 s for two.
+    """
     assert longest_s(*kinds) < IN_FORCE_S
 
 
-def test_an_answer_is_held_again_once_one_came() -> None:
-    plan = WatchSchedule(Random(1))
-    held = plan.next_options(True, PROCESSES)
-    plan.record_failure(failure(SILENT), CALL_TIMEOUT_S)
-    assert plan.next_options(True, PROCESSES).wait_ms == 0
-    plan.record_success()
-    assert plan.next_options(True, PROCESSES) == held
+def test_calls_are_held_again_after_a_reply() -> None:
+    schedule = WatchSchedule(Random(1))
+    held = schedule.next_options(True, PROCESSES)
+    schedule.record_failure(failure(UNRESPONSIVE), CALL_TIMEOUT_S)
+    assert schedule.next_options(True, PROCESSES).wait_ms == 0
+    schedule.record_success()
+    assert schedule.next_options(True, PROCESSES) == held
 
 
-def test_slow_processes_get_the_long_time_after_each_was_asked() -> None:
-    """Short times alone would give up each large answer of a fleet that starts at once."""
-    plan = WatchSchedule(Random(1))
+def test_slow_processes_get_the_long_timeout_after_each_timed_out() -> None:
+    """Short timeouts alone would abort every large reply when all machines start together."""
+    schedule = WatchSchedule(Random(1))
     for _ in range(PROCESSES + 1):
-        plan.record_failure(failure(SILENT), QUICK_TIMEOUT_S)
-    assert plan.next_options(True, PROCESSES).timeout_s == CALL_TIMEOUT_S
+        schedule.record_failure(failure(UNRESPONSIVE), QUICK_TIMEOUT_S)
+    assert schedule.next_options(True, PROCESSES).timeout_s == CALL_TIMEOUT_S
 
 
 @pytest.mark.parametrize("kind", list(FailureKind))
-def test_whatever_fails_at_once_is_followed_by_a_pause(kind: FailureKind) -> None:
+def test_an_immediate_failure_is_followed_by_a_pause(kind: FailureKind) -> None:
     assert WatchSchedule(Random(1)).record_failure(failure(kind), 0.0) >= RETRY_PAUSE_S / 2
 
 
@@ -109,9 +116,9 @@
         (reply(4, 9), True),
         (reply(5, 8), True),
         (reply(0, 0), True),
-        # A process of an earlier release does not say.
+        # A process of an earlier release does not send its versions.
         (reply(-1, -1), False),
     ],
 )
-def test_a_process_that_knows_less_is_not_followed(answer: WatchReply, is_behind: bool) -> None:
+def test_a_process_with_older_state_is_not_followed(answer: WatchReply, is_behind: bool) -> None:
     assert (check_not_behind(answer, 5, 9) is not None) == is_behind
