--- a/src/leverjunction/registry/follower.py
+++ b/src/leverjunction/registry/follower.py
@@ -26,6 +26,7 @@
 from leverjunction.wire.rpc_client import RpcClient
 
 MAX_AGE_S = 3600.0
+"""Age that is reported for older state, and before any state is complete."""
 
 MIN_STALL_S = 0.5
 """Shortest stall after which the copy must be confirmed by a hub before back ends are chosen. With
--- a/src/leverjunction/registry/hub.py
+++ b/src/leverjunction/registry/hub.py
@@ -40,6 +40,7 @@
 MIN_WAIT_S = 0.01
 FRESH_TIMEOUT_S = 0.8
 MAX_AGE_S = 3600.0
+"""Age that is reported for older state, and before any state is complete."""
 
 
 class LeaderQueries(Protocol):
--- a/src/leverjunction/registry/node.py
+++ b/src/leverjunction/registry/node.py
@@ -66,10 +66,12 @@
 T = TypeVar("T")
 
 MAX_WATCHERS = 64
-"""Calls of gateways and stores held at the same time; each occupies a thread of the RPC server."""
+"""Number of calls of gateways and stores that can be held at the same time; each occupies a thread
+of the RPC server.
+"""
 
 COMMAND_TIMEOUT_S = 0.85
-"""Below 1 s, after which callers switch to another control process."""
+"""Timeout of a proposal or query; callers switch to another control process after 1 s."""
 
 LIVENESS_INTERVAL_S = 0.7
 RECONCILE_INTERVAL_S = 0.4
--- a/src/leverjunction/registry/reconciler.py
+++ b/src/leverjunction/registry/reconciler.py
@@ -203,10 +203,10 @@
         return [PutGroup(JOBS_GROUP, voters)] if voters != group.voters else []
 
     def _plan_founding(self, stores: list[MemberRecord], now_s: float) -> list[RegistryCommand]:
-        enough = len(stores) >= self._limits.voters
-        settled = now_s - self._stores_changed_s >= self._limits.settle_s
-        overdue = now_s - self._started_s >= self._limits.settle_most_s
-        if not stores or not (overdue or (enough and settled)):
+        has_enough = len(stores) >= self._limits.voters
+        has_settled = now_s - self._stores_changed_s >= self._limits.settle_s
+        is_overdue = now_s - self._started_s >= self._limits.settle_most_s
+        if not stores or not (is_overdue or (has_enough and has_settled)):
             return []
         chosen: list[MemberRecord] = []
         for _ in range(min(self._limits.voters, len(stores))):
@@ -239,7 +239,7 @@
             if not (must_move or silent) or not spares:
                 continue
             kept.remove(address)
-            # One move at a time: the next waits until this change of members is committed.
+            # One move at a time: the next is planned after this one is in force.
             chosen = _best_spread([by_address[a] for a in kept if a in by_address], spares)
             return tuple(sorted([*kept, chosen.address]))
         return voters
--- a/src/leverjunction/registry/records.py
+++ b/src/leverjunction/registry/records.py
@@ -15,7 +15,11 @@
 
 
 class RunnerState(StrEnum):
-    """Availability of a runner for the gateways."""
+    """Availability of a runner for the gateways.
+
+    ``READY``: gets new work. ``LEAVING``: finishes its work before it ends. ``SILENT``: has sent no
+    message for too long. ``GONE``: has ended; kept only to reject delayed messages.
+    """
 
     READY = "ready"
     LEAVING = "leaving"
--- a/src/leverjunction/registry/watch_schedule.py
+++ b/src/leverjunction/registry/watch_schedule.py
@@ -18,7 +18,7 @@
 
 WAIT_MS = 900
 CALL_TIMEOUT_S = 1.3
-"""Longer than the time for which a reply may be held (``WAIT_MS``)."""
+"""Timeout of a held call; longer than ``WAIT_MS``, the time for which the reply may be held."""
 
 QUICK_TIMEOUT_S = 0.35
 """Timeout of a call that is not held: two unresponsive processes in a row cost 1.65 s."""
--- a/tests/unit/test_registry_reconciler.py
+++ b/tests/unit/test_registry_reconciler.py
@@ -35,13 +35,13 @@
 
 
 def steps(
-    reconciler: Reconciler, seen: FleetView, until_s: float, heard: tuple[str, ...] = ()
+    reconciler: Reconciler, seen: FleetView, until_s: float, alive: tuple[str, ...] = ()
 ) -> list[RegistryCommand]:
     """Step every 0.5 s of test time; return each distinct command once."""
     due: list[RegistryCommand] = []
     now_s = 0.0
     while now_s <= until_s:
-        reconciler.record_contact(LivenessReport((), heard), now_s)
+        reconciler.record_contact(LivenessReport((), alive), now_s)
         due += [item for item in reconciler.step(seen, (), now_s) if item not in due]
         now_s += 0.5
     return due
@@ -68,9 +68,9 @@
 def test_a_silent_voter_is_replaced_by_a_spare() -> None:
     stores = [member(name) for name in "abcd"]
     seen = view(*stores, voters=("a", "b", "c"))
-    due = steps(Reconciler(LIMITS, 0.0), seen, 2.0, heard=("a", "b", "d"))
+    due = steps(Reconciler(LIMITS, 0.0), seen, 2.0, alive=("a", "b", "d"))
     assert due == []
-    due = steps(Reconciler(LIMITS, 0.0), seen, 3.0, heard=("a", "b", "d"))
+    due = steps(Reconciler(LIMITS, 0.0), seen, 3.0, alive=("a", "b", "d"))
     assert due == [put("a", "b", "d")]
 
 
@@ -101,7 +101,7 @@
 def test_a_machine_that_is_silent_for_long_and_holds_nothing_is_dropped() -> None:
     stores = [member(name) for name in "abcd"]
     seen = view(*stores, voters=("a", "b", "c"))
-    due = steps(Reconciler(LIMITS, 0.0), seen, 12.0, heard=("a", "b", "c"))
+    due = steps(Reconciler(LIMITS, 0.0), seen, 12.0, alive=("a", "b", "c"))
     assert due == [DropMember("d")]
 
 
@@ -112,7 +112,7 @@
     """
     stores = [member(name) for name in "abcd"]
     reconciler = Reconciler(LIMITS, 0.0)
-    steps(reconciler, view(*stores[:3], voters=("a", "b", "c")), 30.0, heard=("a", "b", "c"))
+    steps(reconciler, view(*stores[:3], voters=("a", "b", "c")), 30.0, alive=("a", "b", "c"))
     reconciler.record_contact(LivenessReport((), ("a", "b", "c")), 30.0)
     assert reconciler.step(view(*stores, voters=("a", "b", "c")), (), 30.5) == []
 
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("current", "heard", "at_s", "wanted"),
+    ("current", "alive", "at_s", "wanted"),
     [
         ("abc", "abcde", 0.5, "abcde"),
         ("abcde", "abcde", 20.0, "abcde"),
@@ -134,11 +134,11 @@
         ("abc", "ab", 30.0, "abc"),
     ],
 )
-def test_control_voters(current: str, heard: str, at_s: float, wanted: str) -> None:
+def test_control_voters(current: str, alive: str, at_s: float, wanted: str) -> None:
     reconciler = Reconciler(LIMITS, 0.0)
-    known = controls(*sorted(set(current) | set(heard)))
+    known = controls(*sorted(set(current) | set(alive)))
     reconciler.step(known, (), 0.0)
-    reconciler.record_contact(LivenessReport((), tuple(heard)), at_s)
+    reconciler.record_contact(LivenessReport((), tuple(alive)), at_s)
     before = tuple(f"{name}:1" for name in current)
     after = reconciler.control_voters(known, before, at_s)
     assert after == tuple(f"{name}:1" for name in wanted)
