--- a/src/leverjunction/api/batches.py
+++ b/src/leverjunction/api/batches.py
@@ -15,7 +15,7 @@
 from leverjunction.api.auth import authenticate
 from leverjunction.api.batches_files import FilesHandler
 from leverjunction.api.batches_lines import LineReader
-from leverjunction.api.batches_shapes import (
+from leverjunction.api.batches_schemas import (
     BATCH_PREFIX,
     FILE_PREFIX,
     batch_list,
--- a/src/leverjunction/api/batches_files.py
+++ b/src/leverjunction/api/batches_files.py
@@ -13,7 +13,7 @@
 
 from leverjunction.api.auth import authenticate
 from leverjunction.api.batches_lines import LineReader
-from leverjunction.api.batches_shapes import (
+from leverjunction.api.batches_schemas import (
     FILE_PREFIX,
     OUTPUT_FILE_PREFIX,
     DeletedFile,
--- a/src/leverjunction/cli/jobs.py
+++ b/src/leverjunction/cli/jobs.py
@@ -13,7 +13,7 @@
 import msgspec
 import urllib3
 
-from leverjunction.api.batches_shapes import BATCH_PREFIX
+from leverjunction.api.batches_schemas import BATCH_PREFIX
 from leverjunction.batch.commands import JobView, ResultPage
 from leverjunction.cli.command import command, number, operators_command
 from leverjunction.cli.options import Options, parse_address
