--- a/src/leverjunction/api/__init__.py
+++ b/src/leverjunction/api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP handlers for callers and their OpenAI-compatible shapes."""
+"""HTTP APIs: the OpenAI-compatible API for callers, the operators' API and the probes."""
--- a/src/leverjunction/api/app.py
+++ b/src/leverjunction/api/app.py
@@ -1,4 +1,4 @@
-"""The gateway's CherryPy application: the tree of handlers and its configuration."""
+"""CherryPy application of the gateway: its handler tree and its configuration."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 }
 
 
-class _Node:
-    """A path without a handler of its own."""
+class _PathSegment:
+    """Segment of a URL path that has no handler of its own."""
 
 
 def build_app(
@@ -37,15 +37,18 @@
     decisions: DecisionsApi,
     probes: ProbesApi,
 ) -> Tree:
-    """Return the WSGI application of the callers' port."""
-    root: Any = _Node()
+    """Return the WSGI application that serves callers.
+
+    The returned tree maps each URL path to the handler that is given for it.
+    """
+    root: Any = _PathSegment()
     root.health = probes.health
     root.ready = probes.ready
     root.metrics = probes.metrics
-    root.operator = _Node()
+    root.operator = _PathSegment()
     root.operator.decisions = decisions
-    root.v1 = _Node()
-    root.v1.chat = _Node()
+    root.v1 = _PathSegment()
+    root.v1.chat = _PathSegment()
     root.v1.chat.completions = completions.chat
     root.v1.completions = completions.text
     root.v1.models = models.serve
@@ -53,28 +56,29 @@
     root.v1.files = batches.files
     tree = Tree()
     application = tree.mount(root, "", {"/": app_config()})
-    # Counters tell of requests; a line for each would cost more than it says.
-    application.log.access = _log_nothing
+    # Requests are counted in the metrics, so the access log is disabled: a line for each request
+    # would cost more than its information is worth.
+    application.log.access = _skip_access_log
     return tree
 
 
-def _log_nothing() -> None:
-    """Write no line for a request."""
+def _skip_access_log() -> None:
+    """Replace the access log of CherryPy; writes nothing."""
 
 
 def app_config() -> dict[str, object]:
-    """Return the configuration of the application."""
+    """Return the CherryPy configuration of the gateway's application."""
     return {
-        # Handlers read bodies themselves, after they know the caller.
+        # Handlers read the request body themselves, after authenticating the caller.
         "request.process_request_body": False,
         "request.show_tracebacks": False,
         "request.show_mismatched_params": False,
-        # CherryPy would log a failed request's headers, the caller's key among them; the fault
-        # itself is logged by request.error_response.
+        # CherryPy would log the headers of a failed request, which contain the caller's API key.
+        # request.error_response logs the exception itself.
         "tools.log_headers.on": False,
         "tools.log_tracebacks.on": False,
         "error_page.default": _error_page,
-        "request.error_response": _unexpected,
+        "request.error_response": _handle_unexpected_error,
         "tools.trailing_slash.on": False,
         "tools.encode.on": False,
         "checker.on": False,
@@ -82,7 +86,10 @@
 
 
 def _error_page(status: str, message: str, traceback: str, version: str) -> bytes:
-    """Return CherryPy's own errors (unknown path, wrong method) in the callers' error shape."""
+    """Return the OpenAI-compatible error body of an error that CherryPy itself detected.
+
+    Examples are an unknown path and a method that is not allowed.
+    """
     code = int(status.split()[0])
     kind = _KIND_BY_STATUS.get(code, FailureKind.INTERNAL)
     request_id = new_request_id()
@@ -91,8 +98,8 @@
     return error_body(Failure(kind=kind, reason=message, step=Step.PARSING), request_id)
 
 
-def _unexpected() -> None:
-    """Answer a fault of this program without telling its inner workings."""
+def _handle_unexpected_error() -> None:
+    """Log an unhandled exception and respond with status 500, without internal details."""
     logger.exception("request handler failed")
     request_id = new_request_id()
     response = cherrypy.serving.response
--- a/src/leverjunction/api/auth.py
+++ b/src/leverjunction/api/auth.py
@@ -1,4 +1,4 @@
-"""Authentication of callers by API key and of operators by token."""
+"""Authenticates callers by API key and operators by bearer token."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class TenantLookup(Protocol):
-    """The part of the resolved settings that knows the tenants' keys."""
+    """The part of the resolved settings that maps API keys to tenants."""
 
     def tenant_for_key(self, raw_key: str) -> str | None:
-        """Return the tenant that owns a key, or None."""
+        """Return the tenant that owns an API key, or None when the key is unknown."""
         ...
 
 
 def bearer_token(request: RequestLike) -> str | None:
-    """Return the bearer token of a request, or None when it carries none."""
+    """Return the bearer token of a request, or None when it has none."""
     header = request.headers.get("Authorization") or ""
     if not header.startswith(BEARER_PREFIX):
         return None
@@ -34,25 +34,30 @@
 
 
 def authenticate(request: RequestLike, settings: TenantLookup) -> str | Failure:
-    """Return the tenant that a request's bearer key names.
+    """Return the tenant that owns a request's API key, or a Failure of kind UNAUTHENTICATED.
 
-    Called by every handler before it reads the body.
+    Every handler calls this before it reads the request body.
 
     Args:
         request: ``cherrypy.request``.
-        settings: Resolved settings in force.
+        settings: Resolved settings that are in force.
     """
     key = bearer_token(request)
     if key is None:
         return _unauthenticated("no API key; send it as 'Authorization: Bearer KEY'")
     tenant = settings.tenant_for_key(key)
     if tenant is None:
-        return _unauthenticated("this API key is not known")
+        return _unauthenticated("unknown API key")
     return tenant
 
 
 def authenticate_operator(request: RequestLike, token: str | None) -> Failure | None:
-    """Return None when a request carries the operators' token, or else the refusal."""
+    """Return None when a request carries the operators' token, otherwise the Failure.
+
+    Args:
+        request: ``cherrypy.request``.
+        token: The expected token, or None when none is configured; every request is then refused.
+    """
     given = bearer_token(request)
     if token is None:
         return Failure(
--- a/src/leverjunction/api/batches.py
+++ b/src/leverjunction/api/batches.py
@@ -1,7 +1,7 @@
-"""Callers' API of batch jobs: OpenAI's files and batches, and a short form without a file.
+"""Batch API for callers: OpenAI's files and batches, and batches created without a file.
 
-``BatchApi(...)`` offers two CherryPy handlers: mount ``.batches`` at ``/v1/batches`` and
-``.files`` at ``/v1/files``. Bodies are read as streams, never as a whole.
+``BatchApi`` holds two CherryPy handlers: mount ``.batches`` at ``/v1/batches`` and ``.files`` at
+``/v1/files``. Uploaded items are read as a stream and never held in memory as a whole.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 )
 from leverjunction.api.batches_support import (
     BatchContext,
-    answer_json,
     bad_request,
     drain_body,
-    fail,
+    failure_response,
     idempotency_key,
+    json_response,
     method_not_allowed,
     read_body,
     request_id,
@@ -59,7 +59,7 @@
 
 
 class _CreateBatch(msgspec.Struct):
-    """OpenAI's body of ``POST /v1/batches``."""
+    """Body of ``POST /v1/batches``, as OpenAI defines it."""
 
     input_file_id: str
     endpoint: str = ""
@@ -68,7 +68,15 @@
 
 
 class BatchApi:
-    """The handlers of batch jobs, for the gateway's CherryPy application."""
+    """Handlers of the batch API, for the gateway's CherryPy application.
+
+    Args:
+        control: Client of the replicated groups that store the jobs.
+        settings: Returns the resolved settings that are in force.
+        clock: Source of the current time.
+        random: Generator of job ids and request ids.
+        groups: Returns the names of the job groups.
+    """
 
     def __init__(
         self,
@@ -89,7 +97,7 @@
 
 
 class BatchesHandler:
-    """``/v1/batches``: called by CherryPy's worker threads."""
+    """Handler of ``/v1/batches``. CherryPy calls it from its worker threads."""
 
     _cp_config = {"request.process_request_body": False, "response.stream": True}
 
@@ -98,10 +106,10 @@
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes | Iterator[bytes]:
-        """Serve one call below ``/v1/batches``."""
+        """Dispatch a request at or below ``/v1/batches`` by its method and path."""
         tenant = authenticate(cherrypy.request, self._context.settings())
         if isinstance(tenant, Failure):
-            return fail(tenant)
+            return failure_response(tenant)
         match (cherrypy.request.method, path):
             case ("POST", ()):
                 return self._create(tenant, query)
@@ -122,7 +130,7 @@
         return self._create_from_body(tenant, query)
 
     def _create_from_file(self, tenant: str) -> bytes:
-        """Accept the job whose items were uploaded as a file."""
+        """Create a batch from an uploaded file, by accepting the job that holds its items."""
         body = cherrypy.request.rfile.read(MAX_CREATE_BYTES)
         create = decode(body, _CreateBatch)
         if isinstance(create, Failure):
@@ -130,33 +138,38 @@
                 f"{create.reason}; send a JSON object with input_file_id, or JSON lines as "
                 "application/jsonl"
             )
-            return fail(bad_request(reason))
+            return failure_response(bad_request(reason))
         job_id = create.input_file_id.removeprefix(FILE_PREFIX)
         job = self._context.directory.find(tenant, job_id)
         if isinstance(job, Failure):
-            return fail(job)
+            return failure_response(job)
         refusal = self._claim_key(tenant, create.input_file_id)
         if refusal is not None:
-            return fail(refusal)
+            return failure_response(refusal)
         batch_class = (create.metadata or {}).get("batch_class", "")
         window = "" if batch_class else create.completion_window
-        agreed = job_terms(self._context, batch_class, window)
-        if isinstance(agreed, Failure):
-            return fail(agreed)
-        # Without the header here, the mark that the file was uploaded with stays.
+        resolved_terms = job_terms(self._context, batch_class, window)
+        if isinstance(resolved_terms, Failure):
+            return failure_response(resolved_terms)
+        # None keeps the setting that the file was uploaded with.
         repeat = None if may_repeat() else False
         command = AcceptJob(
             job_id,
             batch_class=batch_class,
-            deadline_ms=agreed.deadline_ms,
+            deadline_ms=resolved_terms.deadline_ms,
             may_repeat=repeat,
-            weight_milli=agreed.weight_milli,
-            retention_ms=agreed.retention_ms,
+            weight_milli=resolved_terms.weight_milli,
+            retention_ms=resolved_terms.retention_ms,
         )
         return self._propose(job, command)
 
     def _claim_key(self, tenant: str, file_id: str) -> Failure | None:
-        """Bind an idempotency key to its file: a resend finds it, another file is refused."""
+        """Bind the request's idempotency key to a file.
+
+        Returns:
+            None when the request has no key, or when the key is bound to this file. A Failure of
+            kind KEY_REUSED when the key is bound to another file. Any Failure of the claim itself.
+        """
         key = idempotency_key()
         if not key:
             return None
@@ -171,86 +184,97 @@
             return None
         return Failure(
             kind=FailureKind.KEY_REUSED,
-            reason=f"idempotency key {key!r} made a batch of {claim.content_hash}; use a new key",
+            reason=(
+                f"idempotency key {key!r} was used for a batch of {claim.content_hash}; "
+                "use a new key"
+            ),
             step=Step.CLAIMING,
         )
 
     def _create_from_body(self, tenant: str, query: dict[str, str]) -> bytes:
-        """Accept a job whose JSON lines are the body of this request."""
+        """Create a batch whose JSON lines are the body of this request."""
         headers = cherrypy.request.headers
         batch_class = query.get("batch_class", "") or headers.get("X-Batch-Class", "")
         window = query.get("completion_window", "")
-        agreed = job_terms(self._context, batch_class, window)
-        if isinstance(agreed, Failure):
+        resolved_terms = job_terms(self._context, batch_class, window)
+        if isinstance(resolved_terms, Failure):
             drain_body()
-            return fail(agreed)
+            return failure_response(resolved_terms)
         key = idempotency_key()
         terms = UploadTerms(
             tenant=tenant,
             idempotency_key=f"batch:{key}" if key else "",
             batch_class=batch_class,
             may_repeat=may_repeat(),
-            deadline_ms=agreed.deadline_ms,
+            deadline_ms=resolved_terms.deadline_ms,
             accept=True,
-            weight_milli=agreed.weight_milli,
-            retention_ms=agreed.retention_ms,
+            weight_milli=resolved_terms.weight_milli,
+            retention_ms=resolved_terms.retention_ms,
         )
         settings = self._context.settings()
         reader = LineReader(
             self._context.service_lookup(tenant), settings.limits(tenant).max_job_items
         )
         upload = JobUpload(self._context.directory, reader, terms)
-        broken = read_body(upload.write)
-        job = upload.finish() if broken is None else upload.abandon(broken)
-        return fail(job) if isinstance(job, Failure) else answer_json(batch_object(job))
+        body_failure = read_body(upload.write)
+        job = upload.finish() if body_failure is None else upload.abandon(body_failure)
+        return (
+            failure_response(job) if isinstance(job, Failure) else json_response(batch_object(job))
+        )
 
     def _list(self, tenant: str, query: dict[str, str]) -> bytes:
-        """Answer one page of the tenant's batches; ``after`` is the last id of the page before."""
-        limit = _number("limit", query, DEFAULT_LISTED, 1, MAX_LISTED)
+        """Return a page of the tenant's batches; ``after`` is the last id of the previous page."""
+        limit = _parse_number("limit", query, DEFAULT_LISTED, 1, MAX_LISTED)
         if isinstance(limit, Failure):
-            return fail(limit)
+            return failure_response(limit)
         after = query.get("after", "")
         before = self._find(tenant, after) if after else None
         if isinstance(before, Failure):
-            return fail(before)
-        # One more than the page holds tells whether there is another page.
+            return failure_response(before)
+        # One job more than the page holds shows whether another page follows.
         jobs = self._context.directory.list_accepted(tenant, limit + 1, before)
         if isinstance(jobs, Failure):
-            return fail(jobs)
-        return answer_json(batch_list(jobs[:limit], has_more=len(jobs) > limit))
+            return failure_response(jobs)
+        return json_response(batch_list(jobs[:limit], has_more=len(jobs) > limit))
 
     def _show(self, tenant: str, batch_id: str) -> bytes:
         job = self._find(tenant, batch_id)
-        return fail(job) if isinstance(job, Failure) else answer_json(batch_object(job))
+        return (
+            failure_response(job) if isinstance(job, Failure) else json_response(batch_object(job))
+        )
 
     def _cancel(self, tenant: str, batch_id: str) -> bytes:
         job = self._find(tenant, batch_id)
         if isinstance(job, Failure):
-            return fail(job)
+            return failure_response(job)
         return self._propose(job, CancelJob(job.spec.job_id))
 
     def _propose(self, job: JobView, command: AcceptJob | CancelJob) -> bytes:
         group = job.spec.job_id.rpartition(".")[0]
         changed = self._context.directory.control.propose(group, command, JobView)
-        return fail(changed) if isinstance(changed, Failure) else answer_json(batch_object(changed))
+        return (
+            failure_response(changed)
+            if isinstance(changed, Failure)
+            else json_response(batch_object(changed))
+        )
 
     def _results(self, tenant: str, batch_id: str, query: dict[str, str]) -> bytes:
-        """Answer one page of results; the headers say where the next one starts."""
+        """Return a page of results; ``X-Next-Cursor`` is the ``after`` of the next page."""
         job = self._find(tenant, batch_id)
         if isinstance(job, Failure):
-            return fail(job)
-        after = _number("after", query, 0, 0, MAX_CURSOR)
+            return failure_response(job)
+        after = _parse_number("after", query, 0, 0, MAX_CURSOR)
         if isinstance(after, Failure):
-            return fail(after)
-        limit = _number("limit", query, DEFAULT_PAGE_LINES, 1, DEFAULT_PAGE_LINES)
+            return failure_response(after)
+        limit = _parse_number("limit", query, DEFAULT_PAGE_LINES, 1, DEFAULT_PAGE_LINES)
         if isinstance(limit, Failure):
-            return fail(limit)
+            return failure_response(limit)
         job_id = job.spec.job_id
         page = self._context.directory.control.query(
             job_id.rpartition(".")[0], GetResults(job_id, after, limit), ResultPage
         )
         if isinstance(page, Failure):
-            return fail(page)
+            return failure_response(page)
         headers = cherrypy.response.headers
         headers["Content-Type"] = "application/jsonl"
         headers["X-Next-Cursor"] = str(page.next_cursor)
@@ -263,10 +287,10 @@
         return self._context.directory.find(tenant, batch_id.removeprefix(BATCH_PREFIX))
 
 
-def _number(
+def _parse_number(
     name: str, query: dict[str, str], default: int, minimum: int, maximum: int
 ) -> int | Failure:
-    """Return a number of the query, or its default when it does not stand there."""
+    """Return a numeric query parameter, or its default when the parameter is absent."""
     text = query.get(name)
     if text is None:
         return default
--- a/src/leverjunction/api/batches_files.py
+++ b/src/leverjunction/api/batches_files.py
@@ -1,7 +1,8 @@
-"""``/v1/files``: input files of batches, and their output as files.
+"""Files API, ``/v1/files``: input files of batches, and batch output as files.
 
-An uploaded file is an open job whose items are committed; creating the batch accepts it. So a file
-makes one batch, needs no store of its own, and is deleted after a day when none was created.
+An uploaded file is stored as a job that is not accepted yet and whose items are committed. Creating
+the batch accepts that job. A file therefore yields at most one batch and needs no separate storage.
+It is deleted after one day when no batch was created from it.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 )
 from leverjunction.api.batches_support import (
     BatchContext,
-    answer_json,
     bad_request,
-    broken_body,
-    fail,
+    failure_response,
     idempotency_key,
+    incomplete_body,
+    json_response,
     method_not_allowed,
 )
 from leverjunction.api.batches_terms import may_repeat
@@ -49,14 +50,15 @@
 
 
 class ResultsUnavailableError(Exception):
-    """A page of an output file could not be read after its head was sent.
+    """A page of an output file could not be read after the response headers were sent.
 
-    Raising it breaks the connection, so that the caller never takes a part for the whole.
+    Raising it aborts the connection, so that the caller can't mistake a truncated file for a
+    complete one.
     """
 
 
 class FilesHandler:
-    """``/v1/files``: called by CherryPy's worker threads."""
+    """Handler of ``/v1/files``. CherryPy calls it from its worker threads."""
 
     _cp_config = {"request.process_request_body": False, "response.stream": True}
 
@@ -65,10 +67,10 @@
 
     @cherrypy.expose
     def default(self, *path: str, **_query: str) -> bytes | Iterator[bytes]:
-        """Serve one call below ``/v1/files``."""
+        """Dispatch a request at or below ``/v1/files`` by its method and path."""
         tenant = authenticate(cherrypy.request, self._context.settings())
         if isinstance(tenant, Failure):
-            return fail(tenant)
+            return failure_response(tenant)
         match (cherrypy.request.method, path):
             case ("POST", ()):
                 return self._upload(tenant)
@@ -81,12 +83,12 @@
         return method_not_allowed()
 
     def _upload(self, tenant: str) -> bytes:
-        """Store the ``file`` part of a multipart form; the part streams into the upload."""
+        """Store the ``file`` part of a multipart form, streaming it into a ``JobUpload``."""
         upload = self._new_upload(tenant)
         filenames: list[str] = []
 
         class UploadPart(Part):
-            """A part of the form; CherryPy writes the file's bytes into the upload."""
+            """Part of the form, whose file content CherryPy writes into the upload."""
 
             def make_file(self) -> JobUpload:
                 filenames.append(str(self.filename))
@@ -97,14 +99,16 @@
         try:
             body.process()
         except (EOFError, OSError, ValueError) as error:
-            return fail(upload.abandon(broken_body(f"in the form ({error})")))
+            return failure_response(upload.abandon(incomplete_body(f"in the form ({error})")))
         if not filenames:
-            return fail(bad_request("no file in the form; send multipart/form-data with 'file'"))
+            return failure_response(
+                bad_request("the form has no file; send multipart/form-data with a 'file' part")
+            )
         job = upload.finish()
         if isinstance(job, Failure):
-            return fail(job)
+            return failure_response(job)
         file_id = FILE_PREFIX + job.spec.job_id
-        return answer_json(file_object(job, file_id, filenames[0], upload.received_bytes))
+        return json_response(file_object(job, file_id, filenames[0], upload.received_bytes))
 
     def _new_upload(self, tenant: str) -> JobUpload:
         key = idempotency_key()
@@ -123,46 +127,48 @@
     def _show(self, tenant: str, file_id: str) -> bytes:
         job = self._find(tenant, file_id)
         if isinstance(job, Failure):
-            return fail(job)
+            return failure_response(job)
         is_output = file_id.startswith(OUTPUT_FILE_PREFIX)
         name = OUTPUT_FILENAME if is_output else INPUT_FILENAME
-        return answer_json(file_object(job, file_id, name, 0))
+        return json_response(file_object(job, file_id, name, 0))
 
     def _delete(self, tenant: str, file_id: str) -> bytes:
         job = self._find(tenant, file_id)
         if isinstance(job, Failure):
-            return fail(job)
+            return failure_response(job)
         job_id = job.spec.job_id
         reply = self._context.directory.control.propose(
             job_id.rpartition(".")[0], DiscardJob(job_id), Discarded
         )
         if isinstance(reply, Failure):
-            return fail(reply)
-        return answer_json(DeletedFile(id=file_id, object="file", deleted=reply.dropped))
+            return failure_response(reply)
+        return json_response(DeletedFile(id=file_id, object="file", deleted=reply.dropped))
 
     def _content(self, tenant: str, file_id: str) -> bytes | Iterator[bytes]:
-        """Stream the results that are final by now, page by page."""
+        """Stream the results that are final at the time of the request, page by page."""
         if not file_id.startswith(OUTPUT_FILE_PREFIX):
-            return fail(bad_request("only output files can be read; input files are not kept"))
+            return failure_response(
+                bad_request("only output files can be downloaded; input files are not kept")
+            )
         job = self._find(tenant, file_id)
         if isinstance(job, Failure):
-            return fail(job)
-        first = self._page(job.spec.job_id, 0)
+            return failure_response(job)
+        first = self._fetch_page(job.spec.job_id, 0)
         if isinstance(first, Failure):
-            return fail(first)
+            return failure_response(first)
         cherrypy.response.headers["Content-Type"] = "application/jsonl"
-        return self._stream(job, first)
+        return self._stream_lines(job, first)
 
-    def _stream(self, job: JobView, page: ResultPage) -> Iterator[bytes]:
+    def _stream_lines(self, job: JobView, page: ResultPage) -> Iterator[bytes]:
         job_id = job.spec.job_id
         while page.lines:
             yield _encode_lines(job_id, page.lines)
-            following = self._page(job_id, page.next_cursor)
-            if isinstance(following, Failure):
-                raise ResultsUnavailableError(following.reason)
-            page = following
+            next_page = self._fetch_page(job_id, page.next_cursor)
+            if isinstance(next_page, Failure):
+                raise ResultsUnavailableError(next_page.reason)
+            page = next_page
 
-    def _page(self, job_id: str, after: int) -> ResultPage | Failure:
+    def _fetch_page(self, job_id: str, after: int) -> ResultPage | Failure:
         return self._context.directory.control.query(
             job_id.rpartition(".")[0],
             GetResults(job_id, after, PAGE_LINES),
--- a/src/leverjunction/api/batches_lines.py
+++ b/src/leverjunction/api/batches_lines.py
@@ -1,4 +1,4 @@
-"""Parsing of batch input: JSON lines that arrive in pieces, checked one by one."""
+"""Incremental parser of batch input: JSON lines, each validated as it arrives."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _Body(msgspec.Struct):
-    """The fields of a request body that are checked here; the engine checks the others."""
+    """Fields of a request body that are validated here; the engine validates the others."""
 
     model: str
     stream: bool | None = None
@@ -37,59 +37,66 @@
 
 
 class LineError(msgspec.Struct, frozen=True):
-    """What is wrong with a line (numbered from 1) and how to mend it."""
+    """Error in an input line.
+
+    Attributes:
+        line: Line number, counted from 1.
+        reason: What is wrong with the line and how to correct it.
+    """
 
     line: int
     reason: str
 
 
 class LineReader:
-    """Cuts pieces of a body into lines and checks each; memory is bounded by the longest line.
+    """Splits a streamed body into lines and validates each.
+
+    At most one incomplete line of up to ``MAX_LINE_BYTES`` is buffered between two pieces.
 
     Args:
-        service_for_model: Returns the service of a model, or None when it is unknown.
+        service_for_model: Returns the service that has a model, or None when there is none.
         max_items: Largest number of items that the tenant may submit in one job.
     """
 
     def __init__(self, service_for_model: Callable[[str], str | None], max_items: int) -> None:
         self._service_for_model = service_for_model
         self._max_items = max_items
-        self._rest = bytearray()
+        self._partial_line = bytearray()
         self._line_number = 0
-        self._count = 0
+        self._item_count = 0
         self._stopped = False
-        # Hashes instead of ids keep 100,000 items in a few megabytes.
+        # Stores 64-bit hashes of the ids: 100,000 items then take only a few megabytes.
         self._seen_ids: set[int] = set()
         self.service = ""
         self.errors: list[LineError] = []
 
     def feed(self, data: bytes) -> list[ItemInput]:
-        """Take the next piece of the body and return the items of the lines it completes."""
+        """Parse the next piece of the body and return the items of the lines that it completes."""
         if self._is_refused():
             return []
-        self._rest += data
+        self._partial_line += data
         if b"\n" not in data:
             self._check_length()
             return []
-        *lines, rest = bytes(self._rest).split(b"\n")
-        self._rest = bytearray(rest)
+        *lines, last_part = bytes(self._partial_line).split(b"\n")
+        self._partial_line = bytearray(last_part)
         self._check_length()
         return self._parse_lines(lines)
 
     def finish(self) -> list[ItemInput]:
-        """Return the item of a last line that has no newline."""
-        rest = bytes(self._rest)
-        self._rest.clear()
-        return self._parse_lines([rest])
+        """Parse the last line when it has no newline, and return its item."""
+        last_part = bytes(self._partial_line)
+        self._partial_line.clear()
+        return self._parse_lines([last_part])
 
     def failure(self) -> Failure | None:
-        """Return the refusal of the whole input, or None when all lines so far are good."""
+        """Return the Failure of the whole input, or None when all lines so far are valid."""
         if not self.errors:
             return None
-        shown = "; ".join(f"line {error.line}: {error.reason}" for error in self.errors)
+        details = "; ".join(f"line {error.line}: {error.reason}" for error in self.errors)
         return Failure(
             kind=FailureKind.TOO_LARGE if self._stopped else FailureKind.BAD_REQUEST,
-            reason=f"nothing was accepted: {shown}",
+            reason=f"nothing was accepted: {details}",
             step=Step.PARSING,
         )
 
@@ -97,10 +104,10 @@
         return self._stopped or len(self.errors) >= MAX_REPORTED_ERRORS
 
     def _check_length(self) -> None:
-        if len(self._rest) > MAX_LINE_BYTES:
-            self._rest.clear()
-            self._refuse(f"is longer than {MAX_LINE_BYTES} bytes; shorten the request")
-            # The rest of the line would be read as lines of their own.
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            self._partial_line.clear()
+            self._add_error(f"is longer than {MAX_LINE_BYTES} bytes; shorten the request")
+            # The remainder of this line would otherwise be parsed as separate lines.
             self._stopped = True
 
     def _parse_lines(self, lines: list[bytes]) -> list[ItemInput]:
@@ -117,40 +124,40 @@
         return items
 
     def _parse(self, line: bytes) -> ItemInput | None:
-        self._count += 1
-        if self._count > self._max_items:
+        self._item_count += 1
+        if self._item_count > self._max_items:
             self._stopped = True
-            self._refuse(f"more than {self._max_items} items; split the job", current=True)
+            self._add_error(f"more than {self._max_items} items; split the job", current=True)
             return None
         try:
             parsed = _LINE_DECODER.decode(line)
             body = _BODY_DECODER.decode(parsed.body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            self._refuse(f"{error}; want custom_id, url and body with a model", current=True)
+            self._add_error(f"{error}; expected custom_id, url and body with a model", current=True)
             return None
-        reason = self._check(parsed, body)
+        reason = self._find_error(parsed, body)
         if reason:
-            self._refuse(reason, current=True)
+            self._add_error(reason, current=True)
             return None
         return ItemInput(parsed.custom_id, body.model, parsed.url, bytes(parsed.body).decode())
 
-    def _check(self, line: _Line, body: _Body) -> str:
-        """Return what is wrong with a decoded line, empty when it is good."""
+    def _find_error(self, line: _Line, body: _Body) -> str:
+        """Return the error of a decoded line, or an empty string when it is valid."""
         if not 0 < len(line.custom_id) <= MAX_CUSTOM_ID_CHARACTERS:
-            return f"custom_id needs 1 to {MAX_CUSTOM_ID_CHARACTERS} characters"
+            return f"custom_id must have 1 to {MAX_CUSTOM_ID_CHARACTERS} characters"
         digest = xxhash.xxh64_intdigest(line.custom_id.encode())
         if digest in self._seen_ids:
-            return f"custom_id {line.custom_id!r} stands twice; give each line its own"
+            return f"custom_id {line.custom_id!r} is used twice; each line needs its own"
         self._seen_ids.add(digest)
         if line.method != "POST":
-            return f"method {line.method!r}; only POST is possible"
+            return f"method {line.method!r}; only POST is supported"
         if line.url not in ALLOWED_URLS:
             return f"url {line.url!r}; use one of {', '.join(sorted(ALLOWED_URLS))}"
         if body.stream:
-            return "stream is not possible in a batch; remove it"
-        return self._check_service(body.model)
+            return "stream is not supported in a batch; remove it"
+        return self._find_service_error(body.model)
 
-    def _check_service(self, model: str) -> str:
+    def _find_service_error(self, model: str) -> str:
         service = self._service_for_model(model)
         if service is None:
             return f"no service has the model {model!r}; GET /v1/models lists them"
@@ -162,6 +169,6 @@
         self.service = service
         return ""
 
-    def _refuse(self, reason: str, *, current: bool = False) -> None:
+    def _add_error(self, reason: str, *, current: bool = False) -> None:
         number = self._line_number if current else self._line_number + 1
         self.errors.append(LineError(number, reason))
--- a/src/leverjunction/api/batches_schemas.py
+++ b/src/leverjunction/api/batches_schemas.py
@@ -1,4 +1,4 @@
-"""OpenAI's shapes of batches, files and result lines, with what leverjunction knows besides."""
+"""Schemas of batches, files and result lines: OpenAI's fields, and fields of leverjunction."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 }
 
 _ERROR_MESSAGE = {
-    ItemState.FAILED: "the request failed for good; the response says why",
-    ItemState.UNKNOWN: "the request may have run, and may not be repeated",
+    ItemState.FAILED: "the request failed permanently; see the response for the reason",
+    ItemState.UNKNOWN: "the request may have run and must not be repeated",
     ItemState.CANCELLED: "the batch was cancelled before the request finished",
     ItemState.EXPIRED: "the batch reached its deadline before the request started",
 }
 
 
 class RequestCounts(msgspec.Struct, frozen=True, kw_only=True):
-    """OpenAI's three counts, and all counts of the job."""
+    """Item counts of a job: OpenAI's total, completed and failed, and counts by state."""
 
     total: int
     completed: int
@@ -42,7 +42,7 @@
 
 
 class BatchObject(msgspec.Struct, frozen=True, kw_only=True):
-    """A batch as callers see it; times are Unix seconds."""
+    """Batch as returned to callers; times are in Unix seconds."""
 
     id: str
     object: str
@@ -67,7 +67,7 @@
 
 
 class BatchList(msgspec.Struct, frozen=True, kw_only=True):
-    """OpenAI's list of batches."""
+    """Page of a list of batches, as OpenAI defines it."""
 
     object: str
     data: list[BatchObject]
@@ -77,7 +77,7 @@
 
 
 class FileObject(msgspec.Struct, frozen=True, kw_only=True):
-    """An uploaded input file, or the output file of a batch."""
+    """Metadata of an uploaded input file or of the output file of a batch."""
 
     id: str
     object: str
@@ -89,7 +89,7 @@
 
 
 class DeletedFile(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to the deletion of a file."""
+    """Response to the deletion of a file."""
 
     id: str
     object: str
@@ -115,7 +115,7 @@
 
 
 def batch_object(job: JobView) -> BatchObject:
-    """Return a job in OpenAI's shape."""
+    """Convert a job to an OpenAI batch object."""
     spec = job.spec
     is_final = job.finished_ms > 0
     has_results = is_final and not job.removed_ms
@@ -146,7 +146,7 @@
 
 
 def batch_list(jobs: list[JobView], has_more: bool) -> BatchList:
-    """Return a page of jobs in OpenAI's shape."""
+    """Convert a page of jobs to an OpenAI list of batches."""
     batches = [batch_object(job) for job in jobs]
     return BatchList(
         object="list",
@@ -158,7 +158,7 @@
 
 
 def file_object(job: JobView, file_id: str, filename: str, size_bytes: int) -> FileObject:
-    """Return a job's input or output as a file in OpenAI's shape."""
+    """Return the OpenAI file object of a job's input or output."""
     is_output = file_id.startswith(OUTPUT_FILE_PREFIX)
     return FileObject(
         id=file_id,
@@ -172,7 +172,7 @@
 
 
 def output_line(job_id: str, line: ResultLine) -> bytes:
-    """Return a result as one line of OpenAI's output file, newline included."""
+    """Return a result as a line of an OpenAI batch output file, including the newline."""
     response = None
     if line.status_code:
         response = _Response(
@@ -193,7 +193,7 @@
 
 
 def _json_or_text(body: str) -> msgspec.Raw:
-    """Return a body as raw JSON, or as a JSON string when the back end sent something else."""
+    """Return a body as raw JSON, or as a JSON string when it is not valid JSON."""
     try:
         msgspec.json.decode(body)
     except msgspec.DecodeError:
--- a/src/leverjunction/api/batches_support.py
+++ b/src/leverjunction/api/batches_support.py
@@ -1,4 +1,4 @@
-"""What the handlers of batches and files share: context, body pieces, answers."""
+"""Helpers shared by the handlers of batches and files: context, request bodies, responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,14 @@
 
 
 class BatchContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What every handler works with."""
+    """Dependencies of the handlers of batches and files.
+
+    Attributes:
+        directory: Finds jobs and the groups that store them.
+        settings: Returns the resolved settings that are in force.
+        clock: Source of the current time.
+        random: Generator of request ids.
+    """
 
     directory: JobDirectory
     settings: Callable[[], ResolvedSettings]
@@ -29,7 +36,7 @@
     random: random_module.Random
 
     def service_lookup(self, tenant: str) -> Callable[[str], str | None]:
-        """Return the lookup of a model's service, blind to services closed to the tenant."""
+        """Return a function that finds a model's service among those the tenant may call."""
         settings = self.settings()
 
         def lookup(model: str) -> str | None:
@@ -41,81 +48,92 @@
 
 
 def request_id(random: random_module.Random | None = None) -> str:
-    """Return the caller's request id, or one for this call."""
-    given = cherrypy.request.headers.get("X-Request-Id")
-    if given:
-        return str(given)
+    """Return the request id that the caller sent, or a newly generated one."""
+    header_value = cherrypy.request.headers.get("X-Request-Id")
+    if header_value:
+        return str(header_value)
     generator = random or random_module
     return f"{generator.getrandbits(96):024x}"
 
 
 def idempotency_key() -> str:
-    """Return the caller's idempotency key, empty when there is none."""
+    """Return the caller's idempotency key, or an empty string when there is none.
+
+    A longer key is cut to ``MAX_KEY_CHARACTERS``.
+    """
     return str(cherrypy.request.headers.get("Idempotency-Key", ""))[:MAX_KEY_CHARACTERS]
 
 
-def read_body(take: Callable[[bytes], object]) -> Failure | None:
-    """Pass the request's body on piece by piece, as it arrives.
+def read_body(on_piece: Callable[[bytes], object]) -> Failure | None:
+    """Read the request body and pass on each piece as it arrives.
 
-    A body may break off between two of its lines: its caller has died, or sends so slowly that
-    the server has stopped reading. Only its declared end tells that from the whole.
+    A body may be truncated between two lines, because the caller died or sent so slowly that the
+    server stopped reading. Only the declared length, or the last chunk of a chunked body, shows
+    that a body is complete.
 
     Args:
-        take: Called with each piece.
+        on_piece: Called with each piece.
 
     Returns:
-        None when the whole body has been read.
+        None when the whole body has been read, otherwise the Failure.
     """
     source = cherrypy.request.rfile
-    declared = cherrypy.request.headers.get("Content-Length")
-    received = 0
+    content_length = cherrypy.request.headers.get("Content-Length")
+    received_bytes = 0
     try:
         while piece := source.read(READ_BYTES):
-            received += len(piece)
-            take(piece)
+            received_bytes += len(piece)
+            on_piece(piece)
     except (OSError, ValueError) as error:
-        # A chunked body that breaks off: its next chunk has no head.
-        return broken_body(f"after {received} bytes ({error})")
-    if declared is not None and declared.isdigit() and received < int(declared):
-        return broken_body(f"after {received} of {declared} bytes")
+        # A chunked body was truncated: the header of its next chunk is missing.
+        return incomplete_body(f"after {received_bytes} bytes ({error})")
+    if (
+        content_length is not None
+        and content_length.isdigit()
+        and received_bytes < int(content_length)
+    ):
+        return incomplete_body(f"after {received_bytes} of {content_length} bytes")
     return None
 
 
-def broken_body(where: str) -> Failure:
-    """Return the failure of a body that ended too early."""
+def incomplete_body(where: str) -> Failure:
+    """Return the Failure of a truncated body; ``where`` says where the body ended."""
     return bad_request(
-        f"nothing was accepted: the body broke off {where}, or came too slowly; send it again, "
-        "under the same Idempotency-Key if it had one"
+        f"nothing was accepted: the body was cut off {where}, or arrived too slowly; send it "
+        "again, with the same Idempotency-Key if it had one"
     )
 
 
 def drain_body() -> None:
-    """Read and drop the rest of the body, so that a refusal reaches a caller that still sends."""
+    """Read and discard the rest of the body, so that a caller that still sends gets the error."""
     read_body(len)
 
 
-def answer_json(body: object) -> bytes:
-    """Return a typed body as the JSON answer of the current request."""
+def json_response(body: object) -> bytes:
+    """Encode a message as the JSON response to the current request."""
     data = encode(body)
     cherrypy.response.headers["Content-Type"] = "application/json"
     cherrypy.response.headers["Content-Length"] = str(len(data))
     return data
 
 
-def fail(failure: Failure) -> bytes:
-    """Return a failure as the answer of the current request, whether its body is read or not."""
+def failure_response(failure: Failure) -> bytes:
+    """Turn a Failure into the response to the current request.
+
+    The request body may be unread; the server then closes the connection after the response.
+    """
     refuse_body(cherrypy.request.wsgi_environ)
     return error_response(failure, request_id())
 
 
 def bad_request(reason: str) -> Failure:
-    """Return the failure of a malformed request."""
+    """Return the Failure of a malformed request."""
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.PARSING)
 
 
 def method_not_allowed() -> bytes:
-    """Answer a path or method that does not exist."""
+    """Respond to an unknown path, or to a method that the path does not support."""
     drain_body()
     path = cherrypy.request.path_info
     reason = f"{cherrypy.request.method} {path} does not exist; see the API page for the calls"
-    return fail(Failure(kind=FailureKind.NOT_FOUND, reason=reason, step=Step.PARSING))
+    return failure_response(Failure(kind=FailureKind.NOT_FOUND, reason=reason, step=Step.PARSING))
--- a/src/leverjunction/api/batches_terms.py
+++ b/src/leverjunction/api/batches_terms.py
@@ -1,4 +1,4 @@
-"""Terms of a job that come from headers and settings: its deadline and whether it may repeat."""
+"""Reads the terms of a job from headers and settings, such as its deadline and repeatability."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 DEFAULT_BATCH_CLASS = "default"
 MAX_WINDOW_S = 30 * 24 * 3600
-_UNIT_S = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
+_SECONDS_BY_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
 _WINDOW = re.compile(r"(\d{1,9})([smhd])")
 
 
 def may_repeat() -> bool:
-    """Return False when the caller marked the items as running at most once."""
+    """Return False when the ``X-Repeat`` header says that items must run at most once."""
     return str(cherrypy.request.headers.get("X-Repeat", "")).lower() != "never"
 
 
 class JobTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What a job's class and window mean.
+    """Terms of a job, resolved from its batch class and completion window.
 
     Attributes:
-        deadline_ms: Wall-clock time after which pending items expire.
-        weight_milli: Thousandths of the class's weight.
-        retention_ms: How long results are kept after the job's end.
+        deadline_ms: Wall-clock time after which pending items expire, in milliseconds.
+        weight_milli: Weight of the batch class, in thousandths.
+        retention_ms: How long results are kept after the job's end, in milliseconds.
     """
 
     deadline_ms: int
@@ -37,25 +37,25 @@
 
 
 def job_terms(context: BatchContext, batch_class: str, window: str) -> JobTerms | Failure:
-    """Return the terms of a job that is submitted now.
+    """Return the terms of a job that is submitted now, or a Failure of kind BAD_REQUEST.
 
     Args:
-        context: Gives the clock and the settings.
-        batch_class: Class that the caller named; empty for the default class.
-        window: Completion window such as ``24h``; empty for the class's own.
+        context: Provides the clock and the settings.
+        batch_class: Batch class that the caller requested; empty for the default class.
+        window: Completion window such as ``24h``; empty for the deadline of the batch class.
     """
     settings = context.settings()
-    known = settings.names("batch_classes")
-    if batch_class and batch_class not in (DEFAULT_BATCH_CLASS, *known):
-        named = ", ".join(sorted({DEFAULT_BATCH_CLASS, *known}))
-        return bad_request(f"no batch class {batch_class!r}; known: {named}")
+    class_names = settings.names("batch_classes")
+    if batch_class and batch_class not in (DEFAULT_BATCH_CLASS, *class_names):
+        choices = ", ".join(sorted({DEFAULT_BATCH_CLASS, *class_names}))
+        return bad_request(f"unknown batch class {batch_class!r}; known: {choices}")
     resolved = settings.batch_class(batch_class or DEFAULT_BATCH_CLASS)
     window_s = resolved.deadline_s
     if window:
         match = _WINDOW.fullmatch(window)
         if match is None or int(match[1]) == 0:
-            return bad_request(f"completion_window {window!r}; want a number and s, m, h or d")
-        window_s = int(match[1]) * _UNIT_S[match[2]]
+            return bad_request(f"completion_window {window!r}; expected a number and s, m, h or d")
+        window_s = int(match[1]) * _SECONDS_BY_UNIT[match[2]]
     return JobTerms(
         deadline_ms=context.clock.wall_ms() + int(min(window_s, MAX_WINDOW_S) * MS_PER_S),
         weight_milli=round(resolved.weight * WEIGHT_ONE_MILLI),
--- a/src/leverjunction/api/batches_upload.py
+++ b/src/leverjunction/api/batches_upload.py
@@ -1,7 +1,7 @@
-"""Upload of a job as a stream: items are committed in chunks while the body is still arriving.
+"""Streaming upload of a job: items are committed in chunks while the body is still arriving.
 
-The gateway holds one chunk in memory. Nothing runs before the job is accepted, so an upload that
-breaks off, or that has a bad line, leaves nothing behind but an open job, which is discarded.
+The gateway holds one chunk in memory. No item runs before the job is accepted, so an upload that
+is truncated or has an invalid line leaves only an open job, which is discarded.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
 CHUNK_ITEMS = 500
 CHUNK_BYTES = 1_000_000
 UPLOAD_TIMEOUT_S = 10.0
-"""How long one chunk may take to commit, a leader change included."""
+"""Longest time to commit one chunk, including a leader change."""
 
 
 class UploadTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What an upload asks for besides its items.
+    """Parameters of an upload, other than its items.
 
     Attributes:
-        tenant: Owner.
-        idempotency_key: Key that a resend carries too; empty for none.
-        batch_class: Batch class in the settings.
+        tenant: Tenant that owns the job.
+        idempotency_key: Key by which a retry of the upload is recognized; empty for none.
+        batch_class: Name of a batch class in the settings.
         may_repeat: Whether items may run more than once.
-        deadline_ms: Wall-clock time after which pending items expire.
-        accept: True to accept the job at the end, False to leave it as a sealed file.
-        weight_milli: Thousandths of the class's weight.
-        retention_ms: How long results are kept after the job's end.
+        deadline_ms: Wall-clock time after which pending items expire, in milliseconds.
+        accept: True to accept the job at the end, False to seal it as an input file.
+        weight_milli: Weight of the batch class, in thousandths.
+        retention_ms: How long results are kept after the job's end, in milliseconds.
     """
 
     tenant: str
@@ -58,10 +58,11 @@
 
 
 class JobUpload:
-    """One upload, used by the thread that reads the body: ``write`` pieces, then ``finish``.
+    """Upload of one job: call ``write`` with each piece of the body, then ``finish``.
 
-    It has a file's ``write`` and ``seek`` because the multipart reader writes the file's part into
-    it as into a temporary file, and rewinds it at the end.
+    Not thread-safe; used only by the thread that reads the body. It implements ``write`` and
+    ``seek`` of a file, because CherryPy's multipart reader writes the file part into it as into a
+    temporary file and rewinds it at the end.
     """
 
     def __init__(self, directory: JobDirectory, reader: LineReader, terms: UploadTerms) -> None:
@@ -78,40 +79,40 @@
         self.received_bytes = 0
 
     def write(self, data: bytes) -> int:
-        """Take the next piece of the body. After a failure the rest is read and dropped."""
+        """Parse the next piece of the body and commit full chunks; discard it after a failure."""
         self.received_bytes += len(data)
         if self._failure is None:
-            self._take(self._reader.feed(data))
+            self._add_items(self._reader.feed(data))
         return len(data)
 
     def seek(self, position: int) -> int:
-        """Do nothing: what was written is committed already."""
+        """Return the position unchanged; an upload cannot be rewound."""
         return position
 
     def finish(self) -> JobView | Failure:
-        """End the upload: the whole job is accepted (or sealed), or nothing is."""
+        """End the upload: accept or seal the whole job, or return why nothing was accepted."""
         if self._failure is None:
-            self._take(self._reader.finish())
+            self._add_items(self._reader.finish())
         if self._failure is None:
             self._failure = self._reader.failure()
         if self._failure is None:
             self._flush()
         if self._failure is None and self._job is None:
-            self._failure = _empty()
+            self._failure = _empty_input()
         if self._failure is not None:
             self._discard()
             return self._failure
-        return self._conclude()
+        return self._accept_or_seal()
 
     def abandon(self, failure: Failure) -> Failure:
-        """End an upload whose body broke off: nothing is accepted."""
+        """End an upload whose body was truncated. Nothing is accepted."""
         self._failure = self._failure or failure
         self._discard()
         return self._failure
 
-    def _take(self, items: list[ItemInput]) -> None:
+    def _add_items(self, items: list[ItemInput]) -> None:
         if self._reader.errors:
-            # Errors are still collected, but nothing more is stored.
+            # Later errors are still collected, but no more items are stored.
             return
         for item in items:
             self._chunk.append(item)
@@ -129,14 +130,15 @@
         if self._job is None:
             self._open()
         job = self._job
-        # A resend of a job that was accepted, or of a chunk that is stored, only compares hashes.
+        # A retry does not send stored chunks again, nor items of an accepted job: their digest is
+        # compared when the upload ends.
         if job is None or job.state != JobState.OPEN or self._sent <= job.received:
             return
         reply = self._directory.control.propose(
             self._group, AppendItems(job.spec.job_id, first, items), JobView, UPLOAD_TIMEOUT_S
         )
         if isinstance(reply, Failure):
-            self._failure = _nothing_ran(reply)
+            self._failure = _mark_not_run(reply)
         else:
             self._job = reply
 
@@ -159,12 +161,12 @@
             self._group, OpenJob(spec), OpenedJob, UPLOAD_TIMEOUT_S
         )
         if isinstance(opened, Failure):
-            self._failure = _nothing_ran(opened)
+            self._failure = _mark_not_run(opened)
         else:
             self._job = opened.job
 
-    def _conclude(self) -> JobView | Failure:
-        assert self._job is not None, "an upload without items was refused"
+    def _accept_or_seal(self) -> JobView | Failure:
+        assert self._job is not None, "finish refuses an upload without items"
         job_id = self._job.spec.job_id
         command: AcceptJob | SealJob = SealJob(job_id, self._sent, self._digest)
         if self._terms.accept:
@@ -178,10 +180,11 @@
         return self._directory.control.propose(self._group, command, JobView, UPLOAD_TIMEOUT_S)
 
     def _discard(self) -> None:
-        """Drop what was stored of a refused upload.
+        """Delete the stored items of a refused upload.
 
-        An upload under a key that failed for want of a quorum stays: its resend goes on from
-        there. What nobody resends is deleted at its deadline.
+        An upload with an idempotency key that failed for another reason, such as a lost quorum, is
+        kept: a retry continues from the items stored so far. If there is no retry, the upload is
+        deleted at its deadline.
         """
         if self._job is None or self._job.state != JobState.OPEN:
             return
@@ -192,14 +195,17 @@
             )
 
 
-def _nothing_ran(failure: Failure) -> Failure:
-    """A job that was not accepted has run nothing, whatever became of its last chunk."""
+def _mark_not_run(failure: Failure) -> Failure:
+    """Mark a failure as not run, even when it is unknown whether the last chunk was committed.
+
+    No item of a job runs before the job is accepted.
+    """
     return msgspec.structs.replace(failure, execution=Execution.NOT_RUN)
 
 
-def _empty() -> Failure:
+def _empty_input() -> Failure:
     return Failure(
         kind=FailureKind.BAD_REQUEST,
-        reason="nothing was accepted: the input has no lines; send one JSON object a line",
+        reason="nothing was accepted: the input has no lines; send one JSON object per line",
         step=Step.PARSING,
     )
--- a/src/leverjunction/api/completions.py
+++ b/src/leverjunction/api/completions.py
@@ -1,4 +1,4 @@
-"""Callers' completions: ``/v1/chat/completions`` and ``/v1/completions``."""
+"""Completions API for callers: ``/v1/chat/completions`` and ``/v1/completions``."""
 
 from __future__ import annotations
 
@@ -29,7 +29,14 @@
 
 
 class CompletionsApi:
-    """Handlers of both calls; used by CherryPy's worker threads."""
+    """Handlers of chat and text completions. CherryPy calls them from its worker threads.
+
+    Args:
+        service: Serves the completions.
+        settings: Returns the resolved settings that are in force.
+        inflight: Limits and counts the requests in flight.
+        max_body_bytes: Largest request body that is accepted.
+    """
 
     def __init__(
         self,
@@ -72,7 +79,7 @@
             body = self._read_body()
             if isinstance(body, Failure):
                 return self._refuse(body, request_id)
-            answer = self._service.serve(
+            result = self._service.serve(
                 CallerRequest(
                     request_id=request_id,
                     tenant=tenant,
@@ -82,10 +89,13 @@
                     never_repeat=headers.get("X-Repeat", "").strip().lower() == NEVER,
                 )
             )
-            return _write(answer, request_id)
+            return _respond(result, request_id)
 
     def _read_body(self) -> bytes | Failure:
-        """Read the body up to its bound, in the bounds of the slow-sender guard."""
+        """Read the request body, up to ``max_body_bytes``.
+
+        The slow-client guard of the server limits how long reading may take.
+        """
         request = cherrypy.request
         length = _declared_bytes(request.headers.get("Content-Length"))
         if isinstance(length, Failure):
@@ -98,7 +108,7 @@
             return self._too_large()
         if length is not None and len(body) < length:
             return _bad_request(
-                f"the body ended after {len(body)} of {length} bytes, or came too slowly"
+                f"the body ended after {len(body)} of {length} bytes, or arrived too slowly"
             )
         return body
 
@@ -115,10 +125,10 @@
 
 
 def stopping_failure() -> Failure:
-    """Return the refusal of a gateway that stops."""
+    """Return the Failure with which a stopping gateway refuses requests."""
     return Failure(
         kind=FailureKind.STOPPING,
-        reason="this gateway stops; send the request to another one",
+        reason="this gateway is stopping; send the request to another one",
         step=Step.ADMISSION,
         retry_after_s=STOPPING_RETRY_AFTER_S,
     )
@@ -134,10 +144,10 @@
 
 
 def _declared_bytes(header: str | None) -> int | Failure | None:
-    """Return the declared length of a body, None when none is declared."""
+    """Return the length in ``Content-Length``, or None when the header is absent."""
     if header is None:
         return None
-    # int() alone would take signs, spaces and underscores as well.
+    # int() alone would also accept signs, spaces and underscores.
     if not (header.isascii() and header.isdigit()):
         return _bad_request(f"Content-Length {header!r} is not a number of bytes")
     return int(header)
@@ -147,19 +157,19 @@
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.PARSING)
 
 
-def _write(answer: ServeResult, request_id: str) -> bytes:
-    if isinstance(answer, Failure):
-        return error_response(answer, request_id)
+def _respond(result: ServeResult, request_id: str) -> bytes:
+    if isinstance(result, Failure):
+        return error_response(result, request_id)
     response = cherrypy.response
     response.headers["X-Request-Id"] = request_id
-    if isinstance(answer, RelayedResponse):
+    if isinstance(result, RelayedResponse):
         response.headers["Content-Type"] = SSE_TYPE
         response.headers["Cache-Control"] = "no-cache"
         response.stream = True
         slot = cherrypy.request.wsgi_environ[HANDOVER_KEY]
-        slot.abandon = answer.abandon
-        slot.handover = answer.handover
+        slot.abandon = result.abandon
+        slot.handover = result.handover
         return b""
-    response.status = answer.status
-    response.headers["Content-Type"] = answer.content_type
-    return answer.body
+    response.status = result.status
+    response.headers["Content-Type"] = result.content_type
+    return result.body
--- a/src/leverjunction/api/decisions.py
+++ b/src/leverjunction/api/decisions.py
@@ -1,4 +1,4 @@
-"""Operators' view of decisions: ``/operator/decisions`` and its stream."""
+"""Operators' API of the decision log: ``/operator/decisions`` and its event stream."""
 
 from __future__ import annotations
 
@@ -17,11 +17,17 @@
 KEEP_ALIVE_COMMENT = b":\n\n"
 RETRY_AFTER_S = 5.0
 MAX_FOLLOWERS = 8
-"""Each follower holds a request thread, and some must stay free for probes and refusals."""
+"""Maximum number of open decision streams. Each occupies a request thread, and some threads must
+stay free for probes and refusals."""
 
 
 class DecisionsApi:
-    """Serves the ring of decisions to holders of the operators' token."""
+    """Serves the recent decisions of a gateway to operators.
+
+    Args:
+        ring: Ring buffer of the recent decisions.
+        token: The operators' bearer token, or None to refuse every request.
+    """
 
     def __init__(self, ring: DecisionRing, token: str | None) -> None:
         self._ring = ring
@@ -31,7 +37,7 @@
 
     @cherrypy.expose
     def index(self, request: str = "", service: str = "") -> bytes:
-        """List kept decisions of a request or a service, oldest first, as a JSON array."""
+        """List the buffered decisions of a request or a service, oldest first, as a JSON array."""
         refusal = authenticate_operator(cherrypy.request, self._token)
         if refusal is not None:
             return error_response(refusal, new_request_id())
@@ -40,19 +46,20 @@
 
     @cherrypy.expose
     def stream(self, request: str = "", service: str = "") -> bytes | Iterator[bytes]:
-        """Send new decisions as server-sent events, one JSON object each."""
+        """Stream new decisions as server-sent events with one JSON object each."""
         refusal = authenticate_operator(cherrypy.request, self._token)
         if refusal is not None:
             return error_response(refusal, new_request_id())
         with self._lock:
             if self._followers >= MAX_FOLLOWERS:
-                return error_response(_too_many(), new_request_id())
+                return error_response(_too_many_followers(), new_request_id())
         cherrypy.response.headers["Content-Type"] = "text/event-stream"
         cherrypy.response.stream = True
         return self._events(request, service)
 
     def _events(self, request: str, service: str) -> Iterator[bytes]:
-        # Counted here and not above: a generator that was never started is not closed either.
+        # Counted here, not in stream(): the finally block of a generator that never started does
+        # not run, so its follower would never be subtracted.
         with self._lock:
             self._followers += 1
         try:
@@ -67,10 +74,10 @@
                 self._followers -= 1
 
 
-def _too_many() -> Failure:
+def _too_many_followers() -> Failure:
     return Failure(
         kind=FailureKind.OVERLOADED,
-        reason=f"{MAX_FOLLOWERS} others follow this gateway's decisions; end one of them first",
+        reason=f"{MAX_FOLLOWERS} clients already follow this gateway's decisions; close one first",
         step=Step.ADMISSION,
         retry_after_s=RETRY_AFTER_S,
     )
--- a/src/leverjunction/api/errors.py
+++ b/src/leverjunction/api/errors.py
@@ -1,4 +1,4 @@
-"""Failures as OpenAI-shaped HTTP error answers."""
+"""Converts failures to HTTP error responses in the OpenAI-compatible format."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class ErrorDetail(msgspec.Struct, frozen=True, kw_only=True):
-    """The OpenAI error object, with what leverjunction knows besides."""
+    """OpenAI's error object, extended by fields of leverjunction."""
 
     message: str
     type: str
@@ -64,18 +64,18 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of an error answer, and of an error event in a stream."""
+    """Body of an error response, and of an error event in a stream."""
 
     error: ErrorDetail
 
 
 def http_status(failure: Failure) -> int:
-    """Return the HTTP status that answers a failure."""
+    """Return the HTTP status code of a failure."""
     return HTTP_STATUS[failure.kind]
 
 
 def error_body(failure: Failure, request_id: str) -> bytes:
-    """Return the JSON bytes of a failure's error body."""
+    """Return the error body of a failure as JSON."""
     status = http_status(failure)
     return encode(
         ErrorBody(
@@ -94,7 +94,10 @@
 
 
 def retry_after(failure: Failure) -> str | None:
-    """Return the value of ``Retry-After`` in whole seconds; always given with 429 and 503."""
+    """Return the value of ``Retry-After`` in whole seconds, or None.
+
+    Responses with status 429 or 503 always have one.
+    """
     if failure.retry_after_s is not None:
         return str(max(1, math.ceil(failure.retry_after_s)))
     if http_status(failure) in (429, 503):
@@ -103,7 +106,7 @@
 
 
 def error_response(failure: Failure, request_id: str) -> bytes:
-    """Make the current CherryPy response the answer to a failure and return its body."""
+    """Set status and headers of the current CherryPy response and return the error body."""
     response = cherrypy.response
     response.status = http_status(failure)
     response.stream = False
--- a/src/leverjunction/api/models.py
+++ b/src/leverjunction/api/models.py
@@ -1,4 +1,4 @@
-"""Callers' list of models: ``/v1/models``."""
+"""Models API for callers: ``/v1/models``."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ModelObject(msgspec.Struct, frozen=True, kw_only=True):
-    """OpenAI's model object."""
+    """Model object, as OpenAI defines it."""
 
     id: str
     object: str = "model"
@@ -25,7 +25,7 @@
 
 
 class ModelList(msgspec.Struct, frozen=True, kw_only=True):
-    """OpenAI's list of models."""
+    """List of models, as OpenAI defines it."""
 
     object: str = "list"
     data: list[ModelObject]
@@ -45,7 +45,7 @@
         tenant = authenticate(cherrypy.request, settings)
         if isinstance(tenant, Failure):
             return error_response(tenant, request_id)
-        models = models_of(settings, tenant)
+        models = list_models(settings, tenant)
         cherrypy.response.headers["Content-Type"] = "application/json"
         if not path:
             return encode(ModelList(data=models))
@@ -59,7 +59,7 @@
         return error_response(failure, request_id)
 
 
-def models_of(settings: ResolvedSettings, tenant: str) -> list[ModelObject]:
+def list_models(settings: ResolvedSettings, tenant: str) -> list[ModelObject]:
     """Return the models and adapters that a tenant may call."""
     found = []
     for service in settings.names("services"):
--- a/src/leverjunction/api/operators.py
+++ b/src/leverjunction/api/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API of a control process; bearer token, JSON."""
+"""Operators' HTTP API of a control process. It uses bearer tokens and JSON bodies."""
 
 from __future__ import annotations
 
@@ -34,35 +34,35 @@
 
 ROOT_GROUP = "root"
 CALL_TIMEOUT_S = 5.0
-MAX_CHANGE_BYTES = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 MAX_JOBS_LISTED = 1000
 MAX_HISTORY = 1000
 MAX_RESULTS = 5000
 
 
 class Groups(Protocol):
-    """The part of ``control.group_host.GroupHost`` that operators reach."""
+    """The part of ``control.group_host.GroupHost`` that the operators' API uses."""
 
     def propose(
         self, group: str, command: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
-        """Replicate a command and return its reply."""
+        """Replicate a command in a group and return the reply of its state machine."""
         ...
 
     def query(
         self, group: str, query: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
-        """Answer a linearizable read."""
+        """Return the reply to a linearizable read of a group."""
         ...
 
 
 class OperatorsApi:
-    """Handlers below ``/operator``. Called by CherryPy's worker threads.
+    """Handlers below ``/operator``. CherryPy calls them from its worker threads.
 
     Args:
-        groups: Proposals and queries.
+        groups: Runs commands and queries in the replicated groups.
         job_groups: Names of the job groups.
-        status: Returns the cluster's status, as a typed message.
+        status: Returns the status of the cluster as a message.
         token: The operators' bearer token.
     """
 
@@ -77,13 +77,13 @@
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def status(self) -> bytes:
-        """``GET /operator/status``: the cluster at a glance."""
-        refusal = _refusal(self._token)
-        return _answer(refusal if refusal is not None else self._status())
+        """Serve ``GET /operator/status``: the status of the cluster."""
+        refusal = _find_refusal(self._token)
+        return _respond(refusal if refusal is not None else self._status())
 
 
 class SettingsApi:
-    """``/operator/settings``: read the settings, change them, list changes."""
+    """Handlers of ``/operator/settings``: read and change the settings, list their changes."""
 
     def __init__(self, groups: Groups, token: str) -> None:
         self._groups = groups
@@ -92,55 +92,55 @@
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def index(self, after: str = "0") -> bytes:
-        """``GET /operator/settings?after=V``: leaves changed after a version."""
-        version = _number("after", after, 2**62)
-        refusal = _refusal(self._token, version)
+        """Serve ``GET /operator/settings?after=V``: the settings changed after a version."""
+        version = _parse_number("after", after, 2**62)
+        refusal = _find_refusal(self._token, version)
         if refusal is not None:
-            return _answer(refusal)
+            return _respond(refusal)
         assert isinstance(version, int)
         query = GetSettings(after_version=version)
-        return _answer(self._groups.query(ROOT_GROUP, query, SettingsDelta, CALL_TIMEOUT_S))
+        return _respond(self._groups.query(ROOT_GROUP, query, SettingsDelta, CALL_TIMEOUT_S))
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def history(self, limit: str = "50") -> bytes:
-        """``GET /operator/settings/history?limit=N``: accepted changes, newest first."""
-        count = _number("limit", limit, MAX_HISTORY)
-        refusal = _refusal(self._token, count)
+        """Serve ``GET /operator/settings/history?limit=N``: accepted changes, newest first."""
+        count = _parse_number("limit", limit, MAX_HISTORY)
+        refusal = _find_refusal(self._token, count)
         if refusal is not None:
-            return _answer(refusal)
+            return _respond(refusal)
         assert isinstance(count, int)
         query = GetHistory(limit=count)
-        return _answer(self._groups.query(ROOT_GROUP, query, list[ChangeRecord], CALL_TIMEOUT_S))
+        return _respond(self._groups.query(ROOT_GROUP, query, list[ChangeRecord], CALL_TIMEOUT_S))
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["POST"])
     @cherrypy.config(**{"request.process_request_body": False})
     def apply(self) -> bytes:
-        """``POST /operator/settings/apply``: change the settings by compare-and-set."""
-        refusal = _refusal(self._token)
+        """Serve ``POST /operator/settings/apply``: change the settings by compare-and-set."""
+        refusal = _find_refusal(self._token)
         if refusal is not None:
-            return _answer(refusal)
+            return _respond(refusal)
         body = _read_body()
         change = body if isinstance(body, Failure) else _decode_change(body)
         if isinstance(change, Failure):
-            return _answer(change)
-        invalid = self._check(change)
+            return _respond(change)
+        invalid = self._validate(change)
         if invalid is not None:
-            return _answer(invalid)
+            return _respond(invalid)
         outcome = self._groups.propose(ROOT_GROUP, change, ChangeOutcome, CALL_TIMEOUT_S)
-        return _answer(outcome)
+        return _respond(outcome)
 
-    def _check(self, change: ApplyChange) -> Failure | None:
-        """Return why a change must not be proposed: it would make the settings invalid."""
+    def _validate(self, change: ApplyChange) -> Failure | None:
+        """Return a Failure when a change would make the settings invalid, otherwise None."""
         query = GetSettings(after_version=0)
-        in_force = self._groups.query(ROOT_GROUP, query, SettingsDelta, CALL_TIMEOUT_S)
-        return in_force if isinstance(in_force, Failure) else check_proposal(change, in_force)
+        current = self._groups.query(ROOT_GROUP, query, SettingsDelta, CALL_TIMEOUT_S)
+        return current if isinstance(current, Failure) else check_proposal(change, current)
 
 
 @cherrypy.popargs("job_id")
 class JobsApi:
-    """``/operator/jobs``: list, show, cancel, results; any tenant's."""
+    """Handlers of ``/operator/jobs``: list, show and cancel any tenant's jobs, read results."""
 
     def __init__(self, groups: Groups, job_groups: list[str], token: str) -> None:
         self._groups = groups
@@ -150,55 +150,55 @@
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def index(self, job_id: str = "", tenant: str = "", limit: str = "100") -> bytes:
-        """``GET /operator/jobs[?tenant=T]`` and ``GET /operator/jobs/ID``."""
-        count = _number("limit", limit, MAX_JOBS_LISTED)
-        refusal = _refusal(self._token, count)
+        """Serve ``GET /operator/jobs[?tenant=T]`` and ``GET /operator/jobs/ID``."""
+        count = _parse_number("limit", limit, MAX_JOBS_LISTED)
+        refusal = _find_refusal(self._token, count)
         if refusal is not None:
-            return _answer(refusal)
+            return _respond(refusal)
         if not job_id:
             assert isinstance(count, int)
-            return _answer(self._list(tenant, count))
-        return _answer(self._query(job_id, GetJob(job_id=job_id), JobView))
+            return _respond(self._list(tenant, count))
+        return _respond(self._query(job_id, GetJob(job_id=job_id), JobView))
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["POST"])
     @cherrypy.config(**{"request.process_request_body": False})
     def cancel(self, job_id: str = "") -> bytes:
-        """``POST /operator/jobs/ID/cancel``: cancel a job; cancelling twice is one."""
+        """Serve ``POST /operator/jobs/ID/cancel``: cancel a job. Cancelling is idempotent."""
         body = _read_body()
-        refusal = _refusal(self._token, body)
+        refusal = _find_refusal(self._token, body)
         if refusal is not None:
-            return _answer(refusal)
+            return _respond(refusal)
         group = self._group_of(job_id)
         if isinstance(group, Failure):
-            return _answer(group)
+            return _respond(group)
         command = CancelJob(job_id=job_id)
-        return _answer(self._groups.propose(group, command, JobView, CALL_TIMEOUT_S))
+        return _respond(self._groups.propose(group, command, JobView, CALL_TIMEOUT_S))
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def results(self, job_id: str = "", after: str = "0", limit: str = "1000") -> bytes:
-        """``GET /operator/jobs/ID/results?after=CURSOR``: a page of final items."""
-        cursor = _number("after", after, 2**62)
-        count = _number("limit", limit, MAX_RESULTS)
-        refusal = _refusal(self._token, cursor, count)
+        """Serve ``GET /operator/jobs/ID/results?after=CURSOR``: a page of final items."""
+        cursor = _parse_number("after", after, 2**62)
+        count = _parse_number("limit", limit, MAX_RESULTS)
+        refusal = _find_refusal(self._token, cursor, count)
         if refusal is not None:
-            return _answer(refusal)
+            return _respond(refusal)
         assert isinstance(cursor, int)
         assert isinstance(count, int)
         query = GetResults(job_id=job_id, after=cursor, limit=count)
-        return _answer(self._query(job_id, query, ResultPage))
+        return _respond(self._query(job_id, query, ResultPage))
 
     def _list(self, tenant: str, limit: int) -> list[JobView] | Failure:
-        found: list[JobView] = []
+        jobs_found: list[JobView] = []
         for group in self._job_groups:
             query = ListJobs(tenant=tenant, limit=limit)
             jobs = self._groups.query(group, query, list[JobView], CALL_TIMEOUT_S)
             if isinstance(jobs, Failure):
                 return jobs
-            found += jobs
-        found.sort(key=lambda job: job.created_ms, reverse=True)
-        return found[:limit]
+            jobs_found += jobs
+        jobs_found.sort(key=lambda job: job.created_ms, reverse=True)
+        return jobs_found[:limit]
 
     def _query(self, job_id: str, query: msgspec.Struct, reply_type: type[T]) -> T | Failure:
         group = self._group_of(job_id)
@@ -212,35 +212,40 @@
             return group
         return Failure(
             kind=FailureKind.NOT_FOUND,
-            reason=f"there is no job {job_id!r}: its id names no job group",
+            reason=f"there is no job {job_id!r}: its id does not name a job group",
             step=Step.QUERYING,
         )
 
 
-def _refusal(token: str, *checked: object) -> Failure | None:
-    """Return why a request is refused: no token first, then the first bad value."""
+def _find_refusal(token: str, *checked: object) -> Failure | None:
+    """Return why the current request is refused, or None.
+
+    Args:
+        token: The operators' bearer token. A failed authentication takes precedence.
+        checked: Parsed values of the request; the first that is a Failure is returned.
+    """
     refusal = authenticate_operator(cherrypy.request, token)
     if refusal is not None:
         return refusal
     return next((value for value in checked if isinstance(value, Failure)), None)
 
 
-def _number(name: str, text: str, highest: int) -> int | Failure:
-    if text.isascii() and text.isdigit() and int(text) <= highest:
+def _parse_number(name: str, text: str, maximum: int) -> int | Failure:
+    if text.isascii() and text.isdigit() and int(text) <= maximum:
         return int(text)
     return Failure(
         kind=FailureKind.BAD_REQUEST,
-        reason=f"query parameter {name} must be a number from 0 to {highest}, got {text!r}",
+        reason=f"query parameter {name} must be a number from 0 to {maximum}, got {text!r}",
         step=Step.PARSING,
     )
 
 
 def _read_body() -> bytes | Failure:
     length = int(cherrypy.request.headers.get("Content-Length") or 0)
-    if length > MAX_CHANGE_BYTES:
+    if length > MAX_BODY_BYTES:
         return Failure(
             kind=FailureKind.TOO_LARGE,
-            reason=f"the body has {length} bytes, at most {MAX_CHANGE_BYTES} are taken",
+            reason=f"the body has {length} bytes, the limit is {MAX_BODY_BYTES}",
             step=Step.PARSING,
         )
     return bytes(cherrypy.request.rfile.read(length)) if length else b""
@@ -253,7 +258,7 @@
     return change
 
 
-def _answer(result: object) -> bytes:
+def _respond(result: object) -> bytes:
     if isinstance(result, Failure):
         request_id = cherrypy.request.headers.get("X-Request-Id") or ""
         return error_response(result, request_id)
--- a/src/leverjunction/api/operators_app.py
+++ b/src/leverjunction/api/operators_app.py
@@ -1,4 +1,4 @@
-"""The CherryPy application of a control process's operators' port."""
+"""CherryPy application of the operators' port of a control process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Root:
-    """Path ``/``. The probes need no token: they tell nothing of callers or jobs."""
+    """Handlers of ``/``. Probes need no token, since they reveal nothing about callers or jobs."""
 
     def __init__(self, operators: OperatorsApi, probes: ProbesApi) -> None:
         self._probes = probes
@@ -23,38 +23,38 @@
 
     @cherrypy.expose
     def health(self) -> bytes:
-        """``GET /health``: 200 while the process runs."""
+        """Serve ``GET /health``: 200 while the process runs."""
         return self._probes.health()
 
     @cherrypy.expose
     def ready(self) -> bytes:
-        """``GET /ready``: 200 while the root group's leader is heard."""
+        """Serve ``GET /ready``: 200 while the root group's leader was heard recently."""
         return self._probes.ready()
 
     @cherrypy.expose
     def metrics(self) -> bytes:
-        """``GET /metrics``: all counters in the Prometheus text format."""
+        """Serve ``GET /metrics``: all metrics in the Prometheus text format."""
         return self._probes.metrics()
 
 
 def build_operators_app(operators: OperatorsApi, probes: ProbesApi) -> Tree:
     """Return the WSGI application of the operators' port."""
     tree = Tree()
-    application = tree.mount(_Root(operators, probes), "", {"/": _config()})
-    # Counters tell of requests; a line for each would drown the changes of state.
+    application = tree.mount(_Root(operators, probes), "", {"/": _app_config()})
+    # Requests are counted in the metrics; access log lines would bury the log of state changes.
     application.log.screen = False
     application.log.access_log.propagate = False
     return tree
 
 
-def _config() -> dict[str, object]:
+def _app_config() -> dict[str, object]:
     return {
         "request.show_tracebacks": False,
         "request.show_mismatched_params": False,
-        "request.error_response": _unexpected,
+        "request.error_response": _handle_unexpected_error,
         "error_page.default": _error_page,
         "tools.trailing_slash.on": False,
-        # Both write to stderr; the headers hold the operators' token.
+        # Both tools write to stderr, and the headers contain the operators' token.
         "tools.log_headers.on": False,
         "tools.log_tracebacks.on": False,
         "tools.encode.on": False,
@@ -71,10 +71,10 @@
     return error_body(Failure(kind=kind, reason=message, step=Step.PARSING), "")
 
 
-def _unexpected() -> None:
-    logger.exception("operators' request failed")
+def _handle_unexpected_error() -> None:
+    logger.exception("operator request failed")
     cherrypy.response.status = 500
     cherrypy.response.headers["Content-Type"] = "application/json"
-    reason = "unexpected error, see this process's log"
+    reason = "unexpected error; see the log of this process"
     failure = Failure(kind=FailureKind.INTERNAL, reason=reason, step=Step.RESPONDING)
     cherrypy.response.body = [error_body(failure, "")]
--- a/src/leverjunction/api/probes.py
+++ b/src/leverjunction/api/probes.py
@@ -1,4 +1,4 @@
-"""Probes of a process: ``/health``, ``/ready`` and ``/metrics``."""
+"""Probe endpoints of a process: ``/health``, ``/ready`` and ``/metrics``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 
 
 class ProbesApi:
-    """Handlers that need no key: they tell nothing of callers."""
+    """Handlers that need no authentication, since they reveal nothing about callers.
+
+    Args:
+        registry: Metrics that ``/metrics`` exports.
+        not_ready: Returns why the process is not ready, or None when it is.
+    """
 
     def __init__(self, registry: CollectorRegistry, not_ready: Callable[[], str | None]) -> None:
         self._registry = registry
@@ -18,13 +23,13 @@
 
     @cherrypy.expose
     def health(self) -> bytes:
-        """Answer 200 while the process runs."""
+        """Return 200 while the process runs."""
         cherrypy.response.headers["Content-Type"] = "text/plain"
         return b"ok\n"
 
     @cherrypy.expose
     def ready(self) -> bytes:
-        """Answer 200 when the process takes requests, else 503 and why not."""
+        """Return 200 when the process accepts requests, otherwise 503 and the reason."""
         cherrypy.response.headers["Content-Type"] = "text/plain"
         reason = self._not_ready()
         if reason is None:
@@ -34,6 +39,6 @@
 
     @cherrypy.expose
     def metrics(self) -> bytes:
-        """Answer all counters in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         cherrypy.response.headers["Content-Type"] = CONTENT_TYPE_LATEST
         return generate_latest(self._registry)
--- a/tests/unit/test_batch_api.py
+++ b/tests/unit/test_batch_api.py
@@ -1,4 +1,4 @@
-"""Files and batches over HTTP, with the official client and with plain requests."""
+"""Tests of the files and batches API over HTTP, with the OpenAI client and plain requests."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class Server:
-    """The batch API on a free port, over state machines in this process."""
+    """Serves the batch API on a free port, with the job groups' state machines in this process."""
 
     def __init__(self) -> None:
         self.control = LocalControl(SystemClock().wall_ms)
@@ -83,7 +83,7 @@
         return self._pool.request(method, self.url + path, body=body, headers=sent)
 
     def run_all(self) -> None:
-        """Run every pending item and complete it with its own custom id."""
+        """Lease every pending item and complete it with a result that echoes its custom id."""
         for group in GROUPS:
             lease = self.control.propose(
                 group, GrantLease(f"l-{group}", "g", "llm", ["m"], 500), Lease
@@ -144,7 +144,7 @@
     assert [entry["response"]["body"]["echo"] for entry in output] == ["c0", "c1"]
 
 
-def test_short_form_pages_and_resends(server: Server) -> None:
+def test_batch_from_body_with_retries_and_paged_results(server: Server) -> None:
     first = server.request("POST", "/batches", lines(3), Idempotency_Key="k")
     batch = json.loads(first.data)
     assert first.status == 200, first.data
@@ -166,11 +166,11 @@
     client = openai.OpenAI(api_key="key-kilimo", base_url=server.url, max_retries=0)
     created = []
     for _ in range(7):
-        # A file that no batch was made of must not take a place on a page.
+        # Another tenant's batch, and a file without a batch, must not take a place on a page.
         server.request("POST", "/batches", lines(1), tenant="hanbit")
         client.files.create(file=("in.jsonl", lines(1)), purpose="batch")
         created.append(json.loads(server.request("POST", "/batches", lines(1)).data)["id"])
-    # An endless listing would give each batch again and again.
+    # islice bounds the test in case pagination never ends and repeats batches.
     listed = [batch.id for batch in itertools.islice(client.batches.list(limit=2), 20)]
     assert sorted(listed) == sorted(created)
     times = [client.batches.retrieve(batch_id).created_at for batch_id in listed]
@@ -187,7 +187,7 @@
         ("after=batch_jobs-0.00", 404, "no job 'jobs-0.00'"),
     ],
 )
-def test_listing_refuses_a_page_that_it_cannot_give(
+def test_invalid_list_parameters_are_refused(
     server: Server, query: str, status: int, reason: str
 ) -> None:
     refused = server.request("GET", f"/batches?{query}")
@@ -217,18 +217,18 @@
     ("body", "status", "reasons"),
     [
         (b"", 400, ["no lines"]),
-        (line("a") + b"\n{nonsense\n", 400, ["line 2: ", "want custom_id"]),
-        (line("a") + b"\n\n" + line("a"), 400, ["line 3: custom_id 'a' stands twice"]),
+        (line("a") + b"\n{nonsense\n", 400, ["line 2: ", "expected custom_id"]),
+        (line("a") + b"\n\n" + line("a"), 400, ["line 3: custom_id 'a' is used twice"]),
         (line("a", model="none"), 400, ["line 1: no service has the model 'none'"]),
         (line("a") + b"\n" + line("b", model="d"), 400, ["line 2: ", "one job for each service"]),
         (line("a", url="/v1/embeddings"), 400, ["line 1: url '/v1/embeddings'; use one of"]),
-        (line("a", body={"stream": True}), 400, ["line 1: stream is not possible"]),
+        (line("a", body={"stream": True}), 400, ["line 1: stream is not supported"]),
         (line("", model="none") + b"\n" + line("b", method="GET"), 400, ["line 1: ", "line 2: "]),
         (lines(1501), 413, ["line 1501: more than 1500 items"]),
         (line("a", body={"prompt": "x" * 1_100_000}), 413, ["line 1: is longer than 1000000"]),
     ],
 )
-def test_bad_input_is_refused_whole(
+def test_input_with_an_invalid_line_is_refused_as_a_whole(
     server: Server, body: bytes, status: int, reasons: list[str]
 ) -> None:
     refused = server.request("POST", "/batches", body, Idempotency_Key="k")
@@ -238,7 +238,7 @@
         assert reason in error["message"]
     for connection in server.control.connections.values():
         assert connection.execute("SELECT COUNT(*) FROM sm_items").fetchone() == (0,)
-    # The key is free for the mended input.
+    # The idempotency key can be reused for the corrected input.
     assert server.request("POST", "/batches", lines(1), Idempotency_Key="k").status == 200
 
 
@@ -264,26 +264,26 @@
         ),
     ],
 )
-def test_body_that_breaks_off_between_two_lines_is_not_taken_for_the_whole(
+def test_body_truncated_between_two_lines_is_refused(
     server: Server, path: str, headers: bytes, sent: bytes
 ) -> None:
-    # A gateway ends the reading of a body that comes too slowly in the same way.
+    # The gateway ends a body that arrives too slowly in the same way.
     head = f"POST /v1/{path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-kilimo\r\n".encode()
     with socket.create_connection(server.address) as connection:
         connection.sendall(head + b"Idempotency-Key: k\r\n" + headers + b"\r\n\r\n" + sent)
         connection.shutdown(socket.SHUT_WR)
-        answer = connection.makefile("rb").read()
-    assert answer.startswith(b"HTTP/1.1 400"), answer
-    assert json.loads(answer.rpartition(b"\r\n\r\n")[2])["error"]["execution"] == "not_run"
+        response = connection.makefile("rb").read()
+    assert response.startswith(b"HTTP/1.1 400"), response
+    assert json.loads(response.rpartition(b"\r\n\r\n")[2])["error"]["execution"] == "not_run"
     for connection_ in server.control.connections.values():
         sealed = connection_.execute("SELECT COUNT(*) FROM sm_jobs WHERE content_hash != ''")
         assert sealed.fetchone() == (0,)
-    # The whole body under the same key is the job.
+    # A retry of the whole body with the same key creates the job.
     whole = server.request("POST", "/batches", lines(5), Idempotency_Key="k")
     assert json.loads(whole.data)["request_counts"]["total"] == 5
 
 
-def test_upload_that_lost_its_quorum_goes_on_with_a_resend(server: Server) -> None:
+def test_retry_resumes_an_upload_that_failed_without_quorum(server: Server) -> None:
     lost = Failure(
         kind=FailureKind.NO_QUORUM,
         reason="no quorum",
@@ -305,7 +305,7 @@
     assert json.loads(resent.data)["request_counts"]["total"] == 1200
 
 
-def test_lost_answer_of_the_acceptance_is_unknown(server: Server) -> None:
+def test_lost_reply_to_accept_job_is_reported_as_unknown(server: Server) -> None:
     lost = Failure(
         kind=FailureKind.TIMEOUT, reason="late", step=Step.PROPOSING, execution=Execution.UNKNOWN
     )
@@ -314,7 +314,7 @@
     assert json.loads(failed.data)["error"]["execution"] == "unknown"
 
 
-def test_terms_come_from_headers_and_query(server: Server) -> None:
+def test_job_terms_are_read_from_headers_and_query(server: Server) -> None:
     created = server.request(
         "POST", "/batches?completion_window=2h&batch_class=night", lines(1), X_Repeat="never"
     )
@@ -340,7 +340,7 @@
     assert weights == [250]
 
 
-def test_key_of_a_file_batch_is_bound_to_its_file(server: Server) -> None:
+def test_idempotency_key_of_a_file_batch_is_bound_to_its_file(server: Server) -> None:
     client = openai.OpenAI(api_key="key-kilimo", base_url=server.url, max_retries=0)
     ids = [client.files.create(file=("in.jsonl", lines(1)), purpose="batch").id for _ in range(2)]
 
@@ -356,7 +356,7 @@
     assert server.request("GET", f"/files/{ids[1]}").status == 404
 
 
-def test_results_past_their_retention_are_gone_and_the_batch_says_so(server: Server) -> None:
+def test_results_expire_after_their_retention(server: Server) -> None:
     created = server.request("POST", "/batches", lines(3), X_Batch_Class="night")
     batch_id = json.loads(created.data)["id"]
     server.run_all()
