--- a/src/leverjunction/cli/__init__.py
+++ b/src/leverjunction/cli/__init__.py
@@ -1,4 +1,4 @@
-"""Command line of leverjunction: processes and operators' commands."""
+"""The leverjunction command line: starts processes and runs operator commands."""
 
 from leverjunction.cli.commands import main
 
--- a/src/leverjunction/cli/__main__.py
+++ b/src/leverjunction/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m leverjunction.cli``."""
+"""Entry point of ``python -m leverjunction.cli``."""
 
 from leverjunction.cli.commands import main
 
--- a/src/leverjunction/cli/apply.py
+++ b/src/leverjunction/cli/apply.py
@@ -1,4 +1,4 @@
-"""Sends a settings change so that resends are safe, and waits until it is in force."""
+"""Sends a settings change so that it can be resent safely, and waits until it is in force."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from leverjunction.cli.output import ExitCode, print_failure, print_json, print_progress, when
+from leverjunction.cli.output import ExitCode, format_utc, print_failure, print_json, print_progress
 from leverjunction.cli.pending import PendingRecord
 from leverjunction.cli_client import OperatorClient
 from leverjunction.clock import steady_s
@@ -15,9 +15,9 @@
 from leverjunction.settings.commands import ApplyChange, ChangeOutcome, SettingsDelta
 from leverjunction.wire.messages import GatewayState
 
-POLL_S = 0.3
+POLL_INTERVAL_S = 0.3
 
-NOT_PROPOSED = frozenset(
+REJECTED_BEFORE_PROPOSAL = frozenset(
     {
         FailureKind.BAD_REQUEST,
         FailureKind.TOO_LARGE,
@@ -25,23 +25,23 @@
         FailureKind.FORBIDDEN,
     }
 )
-"""Failures that are answered before a change is proposed: nothing can have been committed."""
+"""Kinds of failure that are returned before a change is proposed, so nothing was committed."""
 
 
 class GatewayVersions(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of ``/operator/status`` that says which gateways are live and how far they are."""
+    """The part of ``/operator/status`` that lists live gateways and their settings versions."""
 
     gateways: list[GatewayState] = []
     silent_hubs: list[str] = []
 
 
-def apply_plan(
+def send_change(
     client: OperatorClient, change: ApplyChange, pending: PendingRecord
 ) -> ChangeOutcome | Failure:
-    """Send a change and return what became of it.
+    """Send a change and return its outcome.
 
-    The change is on disk before the first send and is forgotten once its outcome is known, so
-    running the command again after a lost answer resends the same change id.
+    The change is saved to disk before it is first sent and deleted once its outcome is known, so
+    running the command again after a lost response resends the same change id.
     """
     if not change.changes:
         return ChangeOutcome(
@@ -55,7 +55,7 @@
         )
     pending.save(change)
     outcome = client.post("/operator/settings/apply", change, ChangeOutcome)
-    if not isinstance(outcome, Failure) or outcome.kind in NOT_PROPOSED:
+    if not isinstance(outcome, Failure) or outcome.kind in REJECTED_BEFORE_PROPOSAL:
         pending.clear()
     return outcome
 
@@ -67,58 +67,59 @@
     directory: str,
     as_json: bool,
 ) -> ExitCode:
-    """Print what became of a change, and how to go on when it was not made."""
+    """Print the outcome of a change and, if it was not made, what the operator can do next."""
     if isinstance(outcome, Failure):
-        if outcome.kind not in NOT_PROPOSED:
-            print_progress("the outcome is not known: run the same command again to learn it")
+        if outcome.kind not in REJECTED_BEFORE_PROPOSAL:
+            print_progress("the outcome is unknown: run the same command again to find out")
         return print_failure(outcome)
     if as_json:
         print_json(outcome)
     if not outcome.accepted:
-        return tell_refusal(outcome, change.base_version, directory)
+        return print_refusal(outcome, change.base_version, directory)
     if not as_json:
         print(outcome.reason or f"version {outcome.version} is committed")
     if outcome.replayed:
-        tell_newer_version(client, outcome.version)
+        print_newer_version(client, outcome.version)
     return ExitCode.OK
 
 
-def tell_refusal(outcome: ChangeOutcome, base_version: int, directory: str) -> ExitCode:
-    """Print who changed the settings first, when and where, and how to go on."""
+def print_refusal(outcome: ChangeOutcome, base_version: int, directory: str) -> ExitCode:
+    """Print which change caused the conflict, where the settings differ and what to do next."""
     if not outcome.winner:
         print_progress(f"refused: {outcome.reason}")
         return ExitCode.CONFLICT
     print_progress(
-        f"conflict: {outcome.winner} made version {outcome.version} at {when(outcome.winner_ms)} "
-        f"UTC, this change was planned on version {base_version}"
+        f"conflict: {outcome.winner} committed version {outcome.version} at "
+        f"{format_utc(outcome.winner_ms)} UTC, but this change was planned against version "
+        f"{base_version}"
     )
     for path in outcome.differing_paths:
         print_progress(f"  differs: {path}")
     print_progress(
-        f"nothing was changed: look at 'leverjunction settings plan {directory}', then apply again"
+        f"nothing was changed: review 'leverjunction settings plan {directory}', then apply again"
     )
     return ExitCode.CONFLICT
 
 
-def tell_newer_version(client: OperatorClient, version: int) -> None:
-    """Print that a resent change was overtaken since its first send, if it was."""
+def print_newer_version(client: OperatorClient, version: int) -> None:
+    """Print a notice if a newer version was committed after the first send of a resent change."""
     since = client.get("/operator/settings", SettingsDelta, {"after": str(version)})
     if not isinstance(since, Failure) and since.version > version:
         print_progress(
-            f"this change was committed by an earlier send; version {since.version} is in force "
-            "by now: look at 'leverjunction settings history'"
+            f"this change was committed by an earlier attempt; version {since.version} is now in "
+            "force: see 'leverjunction settings history'"
         )
 
 
-def wait_in_force(client: OperatorClient, version: int, give_up_s: float) -> ExitCode:
-    """Wait until every live gateway has a version in force; name those that have not.
+def wait_until_in_force(client: OperatorClient, version: int, deadline_s: float) -> ExitCode:
+    """Wait until a version is in force at every live gateway; on timeout, list the other gateways.
 
     Args:
         client: Client of the control processes.
         version: Version to wait for.
-        give_up_s: Monotonic time at which to give up.
+        deadline_s: Monotonic time at which to stop waiting, in seconds.
     """
-    told = ""
+    last_line = ""
     live = 0
     failure: Failure | None = None
     behind: list[GatewayState] = []
@@ -131,34 +132,39 @@
             live = len(status.gateways)
             behind = gateways_behind(status.gateways, version)
             if live and not behind:
-                _warn_of_silence(status.silent_hubs)
+                _warn_about_silent_hubs(status.silent_hubs)
                 print_progress(f"version {version} is in force at all {live} gateways")
                 return ExitCode.OK
-            told = _tell(behind, version, told)
-        if steady_s() >= give_up_s:
+            last_line = _print_waiting(behind, version, last_line)
+        if steady_s() >= deadline_s:
             break
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
     if failure is not None:
-        print_progress(f"version {version} is committed; where it is in force is not known")
+        print_progress(
+            f"version {version} is committed; it is unknown at which gateways it is in force"
+        )
         return print_failure(failure)
     if not live:
         print_progress(f"version {version} is committed but no gateway is live")
         return ExitCode.NOT_IN_FORCE
-    names = ", ".join(f"{one.gateway_id} (has {one.settings_version})" for one in behind)
+    names = ", ".join(
+        f"{gateway.gateway_id} (has {gateway.settings_version})" for gateway in behind
+    )
     print_progress(f"version {version} is committed but not in force at: {names}")
     return ExitCode.NOT_IN_FORCE
 
 
-def _warn_of_silence(silent_hubs: list[str]) -> None:
-    # Gateways that exchange with such a process alone are not known, and so not waited for.
+def _warn_about_silent_hubs(silent_hubs: list[str]) -> None:
+    # Gateways that can reach only a silent control process are not listed in the status, so
+    # wait_until_in_force does not wait for them.
     if silent_hubs:
-        print_progress(f"warning: not heard: {', '.join(silent_hubs)}; gateways cut off with it")
-        print_progress("serve on their last settings until they reach another control process")
+        print_progress(f"warning: no contact with control processes: {', '.join(silent_hubs)}")
+        print_progress("gateways that can reach only these keep serving with their last settings")
 
 
-def _tell(behind: list[GatewayState], version: int, told: str) -> str:
+def _print_waiting(behind: list[GatewayState], version: int, last_line: str) -> str:
     count = f"{len(behind)} gateways" if behind else "the first gateway"
     line = f"waiting for version {version} at {count}"
-    if line != told:
+    if line != last_line:
         print_progress(line)
     return line
--- a/src/leverjunction/cli/command.py
+++ b/src/leverjunction/cli/command.py
@@ -1,4 +1,4 @@
-"""How commands are run by fire: arguments as text, and nothing runs before all are understood."""
+"""Adapts commands to fire: arguments stay text, and a command runs only after all are parsed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SET_FLAG = "--set"
 SET_SEPARATOR = "\n"
 SHARED_FLAGS = (
-    "Flags of every operators' command: --control HOST:PORT[,HOST:PORT] (or the variable "
+    "Flags of all operator commands: --control HOST:PORT[,HOST:PORT] (or the variable "
     "LEVERJUNCTION_CONTROL), --token-file FILE (or LEVERJUNCTION_TOKEN_FILE), --json."
 )
 SWITCHES = frozenset({"--json", "--wait", "--follow"})
@@ -24,38 +24,38 @@
 _HELP_FLAGS = frozenset({"--help", "-h", "help"})
 
 
-class Deferred:
-    """A command with its arguments, to be run once fire has understood the whole line.
+class DeferredCommand:
+    """A command bound to its arguments, run once fire has parsed the whole command line.
 
-    Fire calls a method first and complains about left-over arguments afterwards: a mistyped flag
-    would be refused only after the change was made. It has no public member that fire could take
-    for a sub-command.
+    Fire calls a method before it reports unused arguments, so without deferral a mistyped flag
+    would be rejected only after the change was made. The class has no public members, since fire
+    would treat them as subcommands.
     """
 
     __slots__ = ("_call",)
 
     def __init__(self, call: Callable[[], int]) -> None:
-        """Hold the call."""
+        """Store the call that runs the command and returns its exit code."""
         self._call = call
 
 
-def run_deferred(deferred: Deferred) -> int:
-    """Run a command and return its exit code."""
+def run_command(deferred: DeferredCommand) -> int:
+    """Run a deferred command and return its exit code."""
     return deferred._call()
 
 
-def command(method: Callable[P, int]) -> Callable[P, Deferred]:
-    """Make a method a command: calling it only binds its arguments."""
+def command(method: Callable[P, int]) -> Callable[P, DeferredCommand]:
+    """Turn a method into a command: calling it binds its arguments without running it."""
 
     @functools.wraps(method)
-    def bind(*args: P.args, **kwargs: P.kwargs) -> Deferred:
-        return Deferred(functools.partial(method, *args, **kwargs))
+    def bind(*args: P.args, **kwargs: P.kwargs) -> DeferredCommand:
+        return DeferredCommand(functools.partial(method, *args, **kwargs))
 
     return bind
 
 
-def operators_command(method: Callable[P, int]) -> Callable[P, Deferred]:
-    """Make a method a command whose help names the flags that all operators' commands share."""
+def operator_command(method: Callable[P, int]) -> Callable[P, DeferredCommand]:
+    """Turn a method into a command whose help also lists the flags shared by operator commands."""
     bind = command(method)
     summary, _, rest = (method.__doc__ or "").partition("\n")
     bind.__doc__ = f"{summary}\n\n        {SHARED_FLAGS}\n{rest}"
@@ -63,14 +63,15 @@
 
 
 def prepare_arguments(arguments: Sequence[str]) -> list[str]:
-    """Return the arguments in the form that fire reads as it is meant.
+    """Rewrite the arguments so that fire parses them as intended.
 
-    Fire takes the word after a switch as its value, so switches get theirs; it keeps only the last
-    of a repeated flag, so all ``--set`` are joined into one; and it reads ``12e3`` as a number, so
-    such words are quoted: an id must stay what it is, and commands parse their own numbers.
+    - Fire takes the word after a switch as its value, so switches get an explicit ``=True``.
+    - Fire keeps only the last occurrence of a repeated flag, so all ``--set`` are joined into one.
+    - Fire parses ``12e3`` as a number, so such words are quoted: ids must reach the command
+      unchanged, and commands parse their own numbers.
     """
     if len(arguments) == 1 and arguments[0] in _HELP_FLAGS:
-        # Without a word fire lists the commands; with --help only the shared flags.
+        # Fire lists the commands when it gets no arguments; with --help, only the shared flags.
         return []
     prepared: list[str] = []
     assignments: list[str] = []
@@ -84,20 +85,20 @@
             prepared.append(f"{argument}=True")
         elif argument.startswith(_FLAG_PREFIX) and "=" in argument:
             flag, _, value = argument.partition("=")
-            prepared.append(f"{flag}={_quoted(value)}")
+            prepared.append(f"{flag}={_quote_non_text(value)}")
         else:
-            prepared.append(_quoted(argument))
+            prepared.append(_quote_non_text(argument))
     if assignments:
-        prepared.append(f"{SET_FLAG}={_quoted(SET_SEPARATOR.join(assignments))}")
+        prepared.append(f"{SET_FLAG}={_quote_non_text(SET_SEPARATOR.join(assignments))}")
     return prepared
 
 
-def _quoted(value: str) -> str:
+def _quote_non_text(value: str) -> str:
     return value if isinstance(DefaultParseValue(value), str) else repr(value)
 
 
-def number(text: object, flag: str, number_type: type[NumberT]) -> NumberT | Failure:
-    """Return a flag's number, 0 or more; else what was expected and got."""
+def parse_number(text: object, flag: str, number_type: type[NumberT]) -> NumberT | Failure:
+    """Parse a non-negative number; return a failure that names the flag if the text is invalid."""
     try:
         value = number_type(str(text))
     except ValueError:
@@ -106,7 +107,7 @@
         return value
     return Failure(
         kind=FailureKind.BAD_REQUEST,
-        reason=f"{flag}: expected {'a whole' if number_type is int else 'a'} number, 0 or more, "
-        f"got {str(text)!r}",
+        reason=f"{flag}: expected {'an integer' if number_type is int else 'a number'} "
+        f"of 0 or more, got {str(text)!r}",
         step=Step.CONFIGURATION,
     )
--- a/src/leverjunction/cli/commands.py
+++ b/src/leverjunction/cli/commands.py
@@ -1,4 +1,4 @@
-"""Command line of leverjunction: processes and operators' commands (built on fire).
+"""Top-level commands, built on fire: they start processes or call the operator API.
 
 Every command returns an ``ExitCode``; ``main`` turns it into the process's exit status.
 """
@@ -17,11 +17,11 @@
 
 from leverjunction.cli.command import (
     SET_SEPARATOR,
-    Deferred,
+    DeferredCommand,
     command,
-    operators_command,
+    operator_command,
     prepare_arguments,
-    run_deferred,
+    run_command,
 )
 from leverjunction.cli.jobs import JobsCommands
 from leverjunction.cli.options import make_options
@@ -37,8 +37,8 @@
 
 PACKAGE = "leverjunction"
 EXIT_INTERRUPTED = 130
-EXIT_READER_GONE = 141
-"""Both as a shell gives them for SIGINT and SIGPIPE."""
+EXIT_BROKEN_PIPE = 141
+"""Both codes follow the shell convention of 128 plus the signal number (SIGINT, SIGPIPE)."""
 
 ConfigT = TypeVar("ConfigT", bound=BaseModel)
 
@@ -46,21 +46,22 @@
 class Commands:
     """leverjunction serves online and batch inference from one shared fleet.
 
-    Operators' commands need --control HOST:PORT[,HOST:PORT] (or the variable
+    Operator commands need --control HOST:PORT[,HOST:PORT] (or the variable
     LEVERJUNCTION_CONTROL) and --token-file FILE (or LEVERJUNCTION_TOKEN_FILE); --json prints data
-    as JSON. Data goes to standard output, all else to standard error.
+    as JSON. Data goes to standard output, everything else to standard error.
 
-    Exit codes: 0 done; 1 failed, refused (wrong token or key) or not found; 2 bad input, nothing
-    was sent or changed; 3 conflict, nothing was changed; 4 unreachable, run it again; 5 committed,
-    but not in force at every live gateway in time.
+    Exit codes: 0 success; 1 failed, refused (wrong token or key) or not found; 2 invalid input,
+    nothing was sent or changed; 3 conflict, nothing was changed; 4 unreachable, run the command
+    again; 5 committed, but not in force at every live gateway before the timeout.
     """
 
     def __init__(self, *, control: str = "", token_file: str = "", json: bool = False) -> None:
-        """Hold the options that operators' commands share.
+        """Store the options that operator commands share.
 
         Args:
-            control: Addresses of control processes, host:port[,host:port]; LEVERJUNCTION_CONTROL.
-            token_file: File with the operators' token; LEVERJUNCTION_TOKEN_FILE.
+            control: Addresses of control processes, host:port[,host:port]; default
+                LEVERJUNCTION_CONTROL.
+            token_file: File with the operator token; default LEVERJUNCTION_TOKEN_FILE.
             json: Print data as JSON.
         """
         self._options = make_options(control, str(token_file), bool(json))
@@ -74,9 +75,9 @@
 
         Args:
             config: Settings file of the process.
-            set: KEY=VALUE that wins over the file, such as listen.http_port=8080; may be repeated.
+            set: KEY=VALUE that overrides the file, such as listen.http_port=8080; repeatable.
         """
-        loaded = _load(config, GatewayConfig, set)
+        loaded = _load_process_config(config, GatewayConfig, set)
         if isinstance(loaded, Failure):
             return print_failure(loaded, ExitCode.BAD_INPUT)
         from leverjunction.gateway.process import run
@@ -89,23 +90,23 @@
 
         Args:
             config: Settings file of the process.
-            set: KEY=VALUE that wins over the file, such as listen.http_port=8080; may be repeated.
+            set: KEY=VALUE that overrides the file, such as listen.http_port=8080; repeatable.
         """
-        loaded = _load(config, ControlConfig, set)
+        loaded = _load_process_config(config, ControlConfig, set)
         if isinstance(loaded, Failure):
             return print_failure(loaded, ExitCode.BAD_INPUT)
         from leverjunction.control.process import run
 
         return run(loaded)
 
-    @operators_command
+    @operator_command
     def status(self) -> int:
-        """Show zones, gateways, runners, queues, jobs and the settings in force, at a glance."""
+        """Show an overview of zones, gateways, runners, queues, jobs and the settings in force."""
         return status(self._options)
 
-    @operators_command
+    @operator_command
     def watch(self, request: str = "", service: str = "") -> int:
-        """Show decisions of all gateways as they happen, until interrupted.
+        """Stream the decisions of all gateways until interrupted.
 
         Args:
             request: Only decisions about this request.
@@ -113,17 +114,19 @@
         """
         return watch(self._options, request, service)
 
-    @operators_command
+    @operator_command
     def why(self, request_id: str) -> int:
-        """Show every kept decision about a request, of all gateways.
+        """Show the decisions about one request that the gateways still keep.
 
         Args:
-            request_id: Id that the gateway gave the request (X-Request-Id).
+            request_id: Id that the gateway assigned to the request (X-Request-Id).
         """
         return why(self._options, request_id)
 
 
-def _load(path: str, config_type: type[ConfigT], assignments: str) -> ConfigT | Failure:
+def _load_process_config(
+    path: str, config_type: type[ConfigT], assignments: str
+) -> ConfigT | Failure:
     overrides = parse_assignments(assignments)
     if isinstance(overrides, Failure):
         return overrides
@@ -131,7 +134,7 @@
 
 
 def parse_assignments(assignments: str) -> dict[str, object] | Failure:
-    """Return values by dotted key from lines of ``KEY=VALUE``; values are read as YAML."""
+    """Parse lines of ``KEY=VALUE`` into values by dotted key; each value is parsed as YAML."""
     overrides: dict[str, object] = {}
     for assignment in assignments.split(SET_SEPARATOR) if assignments else []:
         key, separator, text = assignment.partition("=")
@@ -140,7 +143,7 @@
         try:
             overrides[key] = yaml.safe_load(text)
         except yaml.YAMLError:
-            return _bad_flag(f"--set {assignment}: the value is not YAML")
+            return _bad_flag(f"--set {assignment}: the value is not valid YAML")
     return overrides
 
 
@@ -150,34 +153,34 @@
 
 def main(arguments: Sequence[str] | None = None) -> None:
     """Run the command line and exit with the command's status."""
-    given = sys.argv[1:] if arguments is None else arguments
-    if list(given) == ["--version"]:
+    words = sys.argv[1:] if arguments is None else arguments
+    if list(words) == ["--version"]:
         from importlib.metadata import version
 
         print(f"leverjunction {version(PACKAGE)}")
         sys.exit(ExitCode.OK)
     result = fire.Fire(
         Commands,
-        command=prepare_arguments(given),
+        command=prepare_arguments(words),
         name="leverjunction",
-        serialize=_shown,
+        serialize=_fire_output,
     )
-    sys.exit(_run(result) if isinstance(result, Deferred) else ExitCode.OK)
+    sys.exit(_run_to_exit_code(result) if isinstance(result, DeferredCommand) else ExitCode.OK)
 
 
-def _run(deferred: Deferred) -> int:
-    """Run a command; one that is interrupted, or whose reader has gone, ends without a trace."""
+def _run_to_exit_code(deferred: DeferredCommand) -> int:
+    """Run a command; an interrupt or a closed output pipe ends it without a traceback."""
     try:
-        return run_deferred(deferred)
+        return run_command(deferred)
     except KeyboardInterrupt:
         print_progress("interrupted")
         return EXIT_INTERRUPTED
     except BrokenPipeError:
-        # Python flushes standard output once more at exit, which must not fail again.
+        # Python flushes standard output again at exit, and that flush must not fail.
         sys.stdout = open(os.devnull, "w")  # noqa: SIM115
-        return EXIT_READER_GONE
+        return EXIT_BROKEN_PIPE
 
 
-def _shown(result: object) -> object:
-    """Return what fire prints: help for a group of commands, nothing for a command."""
-    return None if isinstance(result, Deferred) else result
+def _fire_output(result: object) -> object:
+    """Return what fire should print: help for a command group, nothing for a deferred command."""
+    return None if isinstance(result, DeferredCommand) else result
--- a/src/leverjunction/cli/explain.py
+++ b/src/leverjunction/cli/explain.py
@@ -1,4 +1,4 @@
-"""What ``settings explain`` says about a path of the tree. Pure."""
+"""Computes the output of ``settings explain``: which ancestor sets each value. No I/O."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class Explained(msgspec.Struct, frozen=True, kw_only=True):
-    """One inherited value; ``zone`` is empty when it is the same in every zone."""
+    """An inherited value; ``zone`` is empty when the value is the same in every zone."""
 
     zone: str
     inherited: Inherited
 
 
 class _Target(msgspec.Struct, frozen=True, kw_only=True):
-    """What a path names: a place for serving settings, or a tenant; and one leaf, or all."""
+    """A parsed path: a place in the serving settings or a tenant; an empty ``leaf`` means all."""
 
     place: Place = Place()
     tenant: str = ""
@@ -34,19 +34,22 @@
 
 
 def explain_path(leaves: Leaves, path: str, zone: str = "") -> list[Explained] | Failure:
-    """Return each value at a path with the ancestor that gives it.
+    """Return each value at a path with the ancestor that sets it.
 
     Args:
-        leaves: All leaves in force.
-        path: Service, model, adapter or tenant, or a leaf of one.
-        zone: Zone to explain a service for; empty for all zones.
+        leaves: All leaves of the settings in force.
+        path: Path of a service, model, adapter or tenant, or of one of their leaves.
+        zone: Zone in which to resolve a service's settings; empty for all zones.
+
+    Returns:
+        The values, or a failure if the path or the zone is invalid or nothing is set there.
     """
     settings = ResolvedSettings.from_rows(
         [SettingRow(key, value, 1) for key, value in leaves.items()]
     )
-    target = _target_of(path)
+    target = _parse_target(path)
     if target is None:
-        return _bad(f"{path} is not {_expected_at(path)}")
+        return _bad_request(f"{path}: expected {_describe_expected(path)}")
     if not _exists(leaves, _entity_path(target)):
         return Failure(
             kind=FailureKind.NOT_FOUND,
@@ -55,14 +58,14 @@
         )
     if target.tenant:
         values = explain_limits(settings.lookup, target.tenant)
-        return _chosen([Explained(zone="", inherited=item) for item in values], target.leaf)
+        return _filter_by_leaf([Explained(zone="", inherited=item) for item in values], target.leaf)
     if zone and settings.region_of_zone(zone) is None:
-        return _bad(f"zone {zone} is not in the settings")
+        return _bad_request(f"zone {zone} is not in the settings")
     zones = [zone] if zone else settings.zones()
-    return _chosen(_by_zone(settings, target.place, zones), target.leaf)
+    return _filter_by_leaf(_explain_by_zone(settings, target.place, zones), target.leaf)
 
 
-def _target_of(path: str) -> _Target | None:
+def _parse_target(path: str) -> _Target | None:
     match path.split(PATH_SEPARATOR):
         case ["tenants", tenant]:
             return _Target(tenant=tenant)
@@ -73,16 +76,14 @@
     return None
 
 
-def _expected_at(path: str) -> str:
-    """Return what would be understood in a path's place."""
+def _describe_expected(path: str) -> str:
+    """Return a description of the paths that are valid in place of an invalid one."""
     block = path.split(PATH_SEPARATOR)[-2:-1]
     if block == ["serving"]:
-        return f"a serving setting, which are {', '.join(SERVING_BUILT_IN)}"
+        return f"a serving setting (one of {', '.join(SERVING_BUILT_IN)})"
     if block == ["limits"]:
-        return f"a limit, which are {', '.join(LIMITS_BUILT_IN)}"
-    return (
-        "a service, model, adapter or tenant, nor a setting of one (services/S/serving/max_queue)"
-    )
+        return f"a limit (one of {', '.join(LIMITS_BUILT_IN)})"
+    return "a service, model, adapter or tenant, or a setting of one (services/S/serving/max_queue)"
 
 
 def _serving_target(service: str, rest: list[str]) -> _Target | None:
@@ -117,9 +118,9 @@
     return path in leaves or any(key.startswith(path + PATH_SEPARATOR) for key in leaves)
 
 
-def _by_zone(settings: ResolvedSettings, place: Place, zones: list[str]) -> list[Explained]:
-    """Return the values of each zone, one row for all zones where they agree."""
-    by_zone = {zone: _explained_in(settings, place, zone) for zone in zones}
+def _explain_by_zone(settings: ResolvedSettings, place: Place, zones: list[str]) -> list[Explained]:
+    """Return the values of each zone, with a single row where all zones have the same value."""
+    by_zone = {zone: _explain_in_zone(settings, place, zone) for zone in zones}
     if not by_zone:
         by_zone = {"": explain_serving(settings.lookup, place)}
     rows: list[Explained] = []
@@ -132,15 +133,15 @@
     return rows
 
 
-def _explained_in(settings: ResolvedSettings, place: Place, zone: str) -> list[Inherited]:
+def _explain_in_zone(settings: ResolvedSettings, place: Place, zone: str) -> list[Inherited]:
     region = settings.region_of_zone(zone) or ""
-    placed = msgspec.structs.replace(place, region=region, zone=zone)
-    return explain_serving(settings.lookup, placed)
+    zone_place = msgspec.structs.replace(place, region=region, zone=zone)
+    return explain_serving(settings.lookup, zone_place)
 
 
-def _chosen(rows: list[Explained], leaf: str) -> list[Explained]:
+def _filter_by_leaf(rows: list[Explained], leaf: str) -> list[Explained]:
     return [row for row in rows if not leaf or row.inherited.leaf == leaf]
 
 
-def _bad(reason: str) -> Failure:
+def _bad_request(reason: str) -> Failure:
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.CONFIGURATION)
--- a/src/leverjunction/cli/jobs.py
+++ b/src/leverjunction/cli/jobs.py
@@ -1,4 +1,4 @@
-"""``leverjunction jobs``: submit, list, show, cancel, results."""
+"""The ``leverjunction jobs`` commands: submit, list, show, cancel and results."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
 
 from leverjunction.api.batches_shapes import BATCH_PREFIX
 from leverjunction.batch.commands import JobView, ResultPage
-from leverjunction.cli.command import command, number, operators_command
+from leverjunction.cli.command import command, operator_command, parse_number
 from leverjunction.cli.options import Options, parse_address
 from leverjunction.cli.output import (
     ExitCode,
     exit_code,
+    format_utc,
     print_failure,
     print_json,
     print_progress,
     print_table,
-    when,
 )
-from leverjunction.cli.pending import PendingRecord, default_folder
+from leverjunction.cli.pending import PendingRecord, default_state_folder
 from leverjunction.cli_client import (
     CONNECT_TIMEOUT_S,
     OperatorClient,
-    failure_of,
+    connection_failure,
+    failure_from_response,
     read_secret,
-    unreachable,
 )
 from leverjunction.errors import Execution, Failure, FailureKind, Step
 from leverjunction.wire.codec import decode
 
 SUBMIT_TIMEOUT_S = 120.0
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 BYTES_PER_MB = 1_000_000
 LARGE_BODY_BYTES = BYTES_PER_MB
 
 
 class SubmittedJob(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of a gateway's batch object that the command line prints."""
+    """The fields of a gateway's batch object that the command line prints."""
 
     id: str
     status: str = ""
 
 
 class PendingJob(msgspec.Struct, frozen=True, kw_only=True):
-    """A submission whose answer was not seen: its key, for the resend."""
+    """The idempotency key of a submission whose response has not arrived, kept for resends."""
 
     idempotency_key: str
 
@@ -60,7 +60,7 @@
     """Submit, list, show and cancel batch jobs, and read their results."""
 
     def __init__(self, options: Options) -> None:
-        """Use the shared options."""
+        """Store the options that all commands share."""
         self._options = options
 
     @command
@@ -74,15 +74,15 @@
     ) -> int:
         """Submit a JSONL file of requests as one job.
 
-        Run again after a lost answer, it resends the same key and gets the same job. It needs no
-        operators' token; --json prints the answer as JSON.
+        Running the command again after a lost response sends the same idempotency key, which
+        returns the same job. No operator token is needed; --json prints the response as JSON.
 
         Args:
-            file: JSONL file, one request a line, in the form of OpenAI's batch files.
-            gateway: Address of a gateway, host:port or its URL.
+            file: JSONL file with one request per line, in the format of OpenAI's batch files.
+            gateway: Address of a gateway, as host:port or URL.
             key_file: File with the tenant's API key.
-            idempotency_key: Key that names the job in resends; made and kept when not given.
-            batch_class: Batch class in the settings.
+            idempotency_key: Key that identifies the job in resends; by default generated and saved.
+            batch_class: Name of a batch class in the settings.
         """
         address = parse_address(gateway, "--gateway")
         if isinstance(address, Failure):
@@ -93,11 +93,13 @@
         try:
             body = Path(file).read_bytes()
         except OSError as error:
-            return print_failure(_unreadable(file, error))
-        # Not named by the gateway: after a lost answer the resend may go to another one.
-        pending = PendingRecord(default_folder(), "job", _digest(key.encode()), _digest(body))
-        kept = pending.load(PendingJob)
-        job_key = idempotency_key or (kept.idempotency_key if kept else uuid4().hex)
+            return print_failure(_file_failure(file, error))
+        # The gateway is not part of the record name: a resend may go to another gateway.
+        pending = PendingRecord(
+            default_state_folder(), "job", _sha256_hex(key.encode()), _sha256_hex(body)
+        )
+        saved = pending.load(PendingJob)
+        job_key = idempotency_key or (saved.idempotency_key if saved else uuid4().hex)
         pending.save(PendingJob(idempotency_key=job_key))
         if len(body) > LARGE_BODY_BYTES:
             print_progress(f"sending {len(body) / BYTES_PER_MB:.0f} MB to {address}")
@@ -106,7 +108,7 @@
             if job.execution != Execution.UNKNOWN:
                 pending.clear()
             else:
-                print_progress("whether the job exists is not known: run the command again")
+                print_progress("it is unknown whether the job was created: run the command again")
             return print_failure(job)
         pending.clear()
         if self._options.as_json:
@@ -115,7 +117,7 @@
             print(job.id)
         return ExitCode.OK
 
-    @operators_command
+    @operator_command
     def list(self, tenant: str = "") -> int:
         """List jobs, newest first.
 
@@ -135,48 +137,50 @@
         print_table("jobs", JOB_COLUMNS, [job_row(job) for job in jobs])
         return ExitCode.OK
 
-    @operators_command
+    @operator_command
     def show(self, job_id: str) -> int:
         """Show one job.
 
         Args:
             job_id: Id of the job.
         """
-        return self._print_job(f"/operator/jobs/{quote(_bare_id(job_id))}", post=False)
+        return self._print_job(f"/operator/jobs/{quote(_strip_batch_prefix(job_id))}", post=False)
 
-    @operators_command
+    @operator_command
     def cancel(self, job_id: str) -> int:
-        """Cancel a job: no item of it starts any more, running ones are dropped.
+        """Cancel a job: its waiting items never start and its running items are dropped.
 
         Args:
             job_id: Id of the job.
         """
-        return self._print_job(f"/operator/jobs/{quote(_bare_id(job_id))}/cancel", post=True)
+        return self._print_job(
+            f"/operator/jobs/{quote(_strip_batch_prefix(job_id))}/cancel", post=True
+        )
 
-    @operators_command
+    @operator_command
     def results(self, job_id: str, after: str = "0", output: str = "", follow: bool = False) -> int:
-        """Write a job's final items as JSON lines.
+        """Write the results of a job's final items as JSON lines.
 
         Args:
             job_id: Id of the job.
-            after: Cursor to go on from, as an earlier run printed it.
+            after: Cursor to continue from, as printed by an earlier run.
             output: File to write to; standard output by default.
-            follow: Go on until the job is final.
+            follow: Keep reading until the job is final.
         """
-        cursor = number(after, "--after", int)
+        cursor = parse_number(after, "--after", int)
         if isinstance(cursor, Failure):
             return print_failure(cursor)
         client = self._options.client()
         if isinstance(client, Failure):
             return print_failure(client)
-        job_id = _bare_id(job_id)
+        job_id = _strip_batch_prefix(job_id)
         if not output:
             return _write_results(client, job_id, cursor, follow, sys.stdout.buffer)
         try:
             with Path(output).open("ab" if cursor else "wb") as target:
                 return _write_results(client, job_id, cursor, follow, target)
         except OSError as error:
-            return print_failure(_unreadable(output, error))
+            return print_failure(_file_failure(output, error))
 
     def _print_job(self, path: str, post: bool) -> int:
         client = self._options.client()
@@ -195,18 +199,18 @@
 def _write_results(
     client: OperatorClient, job_id: str, after: int, follow: bool, target: IO[bytes]
 ) -> ExitCode:
-    """Write pages of results until none is left, or with ``follow`` until the job is final."""
+    """Write pages of results until none are left, or with ``follow`` until the job is final."""
     path = f"/operator/jobs/{quote(job_id)}"
     job = client.get(path, JobView)
     if isinstance(job, Failure):
         return print_failure(job)
     cursor = after
-    told = ""
+    last_progress = ""
     while True:
         page = client.get(f"{path}/results", ResultPage, {"after": str(cursor)})
         if isinstance(page, Failure):
             if exit_code(page) == ExitCode.UNREACHABLE:
-                print_progress(f"read up to cursor {cursor}: go on with --after {cursor}")
+                print_progress(f"read up to cursor {cursor}: continue with --after {cursor}")
             return print_failure(page)
         for line in page.lines:
             target.write(msgspec.json.encode(line) + b"\n")
@@ -215,18 +219,18 @@
         if page.complete or not (page.lines or follow):
             break
         progress = f"{cursor} of {job.spec.item_count} items are final"
-        if progress != told:
+        if progress != last_progress:
             print_progress(progress)
-        told = progress
+        last_progress = progress
         if not page.lines:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
     state = "complete" if page.complete else "not final yet"
     print_progress(f"{state}, cursor {cursor}")
     return ExitCode.OK
 
 
-def _bare_id(job_id: str) -> str:
-    """Return a job's id from the form in which gateways give it to callers."""
+def _strip_batch_prefix(job_id: str) -> str:
+    """Return a job id without the prefix that gateways add to ids in their responses."""
     return job_id.removeprefix(BATCH_PREFIX)
 
 
@@ -247,7 +251,7 @@
 
 
 def job_row(job: JobView) -> tuple[object, ...]:
-    """Return a job's cells for ``JOB_COLUMNS``."""
+    """Return a job's table row, with the columns of ``JOB_COLUMNS``."""
     spec = job.spec
     return (
         spec.job_id,
@@ -260,8 +264,8 @@
         job.unknown,
         job.leased,
         job.pending,
-        when(job.created_ms),
-        when(spec.deadline_ms),
+        format_utc(job.created_ms),
+        format_utc(spec.deadline_ms),
     )
 
 
@@ -281,17 +285,17 @@
     try:
         response = pool.request("POST", f"http://{gateway}/v1/batches", body=body, headers=headers)
     except urllib3.exceptions.HTTPError as error:
-        return unreachable(gateway, error)
+        return connection_failure(gateway, error)
     if response.status not in range(200, 300):
-        return failure_of(response.status, response.data, gateway)
+        return failure_from_response(response.status, response.data, gateway)
     return decode(response.data, SubmittedJob, gateway)
 
 
-def _digest(content: bytes) -> str:
+def _sha256_hex(content: bytes) -> str:
     return hashlib.sha256(content).hexdigest()
 
 
-def _unreadable(path: str, error: OSError) -> Failure:
+def _file_failure(path: str, error: OSError) -> Failure:
     return Failure(
         kind=FailureKind.BAD_REQUEST, reason=f"{path}: {error.strerror}", step=Step.CONFIGURATION
     )
--- a/src/leverjunction/cli/options.py
+++ b/src/leverjunction/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that all operators' commands share, from flags or the environment."""
+"""Options that all operator commands share, from flags or the environment."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Options(msgspec.Struct, frozen=True, kw_only=True):
-    """Shared options.
+    """Options that all operator commands share.
 
     Attributes:
         control: Addresses of control processes, ``host:port``, tried in order.
-        token_file: File with the operators' token.
+        token_file: File with the operator token.
         as_json: Print data as JSON instead of tables.
     """
 
@@ -31,12 +31,14 @@
     def client(self) -> OperatorClient | Failure:
         """Return a client of the control processes."""
         addresses = self.addresses()
-        return addresses if isinstance(addresses, Failure) else self.client_of(addresses)
+        return addresses if isinstance(addresses, Failure) else self.client_for(addresses)
 
     def addresses(self) -> list[str] | Failure:
-        """Return the checked addresses of the control processes, at least one."""
+        """Return the validated addresses of the control processes; a failure if there are none."""
         if not self.control:
-            return _bad(f"no control process given: use --control host:port or {CONTROL_VARIABLE}")
+            return _bad_request(
+                f"no control process given: use --control host:port or {CONTROL_VARIABLE}"
+            )
         addresses: list[str] = []
         for text in self.control:
             address = parse_address(text, "--control")
@@ -45,37 +47,37 @@
             addresses.append(address)
         return addresses
 
-    def client_of(self, addresses: list[str]) -> OperatorClient | Failure:
-        """Return a client of other processes that take the operators' token."""
+    def client_for(self, addresses: list[str]) -> OperatorClient | Failure:
+        """Return a client of the processes at the given addresses, using the operator token."""
         token = read_secret(self.token_file, f"token (--token-file, {TOKEN_FILE_VARIABLE})")
         if isinstance(token, Failure):
             return token
-        return OperatorClient(addresses, token, tell=print_progress)
+        return OperatorClient(addresses, token, on_retry=print_progress)
 
 
 def make_options(control: object, token_file: str, as_json: bool) -> Options:
-    """Return the options, from flags where given and else from the environment."""
+    """Build the options from flags, falling back to environment variables."""
     return Options(
-        control=addresses_of(control or os.environ.get(CONTROL_VARIABLE, "")),
+        control=split_addresses(control or os.environ.get(CONTROL_VARIABLE, "")),
         token_file=token_file or os.environ.get(TOKEN_FILE_VARIABLE, ""),
         as_json=as_json,
     )
 
 
 def parse_address(text: str, flag: str) -> str | Failure:
-    """Return the ``host:port`` that a flag gives, as such or as the URL of a process."""
+    """Return the ``host:port`` of a flag whose value is an address or an HTTP URL."""
     address = text.removeprefix("http://").rstrip("/")
     host, _, port = address.rpartition(":")
     if host and port.isascii() and port.isdigit() and int(port) <= HIGHEST_PORT:
         return address
-    return _bad(f"{flag}: expected host:port, got {text!r}")
+    return _bad_request(f"{flag}: expected host:port, got {text!r}")
 
 
-def _bad(reason: str) -> Failure:
+def _bad_request(reason: str) -> Failure:
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.CONFIGURATION)
 
 
-def addresses_of(value: object) -> list[str]:
-    """Return addresses from a comma-separated text, or from the list fire makes of one."""
+def split_addresses(value: object) -> list[str]:
+    """Split a comma-separated text into addresses; fire may already have parsed it to a list."""
     parts = value if isinstance(value, list | tuple) else str(value).split(",")
     return [str(part).strip() for part in parts if str(part).strip()]
--- a/src/leverjunction/cli/output.py
+++ b/src/leverjunction/cli/output.py
@@ -1,4 +1,4 @@
-"""Exit codes and printing that the commands share: data on stdout, everything else on stderr."""
+"""Shared exit codes and output functions: data goes to stdout, everything else to stderr."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 MAX_LINE_CHARACTERS = 4000
 UNREACHABLE_HINT = (
-    "the command may be run again as it was; 'leverjunction status' shows which control processes "
-    "are heard, and whether they hear a quorum"
+    "the same command can safely be run again; 'leverjunction status' shows which control "
+    "processes respond, and whether they reach a quorum"
 )
 _MS_PER_S = 1000
 
 
 class ExitCode(IntEnum):
-    """Exit status of every command."""
+    """Exit status of a command."""
 
     OK = 0
     FAILED = 1
@@ -50,22 +50,25 @@
 
 
 def exit_code(failure: Failure) -> ExitCode:
-    """Return the exit status that a failure leads to."""
+    """Return the exit status for a failure."""
     return _CODE_BY_KIND.get(failure.kind, ExitCode.FAILED)
 
 
 def print_failure(failure: Failure, code: ExitCode | None = None) -> ExitCode:
-    """Print a failure on stderr, with step and peer, and return the exit code."""
+    """Print a failure on stderr, with its step and peer, and return the exit code.
+
+    ``code`` overrides the exit code of the failure's kind.
+    """
     peer = f", peer {failure.peer}" if failure.peer else ""
     print(f"error: {failure.reason} (step {failure.step}{peer})", file=sys.stderr)
-    shown = exit_code(failure) if code is None else code
-    if shown is ExitCode.UNREACHABLE:
+    status = exit_code(failure) if code is None else code
+    if status is ExitCode.UNREACHABLE:
         print_progress(UNREACHABLE_HINT)
-    return shown
+    return status
 
 
 def print_progress(text: str) -> None:
-    """Print a line of progress on stderr."""
+    """Print a progress message on stderr."""
     print(text, file=sys.stderr, flush=True)
 
 
@@ -80,9 +83,9 @@
 
 
 def print_table(title: str, columns: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print a table on stdout; nothing but a note when it has no rows.
+    """Print a table on stdout, or only "<title>: none" when it has no rows.
 
-    A row is always one line, however narrow the terminal: folded cells cannot be searched.
+    Each row stays on one line whatever the terminal's width, so that the output can be searched.
     """
     table = Table(box=None, pad_edge=False, padding=(0, 2, 0, 0), header_style="bold")
     for column in columns:
@@ -98,8 +101,8 @@
     console.print()
 
 
-def when(wall_ms: int) -> str:
-    """Return a wall-clock time as text in UTC, a dash for none."""
+def format_utc(wall_ms: int) -> str:
+    """Format a wall-clock time in milliseconds as UTC text, or as a dash when it is 0."""
     if not wall_ms:
         return "-"
     moment = datetime.fromtimestamp(wall_ms / _MS_PER_S, tz=UTC)
--- a/src/leverjunction/cli/pending.py
+++ b/src/leverjunction/cli/pending.py
@@ -1,7 +1,7 @@
-"""What a command has sent but not seen answered, kept on disk until it is.
+"""Saves requests on disk until their response arrives.
 
-A command that loses its answer can then be run again and resends the same change id or key, which
-gets the first answer instead of a second change or job.
+When a response is lost, running the command again resends the same change id or idempotency key.
+The server then returns the first outcome instead of making a second change or job.
 """
 
 from __future__ import annotations
@@ -18,40 +18,40 @@
 STATE_FOLDER_VARIABLE = "LEVERJUNCTION_STATE_FOLDER"
 
 
-def default_folder() -> Path:
-    """Return the folder for pending records, by the XDG convention unless it is set."""
-    given = os.environ.get(STATE_FOLDER_VARIABLE)
-    if given:
-        return Path(given)
+def default_state_folder() -> Path:
+    """Return the folder for pending records: the one configured, or else the XDG state folder."""
+    configured = os.environ.get(STATE_FOLDER_VARIABLE)
+    if configured:
+        return Path(configured)
     base = os.environ.get("XDG_STATE_HOME") or str(Path.home() / ".local" / "state")
     return Path(base) / "leverjunction"
 
 
 class PendingRecord:
-    """One pending record, named by what it belongs to."""
+    """A pending record, in a file whose name is derived from what identifies the request."""
 
     def __init__(self, folder: Path, *names: str) -> None:
-        """Name the record by any texts, such as the directory and the addresses."""
+        """Identify the record by texts such as the settings directory and the addresses."""
         digest = hashlib.sha256("\0".join(names).encode()).hexdigest()
         self._path = folder / f"pending-{digest[:24]}.json"
 
     def load(self, record_type: type[T]) -> T | None:
-        """Return the record, None when there is none or it cannot be read."""
+        """Return the record, or None if it does not exist or cannot be read."""
         try:
             return msgspec.json.decode(self._path.read_bytes(), type=record_type)
         except (OSError, msgspec.MsgspecError):
             return None
 
     def save(self, record: msgspec.Struct) -> None:
-        """Keep a record, synced, before it is sent."""
+        """Write the record durably; call this before the request is sent."""
         self._path.parent.mkdir(parents=True, exist_ok=True)
-        draft = self._path.with_suffix(".new")
-        with draft.open("wb") as file:
+        temporary = self._path.with_suffix(".new")
+        with temporary.open("wb") as file:
             file.write(msgspec.json.encode(record))
             file.flush()
             os.fsync(file.fileno())
-        draft.replace(self._path)
+        temporary.replace(self._path)
 
     def clear(self) -> None:
-        """Forget the record, once its answer is known."""
+        """Delete the record, once the response has arrived."""
         self._path.unlink(missing_ok=True)
--- a/src/leverjunction/cli/status.py
+++ b/src/leverjunction/cli/status.py
@@ -1,4 +1,4 @@
-"""``leverjunction status``: the deployment at a glance."""
+"""The ``leverjunction status`` command: an overview of the deployment."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class HubView(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of a control process's state that the status shows."""
+    """The part of a control process's state that the command shows."""
 
     name: str
     rpc_address: str = ""
@@ -32,7 +32,7 @@
 
 
 class LoadView(msgspec.Struct, frozen=True, kw_only=True):
-    """A runner's load as the status shows it."""
+    """The part of a runner's load that the command shows."""
 
     runner_id: str
     running: int = 0
@@ -43,7 +43,7 @@
 
 
 class PlacementView(msgspec.Struct, frozen=True, kw_only=True):
-    """What placement does; given by the process that leads it."""
+    """The state of model placement, as reported by the control process that leads it."""
 
     leads: bool = False
     in_progress: list[str] = []
@@ -52,7 +52,7 @@
 
 
 class StatusView(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of ``/operator/status`` that the command line shows; unknown keys are ignored."""
+    """The part of ``/operator/status`` that the command shows; unknown keys are ignored."""
 
     name: str = ""
     settings_version: int = 0
@@ -68,7 +68,7 @@
 
 
 def status(options: Options) -> int:
-    """Print the status that the first control process which answers gives."""
+    """Print the status reported by the first control process that responds."""
     client = options.client()
     if isinstance(client, Failure):
         return print_failure(client)
@@ -87,21 +87,21 @@
 
 
 def print_status(view: StatusView, jobs: list[JobView]) -> None:
-    """Print a status, and the counts of the newest jobs, as tables."""
-    newest = newest_version(view)
-    print(f"settings version {newest}, as {view.name} sees it")
-    for warning in warnings(view):
+    """Print a status as tables, with the newest jobs counted by state."""
+    newest_version_seen = newest_version(view)
+    print(f"settings version {newest_version_seen}, as reported by {view.name}")
+    for warning in collect_warnings(view):
         print(f"WARNING: {warning}")
     print_table("zones", ["zone", "gateways", "runners", "leaving"], zone_rows(view))
     print_table(
         "control processes",
-        ["name", "zone", "settings", "quorum heard", "leads", "follows", "other roles"],
+        ["name", "zone", "settings", "quorum contact", "leads", "follows", "other roles"],
         [hub_row(hub) for hub in view.hubs],
     )
     print_table(
         "gateways",
         ["gateway", "zone", "address", "settings", "state"],
-        [gateway_row(gateway, newest) for gateway in view.gateways],
+        [gateway_row(gateway, newest_version_seen) for gateway in view.gateways],
     )
     loads = {load.runner_id: load for load in view.loads}
     print_table(
@@ -113,29 +113,29 @@
     print_table("batch leases", ["gateway", "leases"], sorted(view.leases.items()))
     states = Counter(job.state.value for job in jobs)
     print_table("newest jobs", ["state", "jobs"], sorted(states.items()))
-    print_table("orders in progress", ["order"], [[one] for one in view.placement.in_progress])
+    print_table("orders in progress", ["order"], [[order] for order in view.placement.in_progress])
     print_table(
-        "withdrawn from gateways for now",
+        "temporarily withdrawn from gateways",
         ["runner", "model"],
-        [[one.runner_id, one.model] for one in view.placement.withdrawn],
+        [[item.runner_id, item.model] for item in view.placement.withdrawn],
     )
 
 
-def warnings(view: StatusView) -> list[str]:
-    """Return what an operator should look at first."""
-    found = [f"control process {name} is not heard" for name in view.silent_hubs]
+def collect_warnings(view: StatusView) -> list[str]:
+    """Return the warnings to show first: silent processes, partial counts, blocked placement."""
+    found = [f"no contact with control process {name}" for name in view.silent_hubs]
     found += [
-        f"control process {hub.name} has not heard a quorum for {hub.quorum_age_s:.1f} s"
+        f"control process {hub.name} has not heard from a quorum for {hub.quorum_age_s:.1f} s"
         for hub in view.hubs
         if hub.quorum_age_s > STALE_QUORUM_S
     ]
-    found += [f"group {group} did not answer: counts are partial" for group in view.unknown_groups]
+    found += [f"group {group} did not respond: counts are partial" for group in view.unknown_groups]
     found += [f"placement is blocked: {reason}" for reason in view.placement.blocked]
     return found
 
 
 def newest_version(view: StatusView) -> int:
-    """Return the newest version that any process is known to have."""
+    """Return the newest settings version reported by any process."""
     known = [view.settings_version]
     known += [hub.settings_version for hub in view.hubs]
     known += [gateway.settings_version for gateway in view.gateways]
@@ -143,7 +143,7 @@
 
 
 def zone_rows(view: StatusView) -> list[tuple[object, ...]]:
-    """Return a row of counts for each zone."""
+    """Return a table row for each zone with its gateways, runners and leaving runners."""
     gateways = Counter(gateway.zone for gateway in view.gateways)
     runners = Counter(runner.zone for runner in view.runners)
     leaving = Counter(runner.zone for runner in view.runners if runner.leaving)
@@ -152,12 +152,12 @@
 
 
 def hub_row(hub: HubView) -> tuple[object, ...]:
-    """Return a control process's row."""
+    """Return the table row of a control process, with a stale quorum marked."""
     stale = " STALE" if hub.quorum_age_s > STALE_QUORUM_S else ""
     heard = f"{hub.quorum_age_s:.1f} s ago{stale}"
-    leads = _names(group.group for group in hub.groups if group.role == Role.LEADER)
-    follows = _names(group.group for group in hub.groups if group.role == Role.FOLLOWER)
-    others = _names(
+    leads = _join_names(group.group for group in hub.groups if group.role == Role.LEADER)
+    follows = _join_names(group.group for group in hub.groups if group.role == Role.FOLLOWER)
+    others = _join_names(
         f"{group.group} ({group.role})"
         for group in hub.groups
         if group.role not in (Role.LEADER, Role.FOLLOWER)
@@ -165,20 +165,20 @@
     return (hub.name, hub.zone, hub.settings_version, heard, leads, follows, others)
 
 
-def _names(names: Iterable[str]) -> str:
+def _join_names(names: Iterable[str]) -> str:
     return " ".join(names) or "-"
 
 
-def gateway_row(gateway: GatewayState, newest: int) -> tuple[object, ...]:
-    """Return a gateway's row; a version behind the newest one is marked."""
-    behind = " BEHIND" if gateway.settings_version < newest else ""
+def gateway_row(gateway: GatewayState, newest_version_seen: int) -> tuple[object, ...]:
+    """Return the table row of a gateway; a version older than the newest is marked."""
+    behind = " BEHIND" if gateway.settings_version < newest_version_seen else ""
     state = "stopping" if gateway.stopping else "live"
     version = f"{gateway.settings_version}{behind}"
     return (gateway.gateway_id, gateway.zone, gateway.address, version, state)
 
 
 def runner_row(runner: RunnerState, load: LoadView | None) -> tuple[object, ...]:
-    """Return a runner's row."""
+    """Return the table row of a runner, with ``?`` for an unknown load."""
     models = " ".join(runner.models) or "-"
     state = "leaving" if runner.leaving else "live"
     if load is None:
--- a/src/leverjunction/cli/suspects.py
+++ b/src/leverjunction/cli/suspects.py
@@ -1,4 +1,7 @@
-"""``leverjunction suspects``: requests under which back ends ended, in a seeded deployment."""
+"""The ``leverjunction suspects`` commands: requests during which back ends crashed.
+
+They apply only to seeded deployments, which keep these records in the registry.
+"""
 
 from __future__ import annotations
 
@@ -28,56 +31,60 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 2.0
-KEY_LEAST = 8
-"""Digits by which a key may be named."""
+MIN_KEY_DIGITS = 8
+"""Minimum length of a key prefix."""
 
 
 class SuspectsCommands:
-    """List requests under which back ends ended, and clear one.
+    """List requests during which back ends crashed, and clear one.
 
-    --control names the internal RPC port of control processes, as the settings of the deployment's
-    processes do; no operators' token is asked for there.
+    --control takes the internal RPC addresses of control processes, as in the settings of the
+    deployment's processes; no operator token is needed there.
     """
 
     def __init__(self, options: Options) -> None:
-        """Use the shared options."""
+        """Store the options that all commands share."""
         self._options = options
 
     @command
     def list(self) -> int:
-        """List suspect requests, how they are treated, and the back ends that ended under them."""
-        known = self._ask(MessageKind.QUERY, GetSuspects(), SuspectList)
+        """List suspect requests, their treatment and the back ends that crashed during them."""
+        known = self._call_any(MessageKind.QUERY, GetSuspects(), SuspectList)
         if isinstance(known, Failure):
             return print_failure(known)
         if self._options.as_json:
             print_json(known)
             return ExitCode.OK
         columns = ("KEY", "TREATED AS", "FOR S", "ENDED", "ROUTE", "LAST ATTEMPT", "STARTS")
-        print_table("suspect requests", columns, [_row(record) for record in known.suspects])
+        print_table(
+            "suspect requests", columns, [_suspect_row(record) for record in known.suspects]
+        )
         return ExitCode.OK
 
     @command
     def clear(self, key: str) -> int:
-        """Hold nothing against a request any more: it is run again, everywhere, within seconds.
+        """Clear a suspect request: within seconds, all processes run it normally again.
 
         Args:
-            key: Its key, or the first digits of it.
+            key: Key of the request, or at least its first 8 digits.
         """
-        known = self._ask(MessageKind.QUERY, GetSuspects(), SuspectList)
+        known = self._call_any(MessageKind.QUERY, GetSuspects(), SuspectList)
         if isinstance(known, Failure):
             return print_failure(known)
         found = [record for record in known.suspects if record.key.startswith(key)]
-        if len(key) < KEY_LEAST or len(found) != 1:
-            return print_failure(_not_one(key, len(found)))
+        if len(key) < MIN_KEY_DIGITS or len(found) != 1:
+            return print_failure(_no_single_match(key, len(found)))
         forgotten = ReviewSuspects(forgotten=(found[0].key,))
-        done = self._ask(MessageKind.PROPOSE, forgotten, Done)
+        done = self._call_any(MessageKind.PROPOSE, forgotten, Done)
         if isinstance(done, Failure):
             return print_failure(done)
-        print_progress(f"request {found[0].key} is no suspect any more")
+        print_progress(f"request {found[0].key} is no longer suspect")
         return ExitCode.OK
 
-    def _ask(self, kind: MessageKind, message: msgspec.Struct, reply_type: type[T]) -> T | Failure:
-        """Ask one control process after the other until one answers."""
+    def _call_any(
+        self, kind: MessageKind, message: msgspec.Struct, reply_type: type[T]
+    ) -> T | Failure:
+        """Call the control processes in order; return the first reply, or else the last failure."""
         addresses = self._options.addresses()
         if isinstance(addresses, Failure):
             return addresses
@@ -100,7 +107,7 @@
             rpc.close()
 
 
-def _row(record: SuspectRecord) -> tuple[object, ...]:
+def _suspect_row(record: SuspectRecord) -> tuple[object, ...]:
     return (
         record.key,
         standing(record).value,
@@ -112,10 +119,10 @@
     )
 
 
-def _not_one(key: str, found: int) -> Failure:
+def _no_single_match(key: str, found: int) -> Failure:
     return Failure(
         kind=FailureKind.NOT_FOUND,
         reason=f"{found} suspect requests have a key that begins with {key!r}; give at least"
-        f" {KEY_LEAST} digits of one that `suspects list` shows",
+        f" {MIN_KEY_DIGITS} digits of one that `suspects list` shows",
         step=Step.QUERYING,
     )
--- a/src/leverjunction/cli_client.py
+++ b/src/leverjunction/cli_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operators' API, on urllib3: one address after the other, typed replies."""
+"""HTTP client of the operator API, with typed replies and failover between addresses."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
 CONNECT_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 10.0
 FIRST_READ_TIMEOUT_S = 1.0
-"""Silence of an address after which the next one is asked, as long as there is another: a frozen
-process still takes connections. Only when all were silent are they given the whole time.
+"""Read timeout of the first round when there are several addresses.
+
+A frozen process still accepts connections, so the next address is tried early. When none has
+responded, later rounds use READ_TIMEOUT_S.
 """
 RETRY_FOR_S = 10.0
 RETRY_PAUSE_S = 0.3
@@ -29,7 +31,7 @@
 _SSE_DATA = b"data:"
 _SUCCESS = range(200, 300)
 
-TRY_NEXT = frozenset(
+RETRYABLE_KINDS = frozenset(
     {
         FailureKind.UNREACHABLE,
         FailureKind.NOT_LISTENING,
@@ -42,29 +44,32 @@
         FailureKind.OUTCOME_UNKNOWN,
     }
 )
-"""Failures after which another process, or the same one a little later, may answer."""
+"""Kinds of failure after which another process, or the same one later, may respond."""
+
 
+def read_secret(path: str, description: str) -> str | Failure:
+    """Read a secret from a file, without surrounding white space.
 
-def read_secret(path: str, meaning: str) -> str | Failure:
-    """Return the secret that a file holds, without surrounding white space."""
+    ``description`` names the secret in failures.
+    """
     if not path:
-        return _bad(f"no file given for the {meaning}")
+        return _bad_request(f"no file given for the {description}")
     try:
         secret = Path(path).read_text(encoding="utf8").strip()
     except OSError as error:
-        return _bad(f"{path}: {meaning} cannot be read: {error.strerror}")
-    return secret or _bad(f"{path}: {meaning} is empty")
+        return _bad_request(f"{path}: {description} cannot be read: {error.strerror}")
+    return secret or _bad_request(f"{path}: {description} is empty")
 
 
-def _bad(reason: str) -> Failure:
+def _bad_request(reason: str) -> Failure:
     return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.CONFIGURATION)
 
 
 class OperatorClient:
-    """Calls the operators' API of control processes, or of one gateway.
+    """Calls the operator API of control processes, or of one gateway.
 
-    Every call may be repeated: reads change nothing, changes carry a change id, cancelling is
-    idempotent. So a call goes on to the next address, and round again, until ``retry_for_s``.
+    Every call is safe to repeat: reads change nothing, changes carry a change id and cancelling is
+    idempotent. A call therefore tries all addresses in turn, again and again for ``retry_for_s``.
     """
 
     def __init__(
@@ -72,34 +77,34 @@
         addresses: list[str],
         token: str,
         retry_for_s: float | None = None,
-        tell: Callable[[str], None] | None = None,
+        on_retry: Callable[[str], None] | None = None,
     ) -> None:
-        """Use ``host:port`` addresses, tried in order, and a bearer token.
+        """Create a client for ``host:port`` addresses, tried in order.
 
         Args:
-            addresses: Processes that may answer.
-            token: The operators' token.
-            retry_for_s: How long to try again, ``RETRY_FOR_S`` by default.
-            tell: Told, once a call, why it takes longer.
+            addresses: Addresses of the processes to call.
+            token: Operator token, sent as a bearer token.
+            retry_for_s: Time in seconds during which calls are retried, default ``RETRY_FOR_S``.
+            on_retry: Called at most once per call, with the reason for retrying.
         """
         self._addresses = list(addresses)
         self._token = token
         self._retry_for_s = RETRY_FOR_S if retry_for_s is None else retry_for_s
-        self._tell = tell
+        self._on_retry = on_retry
         self._pool = urllib3.PoolManager(retries=False)
 
     def get(
         self, path: str, reply_type: type[T], parameters: Mapping[str, str] | None = None
     ) -> T | Failure:
-        """Read a typed reply."""
-        return self._until_answered("GET", path, reply_type, b"", parameters or {})
+        """Send a GET request; return the decoded reply, or the last failure."""
+        return self._call_with_retries("GET", path, reply_type, b"", parameters or {})
 
     def post(self, path: str, message: msgspec.Struct | None, reply_type: type[T]) -> T | Failure:
-        """Send a typed message and read a typed reply."""
+        """Send a message by POST; return the decoded reply, or the last failure."""
         body = b"{}" if message is None else encode(message)
-        return self._until_answered("POST", path, reply_type, body, {})
+        return self._call_with_retries("POST", path, reply_type, body, {})
 
-    def _until_answered(
+    def _call_with_retries(
         self,
         method: str,
         path: str,
@@ -107,30 +112,30 @@
         body: bytes,
         parameters: Mapping[str, str],
     ) -> T | Failure:
-        give_up_s = steady_s() + self._retry_for_s
+        deadline_s = steady_s() + self._retry_for_s
         read_timeout_s = FIRST_READ_TIMEOUT_S if len(self._addresses) > 1 else READ_TIMEOUT_S
-        told = False
+        reported = False
         while True:
-            failure: Failure = _bad("no address given, use --control host:port")
+            failure: Failure = _bad_request("no address given, use --control host:port")
             for address in list(self._addresses):
                 reply = self._call(address, method, path, body, parameters, read_timeout_s)
                 if not isinstance(reply, Failure):
                     return decode(reply, reply_type, address)
                 failure = reply
-                if failure.kind not in TRY_NEXT:
+                if failure.kind not in RETRYABLE_KINDS:
                     return failure
                 if failure.kind is FailureKind.UNREACHABLE:
-                    self._ask_last(address)
+                    self._move_to_end(address)
             read_timeout_s = READ_TIMEOUT_S
-            if steady_s() >= give_up_s or not self._addresses:
+            if steady_s() >= deadline_s or not self._addresses:
                 return failure
-            if self._tell is not None and not told:
-                told = True
-                self._tell(f"{failure.reason}: trying again for {self._retry_for_s:.0f} s")
+            if self._on_retry is not None and not reported:
+                reported = True
+                self._on_retry(f"{failure.reason}: retrying for {self._retry_for_s:.0f} s")
             time.sleep(RETRY_PAUSE_S)
 
-    def _ask_last(self, address: str) -> None:
-        """Remember that an address did not answer: the next call begins with another."""
+    def _move_to_end(self, address: str) -> None:
+        """Move an address that did not respond to the end, so that the next call tries it last."""
         self._addresses.remove(address)
         self._addresses.append(address)
 
@@ -154,13 +159,16 @@
                 timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=read_timeout_s),
             )
         except urllib3.exceptions.HTTPError as error:
-            return unreachable(address, error)
+            return connection_failure(address, error)
         if response.status in _SUCCESS:
             return response.data
-        return failure_of(response.status, response.data, address)
+        return failure_from_response(response.status, response.data, address)
 
     def events(self, path: str, parameters: Mapping[str, str]) -> Iterator[bytes | Failure]:
-        """Yield the data of each server-sent event of the first address, until it ends."""
+        """Yield the data of each server-sent event from the first address until the stream ends.
+
+        If the stream cannot be opened or breaks, the last item is the failure.
+        """
         address = self._addresses[0]
         try:
             response = self._pool.request(
@@ -172,11 +180,11 @@
                 timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=STREAM_SILENCE_S),
             )
             if response.status not in _SUCCESS:
-                yield failure_of(response.status, response.read(), address)
+                yield failure_from_response(response.status, response.read(), address)
                 return
             yield from _event_data(response)
         except urllib3.exceptions.HTTPError as error:
-            yield unreachable(address, error)
+            yield connection_failure(address, error)
 
 
 def _event_data(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
@@ -188,18 +196,18 @@
                 yield line[len(_SSE_DATA) :].strip()
 
 
-def unreachable(address: str, error: urllib3.exceptions.HTTPError) -> Failure:
-    """Return the failure of a call without an answer; it ran nothing if it never connected."""
+def connection_failure(address: str, error: urllib3.exceptions.HTTPError) -> Failure:
+    """Convert an HTTP client error into a failure; execution is NOT_RUN if it never connected."""
     exceptions = urllib3.exceptions
     if isinstance(error, exceptions.NameResolutionError):
-        reason = f"cannot connect to {address}: its host name is not known"
+        reason = f"cannot connect to {address}: its host name cannot be resolved"
     elif isinstance(error, exceptions.NewConnectionError):
-        # Before its base class, the timeout.
+        # Checked first, since it is a subclass of ConnectTimeoutError.
         reason = f"cannot connect to {address}: nothing listens there"
     elif isinstance(error, exceptions.ConnectTimeoutError):
         reason = f"cannot connect to {address} within {CONNECT_TIMEOUT_S:.0f} s"
     elif isinstance(error, exceptions.ReadTimeoutError):
-        reason = f"no answer from {address} in time"
+        reason = f"no response from {address} before the timeout"
     else:
         reason = f"the connection to {address} broke ({type(error).__name__})"
     sent = not isinstance(error, exceptions.NewConnectionError | exceptions.ConnectTimeoutError)
@@ -212,12 +220,12 @@
     )
 
 
-def failure_of(status: int, body: bytes, address: str) -> Failure:
-    """Return the failure that an error answer carries."""
+def failure_from_response(status: int, body: bytes, address: str) -> Failure:
+    """Return the failure described by an error response."""
     decoded = decode(body, ErrorBody, address)
     if isinstance(decoded, Failure):
         return Failure(
-            kind=_kind_of_status(status),
+            kind=_failure_kind_for_status(status),
             reason=f"{address} answered HTTP {status}: {body[:200].decode(errors='replace')}",
             step=Step.RESPONDING,
             peer=address,
@@ -226,7 +234,7 @@
     error = decoded.error
     known = error.code in list(FailureKind)
     return Failure(
-        kind=FailureKind(error.code) if known else _kind_of_status(status),
+        kind=FailureKind(error.code) if known else _failure_kind_for_status(status),
         reason=error.message,
         step=Step(error.step) if error.step in list(Step) else Step.RESPONDING,
         peer=error.peer or address,
@@ -234,8 +242,8 @@
     )
 
 
-def _kind_of_status(status: int) -> FailureKind:
-    by_status = {
+def _failure_kind_for_status(status: int) -> FailureKind:
+    kind_by_status = {
         400: FailureKind.BAD_REQUEST,
         401: FailureKind.UNAUTHENTICATED,
         403: FailureKind.FORBIDDEN,
@@ -244,4 +252,4 @@
         409: FailureKind.CONFLICT,
         503: FailureKind.OVERLOADED,
     }
-    return by_status.get(status, FailureKind.INTERNAL)
+    return kind_by_status.get(status, FailureKind.INTERNAL)
--- a/tests/unit/cli_support.py
+++ b/tests/unit/cli_support.py
@@ -1,4 +1,4 @@
-"""The real operators' API over HTTP, on one state machine in memory, for tests of the commands."""
+"""Serves the real operator API over HTTP on an in-memory state machine, for command tests."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 def cluster_status(
     version: int = 1, *, gateways: list[GatewayState] | None = None
 ) -> ClusterStatus:
-    """A status with every list of the message filled."""
+    """Return a status in which every list shown by the command has an element."""
     return ClusterStatus(
         name="control-1",
         settings_version=version,
@@ -105,13 +105,13 @@
 
 
 class OperatorsStub:
-    """Groups of one process: root is the real state machine, job groups answer what is queued."""
+    """Replication groups in one process: a real root state machine and queued job replies."""
 
     def __init__(self) -> None:
         self.current = cluster_status()
-        self.lost_answers = 0
-        self.refusals: list[Failure] = []
-        self.job_answers: dict[type[msgspec.Struct], list[msgspec.Struct]] = {}
+        self.lost_responses = 0
+        self.rejections: list[Failure] = []
+        self.job_replies: dict[type[msgspec.Struct], list[msgspec.Struct]] = {}
         self.proposals = 0
         self._lock = threading.Lock()
         self._machine = SettingsStateMachine()
@@ -125,20 +125,20 @@
         self, group: str, command: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
         with self._lock:
-            if self.refusals:
-                return self.refusals.pop()
+            if self.rejections:
+                return self.rejections.pop()
             self.proposals += 1
             context = ApplyContext(index=self.proposals, term=1, wall_ms=self.proposals * 1000)
             body = self._machine.apply(self._connection, context, encode(command))
-            if self.lost_answers:
-                self.lost_answers -= 1
-                return _lost()
+            if self.lost_responses:
+                self.lost_responses -= 1
+                return _lost_response()
         return decode_reply(body, reply_type)
 
     def query(
         self, group: str, query: msgspec.Struct, reply_type: type[T], timeout_s: float
     ) -> T | Failure:
-        queued = self.job_answers.get(type(query), [])
+        queued = self.job_replies.get(type(query), [])
         if group != "root" and queued:
             return msgspec.convert(queued.pop(0), reply_type, from_attributes=True)
         if group != "root":
@@ -147,14 +147,14 @@
             return decode_reply(self._machine.query(self._connection, encode(query)), reply_type)
 
 
-def _lost() -> Failure:
+def _lost_response() -> Failure:
     return Failure(
-        kind=FailureKind.INTERNAL, reason="the answer was lost", step=Step.PROPOSING, peer="stub"
+        kind=FailureKind.INTERNAL, reason="the response was lost", step=Step.PROPOSING, peer="stub"
     )
 
 
 class Operator:
-    """Runs commands against one stub, as a shell would."""
+    """Runs commands against one stub, with the shared flags set."""
 
     def __init__(self, stub: OperatorsStub, address: str, folder: Path) -> None:
         self.stub = stub
@@ -176,7 +176,7 @@
 
 
 @contextmanager
-def serving(stub: OperatorsStub) -> Iterator[str]:
+def serve(stub: OperatorsStub) -> Iterator[str]:
     """Serve the stub on a free port and yield ``host:port``."""
     operators = OperatorsApi(stub, ["jobs-0"], stub.status, TOKEN)
     probes = ProbesApi(CollectorRegistry(), lambda: None)
--- a/tests/unit/test_cli_command.py
+++ b/tests/unit/test_cli_command.py
@@ -1,4 +1,4 @@
-"""Arguments, configuration flags and exit codes of the command line."""
+"""Tests of arguments, configuration flags and exit codes of the command line."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "told"),
+    ("arguments", "code", "expected_error"),
     [
         (["settings", "check", EXAMPLE], ExitCode.OK, ""),
         (["settings", "check", "missing"], ExitCode.BAD_INPUT, "yml files, got no such directory"),
@@ -68,28 +68,28 @@
 def test_exit_codes(
     arguments: list[str],
     code: int,
-    told: str,
+    expected_error: str,
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     monkeypatch.delenv(CONTROL_VARIABLE, raising=False)
     monkeypatch.delenv(TOKEN_FILE_VARIABLE, raising=False)
     assert run(*arguments) == code
-    assert told in capsys.readouterr().err
+    assert expected_error in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(("raised", "code"), [(KeyboardInterrupt(), 130), (BrokenPipeError(), 141)])
 def test_an_interrupted_command_ends_without_a_traceback(
     raised: BaseException, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def end(_deferred: object) -> int:
+    def interrupt(_deferred: object) -> int:
         raise raised
 
-    monkeypatch.setattr(commands, "run_deferred", end)
+    monkeypatch.setattr(commands, "run_command", interrupt)
     assert run("settings", "check", EXAMPLE) == code
 
 
-def test_flags_win_over_the_environment(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_flags_override_the_environment(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv(CONTROL_VARIABLE, "127.0.0.1:1, 127.0.0.1:2")
     monkeypatch.setenv(TOKEN_FILE_VARIABLE, "env")
     assert make_options("", "", False).control == ["127.0.0.1:1", "127.0.0.1:2"]
--- a/tests/unit/test_cli_jobs.py
+++ b/tests/unit/test_cli_jobs.py
@@ -1,4 +1,4 @@
-"""``jobs submit`` over lost answers, and the progress of ``jobs results``."""
+"""Tests of ``jobs submit`` after lost responses and of the progress of ``jobs results``."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from tests.unit.cli_support import Operator, OperatorsStub, run_command, serving
+from tests.unit.cli_support import Operator, OperatorsStub, run_command, serve
 
 from leverjunction.batch.commands import (
     GetJob,
@@ -28,7 +28,7 @@
 
 @contextmanager
 def gateway(answer: bytes) -> Iterator[tuple[str, list[str]]]:
-    """A gateway that notes the keys of jobs; without an answer it hangs up."""
+    """Run a gateway that records idempotency keys; an empty ``answer`` closes the connection."""
     keys: list[str] = []
 
     class Handler(BaseHTTPRequestHandler):
@@ -67,16 +67,16 @@
         assert "run the command again" in capsys.readouterr().err
         assert run_command(*command, "--gateway", other) == ExitCode.OK
         assert run_command(*command, "--gateway", other) == ExitCode.OK
-    assert second[0] == first[0], "the resend names the same job"
-    assert second[1] != first[0], "once it was answered, the file sent again is a new job"
+    assert second[0] == first[0], "the resend carries the same key"
+    assert second[1] != first[0], "after a response, submitting the same file creates a new job"
 
 
-def test_results_tell_how_far_the_job_is(
+def test_results_print_progress(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(jobs, "POLL_S", 0.01)
+    monkeypatch.setattr(jobs, "POLL_INTERVAL_S", 0.01)
     stub = OperatorsStub()
-    stub.job_answers = {
+    stub.job_replies = {
         GetJob: [job_view(items=2)],
         GetResults: [
             ResultPage(lines=[], next_cursor=0, complete=False),
@@ -85,7 +85,7 @@
             ResultPage(lines=[line(2)], next_cursor=2, complete=True),
         ],
     }
-    with serving(stub) as address:
+    with serve(stub) as address:
         operator = Operator(stub, address, tmp_path)
         assert operator.run("jobs", "results", "jobs-0.a", "--follow") == ExitCode.OK
     captured = capsys.readouterr()
--- a/tests/unit/test_cli_operators.py
+++ b/tests/unit/test_cli_operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands against the real operators' API: what is said, and the exit code."""
+"""Output and exit codes of the operator commands against the real operator API."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     cluster_status,
     gateway_state,
     run_command,
-    serving,
+    serve,
     settings_folder,
 )
 
@@ -34,24 +34,24 @@
 @pytest.fixture
 def operator(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Operator]:
     monkeypatch.setenv(STATE_FOLDER_VARIABLE, str(tmp_path / "state"))
-    monkeypatch.setattr(apply, "POLL_S", 0.01)
+    monkeypatch.setattr(apply, "POLL_INTERVAL_S", 0.01)
     stub = OperatorsStub()
-    with serving(stub) as address:
+    with serve(stub) as address:
         yield Operator(stub, address, tmp_path)
 
 
-def test_status_shows_what_control_serves(operator: Operator, capsys: Capture) -> None:
+def test_status_shows_the_cluster_status(operator: Operator, capsys: Capture) -> None:
     assert operator.run("status") == ExitCode.FAILED, "the stub lists no jobs"
     shown = capsys.readouterr().out
     row = next(line for line in shown.splitlines() if line.startswith("runner-1  "))
     assert row.split() == ["runner-1", "z1", "s", "5", "3", "2", "50%", "m", "live"]
-    assert "WARNING: control process control-2 is not heard" in shown
+    assert "WARNING: no contact with control process control-2" in shown
     assert "WARNING: placement is blocked: m on runner-2: why" in shown
-    assert "WARNING: group jobs-1 did not answer" in shown
+    assert "WARNING: group jobs-1 did not respond" in shown
     assert "runner-1: load m version 1" in shown
 
 
-def test_status_as_json_is_all_that_control_serves(operator: Operator, capsys: Capture) -> None:
+def test_status_as_json_prints_the_whole_reply(operator: Operator, capsys: Capture) -> None:
     assert operator.run("status", "--json") == ExitCode.OK
     assert json.loads(capsys.readouterr().out)["placement"]["leads"] is True
 
@@ -72,7 +72,7 @@
     assert "version 1 is in force, not 99" in capsys.readouterr().err
 
 
-def test_the_loser_learns_who_when_and_what(
+def test_conflict_reports_author_time_and_paths(
     operator: Operator, tmp_path: Path, capsys: Capture
 ) -> None:
     folder = str(settings_folder(tmp_path, 1))
@@ -82,17 +82,17 @@
     settings_folder(tmp_path, 3)
     code = operator.run("settings", "apply", folder, "--base", "1", "--author", "juma")
     assert code == ExitCode.CONFLICT
-    told = capsys.readouterr().err
-    assert "amina made version 2 at 1970-01-01 00:00:02 UTC" in told
-    assert "  differs: defaults/serving/max_queue" in told
-    assert "settings plan" in told, "how to go on"
+    error_output = capsys.readouterr().err
+    assert "amina committed version 2 at 1970-01-01 00:00:02 UTC" in error_output
+    assert "  differs: defaults/serving/max_queue" in error_output
+    assert "settings plan" in error_output, "the message says what to do next"
 
 
-def test_a_resend_after_a_lost_answer_changes_nothing_twice(
+def test_resend_after_a_lost_response_applies_the_change_once(
     operator: Operator, tmp_path: Path, capsys: Capture
 ) -> None:
     folder = str(settings_folder(tmp_path, 1))
-    operator.stub.lost_answers = 1
+    operator.stub.lost_responses = 1
     assert operator.run("settings", "apply", folder) == ExitCode.FAILED
     other = str(settings_folder(tmp_path, 2, "other"))
     assert operator.run("settings", "apply", other, "--author", "juma") == ExitCode.OK
@@ -100,24 +100,24 @@
     assert operator.run("settings", "apply", folder) == ExitCode.OK
     captured = capsys.readouterr()
     assert "version 1 is committed" in captured.out
-    assert "version 2 is in force by now" in captured.err
+    assert "version 2 is now in force" in captured.err
 
 
-def test_a_change_that_was_not_proposed_is_not_called_unknown_nor_sent_again(
+def test_rejected_change_is_neither_reported_unknown_nor_resent(
     operator: Operator, tmp_path: Path, capsys: Capture
 ) -> None:
     folder = str(settings_folder(tmp_path, 1))
     refusal = Failure(kind=FailureKind.BAD_REQUEST, reason="no good", step=Step.PROPOSING)
-    operator.stub.refusals = [refusal]
+    operator.stub.rejections = [refusal]
     assert operator.run("settings", "apply", folder) == ExitCode.BAD_INPUT
-    told = capsys.readouterr().err
-    assert "no good" in told
-    assert "not known" not in told
+    error_output = capsys.readouterr().err
+    assert "no good" in error_output
+    assert "unknown" not in error_output
     assert operator.run("settings", "apply", folder) == ExitCode.OK
     assert "resending" not in capsys.readouterr().err
 
 
-def test_wait_names_the_gateways_that_lag(
+def test_wait_lists_the_gateways_that_lag(
     operator: Operator, tmp_path: Path, capsys: Capture
 ) -> None:
     folder = str(settings_folder(tmp_path, 1))
@@ -125,11 +125,11 @@
     operator.stub.current = cluster_status(1, gateways=gateways)
     code = operator.run("settings", "apply", folder, "--wait", "--wait_s", "0")
     assert code == ExitCode.NOT_IN_FORCE
-    told = capsys.readouterr().err
-    assert "version 1 is committed but not in force at: late (has 0)" in told
+    error_output = capsys.readouterr().err
+    assert "version 1 is committed but not in force at: late (has 0)" in error_output
 
 
-def test_wait_without_any_live_gateway_says_so(
+def test_wait_reports_that_no_gateway_is_live(
     operator: Operator, tmp_path: Path, capsys: Capture
 ) -> None:
     folder = str(settings_folder(tmp_path, 1))
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "told"),
+    ("arguments", "code", "expected_error"),
     [
         (["settings", "explain", "services/none"], ExitCode.FAILED, "nothing is set at"),
         (["settings", "show", "services/none"], ExitCode.FAILED, "nothing is set at"),
@@ -152,16 +152,19 @@
     ],
 )
 def test_refusals(
-    operator: Operator, tmp_path: Path, capsys: Capture, arguments: list[str], code: int, told: str
+    operator: Operator,
+    tmp_path: Path,
+    capsys: Capture,
+    arguments: list[str],
+    code: int,
+    expected_error: str,
 ) -> None:
     operator.run("settings", "apply", str(settings_folder(tmp_path, 1)))
     assert operator.run(*arguments) == code
-    assert told in capsys.readouterr().err
+    assert expected_error in capsys.readouterr().err
 
 
-def test_no_cursor_is_offered_for_a_job_that_does_not_exist(
-    operator: Operator, capsys: Capture
-) -> None:
+def test_missing_job_prints_no_cursor(operator: Operator, capsys: Capture) -> None:
     assert operator.run("jobs", "results", "jobs-0.f") == ExitCode.FAILED
     assert "--after" not in capsys.readouterr().err
 
@@ -173,9 +176,7 @@
 
 
 @pytest.mark.parametrize("address", ["nonsense", "127.0.0.1:port", "127.0.0.1:70000", ":80"])
-def test_an_address_that_is_none_is_refused_at_once(
-    operator: Operator, capsys: Capture, address: str
-) -> None:
+def test_invalid_address_is_rejected(operator: Operator, capsys: Capture, address: str) -> None:
     shared = ["--control", address, "--token-file", str(operator.token_file)]
     assert run_command("status", *shared) == ExitCode.BAD_INPUT
     assert f"expected host:port, got '{address}'" in capsys.readouterr().err
@@ -186,19 +187,19 @@
     assert run_command("settings", "history", *shared) == ExitCode.OK
 
 
-def test_an_unreachable_control_process_is_told_while_it_is_tried(
+def test_retries_of_an_unreachable_control_process_are_reported(
     operator: Operator, capsys: Capture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("leverjunction.cli_client.RETRY_FOR_S", 0.2)
     shared = ["--control", "127.0.0.1:9", "--token-file", str(operator.token_file)]
     assert run_command("status", *shared) == ExitCode.UNREACHABLE
-    told = capsys.readouterr().err
-    assert "cannot connect to 127.0.0.1:9: nothing listens there" in told
-    assert "trying again for" in told
-    assert "whether they hear a quorum" in told
+    error_output = capsys.readouterr().err
+    assert "cannot connect to 127.0.0.1:9: nothing listens there" in error_output
+    assert "retrying for" in error_output
+    assert "whether they reach a quorum" in error_output
 
 
-def test_a_job_that_was_never_sent_is_known_not_to_exist(
+def test_submit_that_never_connected_has_a_known_outcome(
     operator: Operator, tmp_path: Path, capsys: Capture
 ) -> None:
     file = tmp_path / "items.jsonl"
@@ -206,12 +207,14 @@
     arguments = ["jobs", "submit", str(file), "--gateway", "127.0.0.1:9"]
     arguments += ["--key-file", str(operator.token_file)]
     assert run_command(*arguments) == ExitCode.UNREACHABLE
-    told = capsys.readouterr().err
-    assert "cannot connect to 127.0.0.1:9" in told
-    assert "not known" not in told
+    error_output = capsys.readouterr().err
+    assert "cannot connect to 127.0.0.1:9" in error_output
+    assert "unknown" not in error_output
 
 
-def test_a_change_that_is_posted_raw_is_checked_too(operator: Operator, tmp_path: Path) -> None:
+def test_change_posted_without_the_command_line_is_validated(
+    operator: Operator, tmp_path: Path
+) -> None:
     operator.run("settings", "apply", str(settings_folder(tmp_path, 1)))
     client = OperatorClient([operator.address], TOKEN, retry_for_s=0)
     bad: dict[str, object] = {"defaults/serving/max_queue": "lots", "services/s/models/m": {}}
@@ -222,11 +225,11 @@
     assert isinstance(refusal, Failure)
     assert refusal.kind is FailureKind.BAD_REQUEST
     assert "defaults/serving/max_queue: expected a valid integer" in refusal.reason
-    assert operator.stub.proposals == 1, "only the apply before was proposed"
+    assert operator.stub.proposals == 1, "only the first apply was proposed"
 
 
-def test_a_frozen_process_costs_one_call_a_second(operator: Operator) -> None:
-    """A frozen process takes connections and says nothing; the next call begins with another."""
+def test_frozen_process_delays_only_the_first_call(operator: Operator) -> None:
+    """A frozen process accepts connections but never responds; the next call tries it last."""
     with socket.create_server(("127.0.0.1", 0)) as frozen:
         host, port = frozen.getsockname()
         client = OperatorClient([f"{host}:{port}", operator.address], TOKEN)
--- a/tests/unit/test_cli_watch.py
+++ b/tests/unit/test_cli_watch.py
@@ -1,4 +1,4 @@
-"""``watch`` follows gateways over restarts."""
+"""Tests that ``watch`` follows a gateway again after a restart."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
     )
 
 
-class StreamsOf:
-    """A client whose n-th stream gives one decision, and then breaks."""
+class ReconnectingClient:
+    """A client whose streams yield one decision, numbered by stream, and then fail."""
 
     opened = 0
 
     def events(self, path: str, parameters: dict[str, str]) -> Iterator[bytes | Failure]:
-        StreamsOf.opened += 1
-        yield decision(f"stream {StreamsOf.opened}")
+        ReconnectingClient.opened += 1
+        yield decision(f"stream {ReconnectingClient.opened}")
         yield Failure(kind=FailureKind.UNREACHABLE, reason="broke", step=Step.RESPONDING)
 
 
-def test_a_gateway_that_is_back_is_followed_again(
+def test_returning_gateway_is_followed_again(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(Options, "client_of", lambda _self, _addresses: StreamsOf())
+    monkeypatch.setattr(Options, "client_for", lambda _self, _addresses: ReconnectingClient())
     watcher = Watcher(Options(control=[], token_file="", as_json=False), {})
     gateways = [gateway_state("gateway-1", 1)]
     watcher.follow(gateways)
-    first = watcher.arrived.get(timeout=WAIT_S)
+    first = watcher.decisions.get(timeout=WAIT_S)
     reasons = [first.decision.reason]
     while len(reasons) < 2:
         watcher.follow(gateways)
-        if not watcher.arrived.empty():
-            reasons.append(watcher.arrived.get(timeout=WAIT_S).decision.reason)
+        if not watcher.decisions.empty():
+            reasons.append(watcher.decisions.get(timeout=WAIT_S).decision.reason)
     assert first.gateway == "gateway-1"
     assert reasons == ["stream 1", "stream 2"]
-    assert "gateway-1: its decisions end" in capsys.readouterr().err
+    assert "gateway-1: decision stream ended" in capsys.readouterr().err
