--- a/src/leverjunction/settings/__init__.py
+++ b/src/leverjunction/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' settings tree: schema, inheritance, and replicated change."""
+"""Operator settings: schema, inheritance, and replicated changes."""
--- a/src/leverjunction/settings/cache.py
+++ b/src/leverjunction/settings/cache.py
@@ -1,7 +1,7 @@
-"""Synced copy of the settings in force, for a gateway that restarts while no quorum answers.
+"""Local copy of the settings in force, for a gateway that restarts while no quorum is reachable.
 
-A gateway asks a quorum first. Only when none answers does it start from its copy, which holds the
-last version that it had in force, so a restart never goes back to an older version.
+A gateway first asks a quorum for the settings. If no quorum answers, it starts from this copy,
+which holds the last version that was in force there, so a restart never reverts to an older one.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 
 class SettingsCache:
-    """The copy in one process's data folder. Used by one thread at a time."""
+    """Stores the copy in the data folder of a process. Not thread-safe."""
 
     def __init__(self, data_folder: Path) -> None:
-        """Use the given data folder, which must exist."""
+        """Initialize the cache in a data folder, which must exist."""
         self._path = data_folder / FILE_NAME
         self._saved_version = 0
 
     def load(self) -> ResolvedSettings | Failure:
-        """Return the settings last saved; NOT_FOUND without a copy, CORRUPT with a damaged one."""
+        """Return the saved settings, or NOT_FOUND without a copy, CORRUPT for an invalid one."""
         try:
             content = self._path.read_bytes()
         except FileNotFoundError:
@@ -52,9 +52,9 @@
         return ResolvedSettings.from_rows(copy.rows, copy.version)
 
     def save(self, settings: ResolvedSettings) -> Failure | None:
-        """Save settings, synced, unless the copy is as new; a reader sees the old or the new one.
+        """Save settings atomically and durably, unless the copy is already as new.
 
-        Raises nothing: without a copy the gateway still serves, so the failure is for the log.
+        I/O errors are returned for logging, not raised: the gateway can serve without a copy.
         """
         if settings.version <= self._saved_version:
             return None
--- a/src/leverjunction/settings/change.py
+++ b/src/leverjunction/settings/change.py
@@ -1,4 +1,4 @@
-"""Plans of a settings change: what differs, and the command that makes it so. Pure."""
+"""Plans a settings change: computes the changed leaves and builds the command. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlannedLeaf(msgspec.Struct, frozen=True, kw_only=True):
-    """One changed leaf with its former value; ``added`` when there was none."""
+    """A changed leaf with its previous value; ``added`` is True when there was none."""
 
     change: LeafChange
     former: object
@@ -20,12 +20,12 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """What turns the settings in force into the wanted ones.
+    """The changes that turn the settings in force into the desired settings.
 
     Attributes:
-        base_version: Version that the plan was made against.
+        base_version: Version that the plan is based on.
         content_hash: Hash of the whole tree after the change.
-        leaves: Changed leaves, in order of path.
+        leaves: Changed leaves, sorted by path.
     """
 
     base_version: int
@@ -34,11 +34,11 @@
 
 
 def plan_change(in_force: SettingsDelta, wanted: Leaves) -> Plan:
-    """Return the plan that leads from the settings in force to the wanted leaves.
+    """Return the plan that turns the settings in force into the desired leaves.
 
     Args:
-        in_force: All leaves in force (asked for after version 0).
-        wanted: Leaves of the operators' files.
+        in_force: All leaves in force, as queried with ``after_version`` 0.
+        wanted: Desired leaves, from the operators' files.
     """
     current = leaves_of(in_force.rows)
     planned = [
@@ -49,7 +49,7 @@
 
 
 def to_command(plan: Plan, change_id: str, author: str) -> ApplyChange:
-    """Return the command that makes a plan, under an id which names it in every resend."""
+    """Return the command that applies a plan; resends must use the same change id."""
     return ApplyChange(
         change_id=change_id,
         base_version=plan.base_version,
@@ -60,9 +60,9 @@
 
 
 def gateways_behind(gateways: Iterable[GatewayState], version: int) -> list[GatewayState]:
-    """Return the live gateways that do not have a version in force yet.
+    """Return the gateways on which a version is not in force yet.
 
-    A gateway that is stopping takes no new requests, so nothing has to come into force there.
+    Stopping gateways are left out, since they accept no new requests.
     """
     return [
         gateway
--- a/src/leverjunction/settings/checks.py
+++ b/src/leverjunction/settings/checks.py
@@ -1,7 +1,8 @@
-"""Checks of a whole settings document: the schema, and the rules that span several keys.
+"""Validates a whole settings document against the schema and the rules that span several keys.
 
-Used on operators' files before a change is planned, and by the operators' API before a change is
-proposed. The replicated state machine does not run them: replicas of two releases could differ.
+The command line validates operators' files before it plans a change, and the operators' API
+validates a change before it proposes it. The replicated state machine does not validate: replicas
+that run different releases could then disagree.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
 
 
 class Finding(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault in a document.
+    """A validation error in a settings document.
 
     Attributes:
-        path: Slash-separated path of the key at fault.
-        expected: What was expected there.
-        got: What stands there, shortened; empty when nothing does.
+        path: Slash-separated path of the invalid key.
+        expected: Description of a valid value.
+        got: The actual value, truncated; empty if there is none.
     """
 
     path: str
@@ -43,14 +44,14 @@
 
 
 class CheckedSettings(msgspec.Struct, frozen=True):
-    """A valid document: its tree, and its leaves in the form in which they are stored."""
+    """A valid document, as a typed tree and as the leaves that are stored."""
 
     tree: SettingsTree
     leaves: dict[str, object]
 
 
 def check_document(document: dict[str, object]) -> CheckedSettings | list[Finding]:
-    """Return the settings that a nested document holds, or every fault in it.
+    """Return the settings of a nested document, or all validation errors.
 
     Values are not coerced: ``"5"`` is not a number and ``1`` is not a version.
     """
@@ -58,10 +59,10 @@
         tree = SettingsTree.model_validate(document, strict=True)
     except ValidationError as error:
         return [_finding(item) for item in error.errors()]
-    findings = [*_bad_names(tree), *_bad_priorities(tree), *_bad_references(tree)]
-    findings += _doubled(_zones(tree), "a zone of one region only")
-    findings += _doubled(_models(tree), "a model of one service only")
-    findings += _doubled(_key_hashes(tree), "a key of one tenant only")
+    findings = [*_invalid_names(tree), *_invalid_priorities(tree), *_invalid_references(tree)]
+    findings += _duplicates(_zones(tree), "a zone of one region only")
+    findings += _duplicates(_models(tree), "a model of one service only")
+    findings += _duplicates(_key_hashes(tree), "a key of one tenant only")
     if findings:
         return findings
     try:
@@ -72,13 +73,13 @@
 
 
 def check_leaves(leaves: Leaves) -> list[Finding]:
-    """Return the faults of a tree given as leaves, such as the one a proposed change leads to."""
+    """Return the validation errors of a tree that is given as leaves."""
     checked = check_document(unflatten(leaves))
     return checked if isinstance(checked, list) else []
 
 
 def shorten(value: object) -> str:
-    """Return a value as text for a message, cut to a readable length."""
+    """Return the ``repr`` of a value, truncated to 80 characters."""
     text = repr(value)
     if len(text) <= _MAX_SHOWN_CHARACTERS:
         return text
@@ -107,7 +108,7 @@
 
 
 def _known_keys(location: tuple[object, ...]) -> list[str]:
-    """Return the keys that the schema allows at a place."""
+    """Return the keys that the schema allows at a location."""
     model: Any = SettingsTree
     for part in location:
         if isinstance(model, type) and issubclass(model, BaseModel):
@@ -119,7 +120,7 @@
     return list(model.model_fields) if is_model else []
 
 
-def _bad_names(tree: SettingsTree) -> Iterator[Finding]:
+def _invalid_names(tree: SettingsTree) -> Iterator[Finding]:
     for path in _named_paths(tree):
         name = path.rsplit("/", 1)[-1]
         if not _NAME.fullmatch(name):
@@ -141,8 +142,8 @@
                 yield f"services/{service_name}/models/{model_name}/adapters/{adapter}"
 
 
-def _bad_priorities(tree: SettingsTree) -> Iterator[Finding]:
-    # Engines count priorities 0 to 3 as batch in their load reports.
+def _invalid_priorities(tree: SettingsTree) -> Iterator[Finding]:
+    # Engines count priorities 0 to 3 as batch work in their load reports.
     for path, serving in _serving_blocks(tree):
         batch, online = serving.batch_priority, serving.online_priority
         if batch is not None and batch > HIGHEST_BATCH_PRIORITY:
@@ -174,7 +175,7 @@
                 yield f"{path}/adapters/{adapter_name}/serving", adapter.serving
 
 
-def _bad_references(tree: SettingsTree) -> Iterator[Finding]:
+def _invalid_references(tree: SettingsTree) -> Iterator[Finding]:
     for tenant_name, tenant in tree.tenants.items():
         for position, service in enumerate(tenant.services):
             if service not in tree.services:
@@ -210,7 +211,7 @@
             yield f"tenants/{tenant_name}/api_key_hashes/{position}", key_hash
 
 
-def _doubled(named: Iterator[tuple[str, str]], expected: str) -> list[Finding]:
+def _duplicates(named: Iterator[tuple[str, str]], expected: str) -> list[Finding]:
     first: dict[str, str] = {}
     findings: list[Finding] = []
     for path, name in named:
--- a/src/leverjunction/settings/commands.py
+++ b/src/leverjunction/settings/commands.py
@@ -8,7 +8,7 @@
 
 
 class LeafChange(msgspec.Struct, frozen=True):
-    """One changed leaf: its new value, or its deletion."""
+    """A changed leaf: its new value, or its deletion."""
 
     path: str
     value: object = None
@@ -20,9 +20,9 @@
 
     Attributes:
         change_id: Random id chosen by the sender; a resend gets the first outcome.
-        base_version: Version that the sender compared against.
+        base_version: Version that the change is based on.
         content_hash: Hash of the whole tree after the change.
-        author: Name of the operator, for the record.
+        author: Name of the operator, stored in the history.
         changes: Changed leaves.
     """
 
@@ -34,16 +34,16 @@
 
 
 class ChangeOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of a change.
+    """Outcome of a change.
 
     Attributes:
         accepted: True when the change is committed as ``version``.
-        version: Version of the change; for a refused one the version now in force.
-        replayed: True when this is the outcome of an earlier send.
-        winner: Author of the change that came first, when refused.
-        winner_ms: Wall-clock time of that change, in milliseconds.
+        version: Version created by the change, or the version in force if it was refused.
+        replayed: True when the change was a resend and this is its first outcome.
+        winner: Author of the version in force when the base version is outdated, else empty.
+        winner_ms: Wall-clock time of that version, in milliseconds since the Unix epoch.
         differing_paths: Paths that changed between the sender's base and the current version.
-        reason: One sentence, empty when accepted.
+        reason: Why the change was refused, in one sentence; empty when accepted.
     """
 
     accepted: bool
@@ -56,13 +56,16 @@
 
 
 class PlacementFence(msgspec.Struct, frozen=True, kw_only=True, tag="placement_fence"):
-    """Take the next fence for orders to back ends. Reply: Fence. Sequences only rise."""
+    """Allocate the next fence for orders to back ends. Reply: Fence."""
 
     controller: str
 
 
 class Fence(msgspec.Struct, frozen=True, kw_only=True):
-    """Order fence: term of the root group's leader and a sequence that only rises."""
+    """Fencing token for orders: term of the root group and an increasing sequence number.
+
+    Neither number ever decreases.
+    """
 
     term: int
     sequence: int
@@ -75,7 +78,7 @@
 
 
 class SettingsDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """Leaves changed after the asked version, up to ``version``."""
+    """Leaves changed after the requested version, up to and including ``version``."""
 
     version: int
     rows: list[SettingRow]
@@ -88,7 +91,7 @@
 
 
 class ChangeRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted change."""
+    """An accepted change in the history."""
 
     version: int
     change_id: str
--- a/src/leverjunction/settings/files.py
+++ b/src/leverjunction/settings/files.py
@@ -1,7 +1,7 @@
-"""Reads a directory of YAML files as one settings tree, with the place of every key.
+"""Reads a directory of YAML files as one settings tree, with the source location of every key.
 
-Files are merged; their division is the operators' own. A key given twice, in one file or in two,
-is refused instead of one silently winning.
+Files are merged, so operators may split the settings as they like. A duplicate key, within one file
+or across files, is an error: neither value silently overrides the other.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 SafeLoaders = yaml.SafeLoader | yaml.CSafeLoader
 _Loader: type[SafeLoaders] = yaml.CSafeLoader if yaml.__with_libyaml__ else yaml.SafeLoader
-"""The one in C, where PyYAML was built with it: 5,600 tenants load in 1.9 s instead of 7.0 s."""
+"""The libyaml loader where available: it loads 5,600 tenants in 1.9 s instead of 7.0 s."""
 
 FILE_SUFFIXES = (".yaml", ".yml")
 
 
 class SourceLocation(msgspec.Struct, frozen=True):
-    """Place of a key: file, and line counted from 1."""
+    """Source location of a key: file name and line number, counted from 1."""
 
     file: str
     line: int
@@ -35,14 +35,14 @@
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault in the files.
+    """An error in the settings files.
 
     Attributes:
-        file: File that holds it.
-        line: Line, counted from 1; 0 when the fault is of the file as a whole.
-        key: Slash-separated path of the key at fault.
-        expected: What was expected.
-        got: What stands there, shortened.
+        file: File that contains the error.
+        line: Line number, counted from 1; 0 when the error concerns the whole file.
+        key: Slash-separated path of the invalid key.
+        expected: Description of valid input.
+        got: The actual input, truncated.
     """
 
     file: str
@@ -59,12 +59,12 @@
 
 
 class BadSettings(msgspec.Struct, frozen=True):
-    """Files that do not make a settings tree, with every fault found."""
+    """All errors found in files that do not form a valid settings tree."""
 
     problems: list[Problem]
 
     def failure(self) -> Failure:
-        """Return the faults as one failure."""
+        """Return all errors as a single failure."""
         reason = "; ".join(str(problem) for problem in self.problems)
         return Failure(kind=FailureKind.BAD_REQUEST, reason=reason, step=Step.PARSING)
 
@@ -73,9 +73,9 @@
     """Settings read from files.
 
     Attributes:
-        tree: The checked tree.
+        tree: The validated tree.
         leaves: Its leaves by path, as they are stored.
-        locations: Place of each key by path.
+        locations: Source location of each key by path.
     """
 
     tree: SettingsTree
@@ -84,19 +84,17 @@
 
 
 def load_settings(directory: Path) -> LoadedSettings | BadSettings:
-    """Read every YAML file below a directory, in order of path, as one tree."""
+    """Read all YAML files below a directory, sorted by path, as one tree."""
     reader = _Reader()
-    whole = SourceLocation(str(directory), 0)
+    root = SourceLocation(str(directory), 0)
     files = _files_of(directory)
     if not files:
         got = "one without any" if directory.is_dir() else "no such directory"
-        reader.problem(whole, "", f"a directory of {' or '.join(FILE_SUFFIXES)} files", got)
+        reader.problem(root, "", f"a directory of {' or '.join(FILE_SUFFIXES)} files", got)
     for file in files:
         reader.read(file)
     if not reader.document and not reader.problems:
-        reader.problem(
-            whole, "", "at least one key", "empty files, which would delete all settings"
-        )
+        reader.problem(root, "", "at least one key", "empty files, which would delete all settings")
     if reader.problems:
         return BadSettings(reader.problems)
     checked = check_document(reader.document)
@@ -118,7 +116,7 @@
 
 
 class _Reader:
-    """Merges files into one document and remembers where each key stands."""
+    """Merges files into one document and records the source location of each key."""
 
     def __init__(self) -> None:
         self.document: dict[str, object] = {}
@@ -218,7 +216,7 @@
                 self.locations[f"{path}/{position}"] = _place(Path(place.file), item)
 
     def locate(self, finding: Finding) -> Problem:
-        """Return a finding with the place of its key, or of the nearest key above it."""
+        """Return a finding with the location of its key, or of the nearest ancestor key."""
         place = _nearest(self.locations, finding.path)
         return Problem(
             file=place.file,
--- a/src/leverjunction/settings/flatten.py
+++ b/src/leverjunction/settings/flatten.py
@@ -1,7 +1,7 @@
-"""Nested settings documents as leaf rows, and back; content hash of a set of leaves.
+"""Converts nested settings documents to leaves and back, and hashes sets of leaves.
 
 A leaf is addressed by its slash-separated path. Lists are leaves. An empty mapping is a leaf with
-the value ``{}``, because it may carry meaning: ``models: {m: {}}`` says that model ``m`` exists.
+the value ``{}``, because it can be significant: ``models: {m: {}}`` declares the model ``m``.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class FlattenError(ValueError):
-    """A document that cannot be stored as leaves; raised only for keys that no path can hold."""
+    """Raised for a document with a key that cannot be part of a path."""
 
 
 def flatten(document: Mapping[str, object]) -> dict[str, object]:
     """Return the leaves of a nested document by path.
 
     Args:
-        document: Nested mapping with string keys. None values count as absent.
+        document: Nested mapping with string keys. None values are treated as absent.
 
     Raises:
         FlattenError: A key is empty, is not a string or contains the path separator.
@@ -64,7 +64,7 @@
 def unflatten(leaves: Leaves) -> dict[str, object]:
     """Return the nested document of the given leaves.
 
-    An empty-mapping leaf that has descendants is the mapping which holds them.
+    If a leaf with an empty mapping has descendants, they become the content of that mapping.
     """
     document: dict[str, object] = {}
     for path in sorted(leaves):
@@ -81,7 +81,7 @@
 
 
 def difference(old: Leaves, new: Leaves) -> list[LeafChange]:
-    """Return the changes, in order of path, that turn ``old`` into ``new``."""
+    """Return the changes that turn ``old`` into ``new``, sorted by path."""
     changes: list[LeafChange] = []
     for path in sorted(old.keys() | new.keys()):
         if path not in new:
@@ -92,12 +92,12 @@
 
 
 def same_value(left: object, right: object) -> bool:
-    """Return whether two leaf values are the same JSON (1 and 1.0 and True are not)."""
+    """Return whether two leaf values have the same JSON; 1, 1.0 and True all differ."""
     return left is right or _ENCODER.encode(left) == _ENCODER.encode(right)
 
 
 def leaves_of(rows: Iterable[SettingRow]) -> dict[str, object]:
-    """Return the leaves that a complete set of rows holds."""
+    """Return the leaves given by a complete set of rows."""
     return {row.path: row.value for row in rows if not row.deleted}
 
 
@@ -109,22 +109,23 @@
 def content_hash(leaves: Leaves) -> str:
     """Return the hash of a whole set of leaves, as 64 hex digits.
 
-    It is the sum, modulo 2**256, of the SHA-256 of every leaf: independent of order, and cheap to
-    carry forward (``update_hash``). A path occurs once, so the sum stands for the set. It guards
-    against sender and replica disagreeing on the tree by error, where a false match has odds of
-    2**-256; it is no defence against a forger, who would need an operator's token to begin with.
+    The hash is the sum of the SHA-256 of all leaves modulo 2**256, which is independent of order
+    and cheap to update (``update_hash``). Paths are unique, so the sum identifies the set. The hash
+    detects accidental differences between the trees of sender and replica, with a false match
+    probability of 2**-256. It does not protect against deliberate forgery, which would require an
+    operator's token in the first place.
     """
     total = sum(_leaf_number(path, encode_value(value)) for path, value in leaves.items())
     return _to_hex(total)
 
 
 def update_hash(current: str, removed: Leaves, added: Leaves) -> str:
-    """Return the content hash after some leaves were removed and others added.
+    """Return the content hash after leaves are removed and added.
 
     Args:
         current: Hash before the change.
-        removed: Former values of the leaves that are gone or changed.
-        added: New values of the leaves that are new or changed.
+        removed: Previous values of the leaves that were deleted or changed.
+        added: New values of the leaves that were added or changed.
     """
     total = int(current, 16)
     total -= sum(_leaf_number(path, encode_value(value)) for path, value in removed.items())
--- a/src/leverjunction/settings/index.py
+++ b/src/leverjunction/settings/index.py
@@ -1,7 +1,7 @@
-"""Settings leaves grouped by entity, and the reverse look-ups over them.
+"""Groups settings leaves by entity and maintains reverse indexes over the entities.
 
-An entity is what operators name: one tenant, service, region or batch class, or the defaults.
-Functions here copy what they change, so that instances of ``ResolvedSettings`` can share the rest.
+An entity is a single tenant, service, region or batch class, or the defaults. The functions copy
+the entities they change, so that instances of ``ResolvedSettings`` can share the others.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class EntityIndex(msgspec.Struct, frozen=True):
-    """Reverse look-ups over the entities."""
+    """Reverse indexes over the entities."""
 
     tenant_by_key_hash: dict[str, str]
     service_by_model: dict[str, str]
@@ -27,7 +27,7 @@
 
 
 def merge_rows(entities: Entities, rows: Iterable[SettingRow]) -> set[str]:
-    """Write rows into copies of the entities they belong to; return these entities' keys."""
+    """Apply rows to copies of their entities and return the keys of these entities."""
     touched: set[str] = set()
     for row in rows:
         key = entity_of(row.path)
@@ -45,7 +45,7 @@
 
 
 def reindex(index: EntityIndex, old: Entities, new: Entities, touched: set[str]) -> EntityIndex:
-    """Return the index after some entities changed; unchanged parts are shared."""
+    """Return the index updated for the touched entities; unchanged parts are shared."""
     sections = {key.partition(PATH_SEPARATOR)[0] for key in touched}
     tenants = index.tenant_by_key_hash
     if "tenants" in sections:
@@ -86,10 +86,10 @@
 
 
 def _index_children(entities: Entities, section: str, kind: str) -> dict[str, str]:
-    """Return the parent of each child (model of a service, zone of a region).
+    """Map each child (model of a service, zone of a region) to its parent.
 
-    The schema check refuses a child with two parents; should one get here, the first parent in
-    order of name has it, the same in every process.
+    Validation refuses a child with two parents. If one occurs all the same, the first parent in
+    alphabetical order is used, so that all processes agree.
     """
     index: dict[str, str] = {}
     for key in sorted(key for key in entities if key.startswith(section + PATH_SEPARATOR)):
@@ -100,7 +100,7 @@
 
 
 def child_names(leaves: Mapping[str, SettingRow], depth: int, kind: str) -> list[str]:
-    """Return the names that stand below ``kind``, which is the path's part number ``depth``."""
+    """Return the sorted names that follow ``kind`` at path component ``depth``."""
     names: set[str] = set()
     for path in leaves:
         parts = path.split(PATH_SEPARATOR)
@@ -110,11 +110,11 @@
 
 
 def entity_of(path: str) -> str:
-    """Return the entity that a leaf belongs to, such as ``tenants/acme``."""
+    """Return the key of the entity that a leaf belongs to, such as ``tenants/acme``."""
     parts = path.split(PATH_SEPARATOR, 2)
     return parts[0] if parts[0] == _ROOT_SECTION else PATH_SEPARATOR.join(parts[:2])
 
 
 def strings_of(value: object) -> list[str]:
-    """Return a list leaf's items as strings, none when the value is not a list."""
+    """Return the items of a list as strings, or an empty list if the value is not a list."""
     return [str(item) for item in value] if isinstance(value, list) else []
--- a/src/leverjunction/settings/inheritance.py
+++ b/src/leverjunction/settings/inheritance.py
@@ -1,8 +1,9 @@
-"""Inheritance in the settings tree: which ancestor gives each value.
+"""Inheritance in the settings tree: determines which ancestor provides each value.
 
-``serving`` blocks inherit along defaults -> region -> zone -> service -> model -> adapter, the
-nearest one that sets a leaf winning; tenants' limits along defaults -> tenant. The functions work
-on any lookup of leaves by path, so that the processes, ``explain`` and the tests share them.
+``serving`` blocks inherit along defaults -> region -> zone -> service -> model -> adapter, and
+tenant limits along defaults -> tenant. The most specific block that sets a leaf takes precedence.
+The functions take any function that looks up a leaf by path, so that the processes, the ``explain``
+command and the tests share them.
 """
 
 from __future__ import annotations
@@ -45,8 +46,8 @@
     Attributes:
         leaf: Name of the leaf in its block, such as ``max_queue``.
         value: Value in force.
-        origin: Path of the leaf that gives it, or ``built-in``.
-        overridden: Farther ancestors' paths that also set the leaf, nearest first.
+        origin: Path of the leaf that provides the value, or ``built-in``.
+        overridden: Paths of less specific leaves that are overridden, most specific first.
     """
 
     leaf: str
@@ -56,7 +57,7 @@
 
 
 class Place(msgspec.Struct, frozen=True, kw_only=True):
-    """What a serving block is asked for; empty parts are left out of the chain."""
+    """Position in the tree to resolve serving settings for; empty parts are skipped."""
 
     service: str = ""
     region: str = ""
@@ -66,7 +67,7 @@
 
 
 def serving_chain(place: Place) -> list[str]:
-    """Return the paths of the serving blocks that apply to a place, nearest first."""
+    """Return the paths of the serving blocks that apply to a place, most specific first."""
     chain = ["defaults/serving"]
     if place.region:
         chain.append(f"regions/{place.region}/serving")
@@ -85,12 +86,12 @@
 
 
 def limits_chain(tenant: str) -> list[str]:
-    """Return the paths of the limit blocks that apply to a tenant, nearest first."""
+    """Return the paths of the limit blocks that apply to a tenant, most specific first."""
     return [f"tenants/{tenant}/limits", "defaults/limits"]
 
 
 def inherit(lookup: Lookup, chain: list[str], leaf: str, built_in: object) -> Inherited:
-    """Return the value of one leaf along a chain, with its origin."""
+    """Resolve one leaf along a chain of blocks and return its value and origin."""
     setters = [f"{block}/{leaf}" for block in chain if lookup(f"{block}/{leaf}") is not None]
     if not setters:
         return Inherited(leaf=leaf, value=built_in, origin=BUILT_IN, overridden=[])
@@ -98,12 +99,12 @@
 
 
 def explain_serving(lookup: Lookup, place: Place) -> list[Inherited]:
-    """Return every serving leaf of a place with its origin."""
+    """Return all serving settings of a place with their origins."""
     chain = serving_chain(place)
     return [inherit(lookup, chain, leaf, value) for leaf, value in SERVING_BUILT_IN.items()]
 
 
 def explain_limits(lookup: Lookup, tenant: str) -> list[Inherited]:
-    """Return every limit of a tenant with its origin."""
+    """Return all limits of a tenant with their origins."""
     chain = limits_chain(tenant)
     return [inherit(lookup, chain, leaf, value) for leaf, value in LIMITS_BUILT_IN.items()]
--- a/src/leverjunction/settings/proposal.py
+++ b/src/leverjunction/settings/proposal.py
@@ -1,7 +1,7 @@
-"""Check of a proposed change against the settings that it would be made on. Pure.
+"""Validates the settings that would result from a proposed change. No I/O.
 
-The command line checks the files before it plans, but any holder of the operators' token may send
-a change. An invalid tree, once committed, would be in force at every gateway.
+The command line validates the files before it plans a change, but any holder of the operators'
+token may send a change directly. Once committed, an invalid tree would be in force at all gateways.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 def check_proposal(change: ApplyChange, in_force: SettingsDelta) -> Failure | None:
-    """Return why a change would make the settings invalid, None when it would not.
+    """Return a failure if a change would make the settings invalid, else None.
 
-    A change on another base than the version in force is not checked: it is either a resend, which
+    A change whose base is not the version in force is not validated: it is either a resend, which
     gets its first outcome, or is refused by the compare-and-set.
 
     Args:
         change: The proposed change.
-        in_force: All settings in force (asked for after version 0).
+        in_force: All settings in force, as queried with ``after_version`` 0.
     """
     if change.base_version != in_force.version:
         return None
@@ -36,8 +36,9 @@
     if not findings:
         return None
     named = "; ".join(
-        f"{one.path}: expected {one.expected}" + (f", got {one.got}" if one.got else "")
-        for one in findings[:MAX_NAMED_FINDINGS]
+        f"{finding.path}: expected {finding.expected}"
+        + (f", got {finding.got}" if finding.got else "")
+        for finding in findings[:MAX_NAMED_FINDINGS]
     )
     return Failure(
         kind=FailureKind.BAD_REQUEST,
--- a/src/leverjunction/settings/resolved.py
+++ b/src/leverjunction/settings/resolved.py
@@ -1,8 +1,8 @@
-"""The settings in force as one process reads them: immutable, indexed, cheap to bring forward.
+"""Immutable, indexed view of the settings in force, with cheap incremental updates.
 
-Leaves are grouped by entity (a tenant, a service, a region, ...). ``apply`` shares every entity
-that a change does not touch with the former instance, so that one tenant's change among thousands
-costs a copy of the table of entities, not of their leaves.
+Leaves are grouped by entity (a tenant, a service, a region, ...). The instance that ``apply``
+returns shares all unchanged entities with the previous one, so changing one tenant of thousands
+copies the table of entities, but not their leaves.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class ResolvedServing(msgspec.Struct, frozen=True, kw_only=True):
-    """Serving settings with every field filled; the fields are those of ``schema.Serving``."""
+    """Serving settings with all values resolved; the fields are those of ``schema.Serving``."""
 
     interference: float
     deadline_s: float
@@ -57,7 +57,7 @@
 
 
 class ResolvedLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits of a tenant with every field filled."""
+    """Limits of a tenant with all values resolved."""
 
     requests_per_s: float
     burst: int
@@ -69,9 +69,9 @@
     """A class of batch jobs.
 
     Attributes:
-        deadline_s: Time until items that have not run expire.
-        weight: Share between classes.
-        results_retention_s: How long results stay readable after the job's end.
+        deadline_s: Seconds after which items that have not run expire.
+        weight: Weight of the class when capacity is shared between classes.
+        results_retention_s: Seconds for which results stay readable after the job's end.
     """
 
     deadline_s: float
@@ -80,12 +80,12 @@
 
 
 class ResolvedModel(msgspec.Struct, frozen=True, kw_only=True):
-    """A model that a service shall hold.
+    """A model that a service is configured to serve.
 
     Attributes:
         name: Name of the model.
         version: Desired version of its weights.
-        replicas: Runners that hold it; 0 means every runner of the service.
+        replicas: Desired number of runners that load it; 0 means every runner of the service.
         adapters: Desired version of each adapter, by name.
     """
 
@@ -99,33 +99,33 @@
     """Settings in force at one version. Immutable; safe to read from any thread."""
 
     def __init__(self, entities: Entities, version: int, index: EntityIndex) -> None:
-        """Use ``from_rows`` or ``apply`` instead."""
+        """Create an instance from its parts; callers use ``from_rows`` or ``apply``."""
         self._entities = entities
         self._index = index
         self._version = version
-        # Filled on first use; two threads at once compute the same value, which does no harm.
+        # Computed lazily without a lock: concurrent threads compute the same value.
         self._serving: dict[Place, ResolvedServing] = {}
         self._limits: dict[str, ResolvedLimits] = {}
 
     @classmethod
     def empty(cls) -> ResolvedSettings:
-        """Return settings at version 0: nothing set, built-in defaults in force."""
+        """Return settings at version 0: no leaves, only built-in defaults."""
         return cls({}, 0, EntityIndex({}, {}, {}))
 
     @classmethod
     def from_rows(cls, rows: Iterable[SettingRow], version: int = 0) -> ResolvedSettings:
-        """Return the settings that a complete set of rows holds."""
+        """Return the settings given by a complete set of rows."""
         return cls.empty().apply(rows, version)
 
     def apply(self, rows: Iterable[SettingRow], version: int = 0) -> ResolvedSettings:
-        """Return the settings after a version step; never an older version than this one.
+        """Return the settings with newer rows applied; the version never decreases.
 
-        Rows that this version already contains are ignored, so replies that arrive late, twice or
-        from a hub that lags change nothing.
+        Rows that this version already contains are ignored, so late or duplicate replies and
+        replies from a lagging hub have no effect.
 
         Args:
             rows: All rows changed since this instance's version (or since an earlier one).
-            version: Version that the rows lead to; the highest row's version when lower.
+            version: Version after the rows; raised to the highest version among the rows.
         """
         newer = [row for row in rows if row.version > self._version]
         new_version = max([self._version, version, *(row.version for row in newer)])
@@ -144,12 +144,12 @@
         return self._version
 
     def rows(self) -> Iterator[SettingRow]:
-        """Yield every leaf, to be kept on disk or sent on."""
+        """Yield the rows of all leaves, for storage or transfer."""
         for leaves in self._entities.values():
             yield from leaves.values()
 
     def lookup(self, path: str) -> object | None:
-        """Return the value of a leaf, None when it is not set."""
+        """Return the value of a leaf, or None if it is not set."""
         leaves = self._entities.get(entity_of(path))
         row = leaves.get(path) if leaves else None
         return row.value if row else None
@@ -157,9 +157,9 @@
     def serving(
         self, service: str, region: str, zone: str, model: str = "", adapter: str = ""
     ) -> ResolvedServing:
-        """Return the serving settings of a service's model in a zone, all fields filled.
+        """Return the resolved serving settings of a service's model in a zone.
 
-        Names that are not in the tree add nothing: their parents' values are in force.
+        Names that are not in the tree are ignored, so the values of their parents apply.
         """
         place = self._known_place(service, region, zone, model, adapter)
         found = self._serving.get(place)
@@ -169,7 +169,7 @@
         return found
 
     def limits(self, tenant: str) -> ResolvedLimits:
-        """Return the limits of a tenant, all fields filled."""
+        """Return the resolved limits of a tenant; unknown tenants get the defaults."""
         known = tenant if _join("tenants", tenant) in self._entities else ""
         found = self._limits.get(known)
         if found is None:
@@ -215,12 +215,12 @@
         return sorted(key[len(prefix) :] for key in self._entities if key.startswith(prefix))
 
     def models(self, service: str) -> list[ResolvedModel]:
-        """Return the models that a service shall hold, by name."""
+        """Return the models that a service is configured to serve, sorted by name."""
         leaves = self._entities.get(_join("services", service), {})
         return [self._model(service, name, leaves) for name in child_names(leaves, 2, "models")]
 
     def draining_runners(self, service: str) -> list[str]:
-        """Return the runners that operators take out of a service."""
+        """Return the runners that operators are draining from a service."""
         return strings_of(self.lookup(f"services/{service}/draining_runners"))
 
     def _model(self, service: str, name: str, leaves: Mapping[str, SettingRow]) -> ResolvedModel:
@@ -238,7 +238,7 @@
         )
 
     def _known_place(self, service: str, region: str, zone: str, model: str, adapter: str) -> Place:
-        # Callers choose model and adapter names: unknown ones must not fill the memo.
+        # Callers choose model and adapter names, so unknown names must not grow the cache.
         if _join("services", service) not in self._entities:
             service = ""
         if _join("regions", region) not in self._entities:
--- a/src/leverjunction/settings/schema.py
+++ b/src/leverjunction/settings/schema.py
@@ -1,9 +1,9 @@
-"""Schema of the settings tree, checked by pydantic; unknown keys are refused.
+"""Schema of the settings tree, validated by pydantic; unknown keys are refused.
 
-The tree: ``defaults`` -> ``regions/R`` -> ``regions/R/zones/Z`` -> ``services/S`` ->
-``services/S/models/M`` -> ``services/S/models/M/adapters/A``. Each may hold a ``serving`` block;
-a child inherits every leaf that it does not set (``settings.inheritance``). Tenants and batch
-classes inherit from ``defaults`` in the same way.
+Serving settings inherit along ``defaults`` -> ``regions/R`` -> ``regions/R/zones/Z`` ->
+``services/S`` -> ``services/S/models/M`` -> ``services/S/models/M/adapters/A``. Each of these may
+have a ``serving`` block and inherits the leaves that it does not set (``settings.inheritance``).
+The limits of tenants inherit from ``defaults`` in the same way.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Serving(_Strict):
-    """Inheritable serving settings; None means inherited from the parent."""
+    """Serving settings; None means that the value is inherited from the parent."""
 
     interference: float | None = Field(
         default=None, ge=0, le=10, description="allowed growth of step time by batch, 0.05 is 5%"
@@ -38,7 +38,7 @@
 
 
 class TenantLimits(_Strict):
-    """Limits of a tenant; None means inherited."""
+    """Limits of a tenant; None means that the value is inherited from ``defaults``."""
 
     requests_per_s: float | None = Field(default=None, gt=0)
     burst: int | None = Field(default=None, ge=1)
@@ -47,7 +47,7 @@
 
 
 class Defaults(_Strict):
-    """Root of the inheritance."""
+    """Default settings, from which all others inherit."""
 
     serving: Serving = Serving()
     limits: TenantLimits = TenantLimits()
@@ -74,7 +74,7 @@
 
 
 class Model(_Strict):
-    """A model of a service: desired version and number of runners that hold it."""
+    """A model of a service: its desired version and the number of runners that load it."""
 
     version: str = Field(default="1", min_length=1)
     replicas: int = Field(default=0, ge=0, description="0: on every runner of the service")
--- a/src/leverjunction/settings/state_machine.py
+++ b/src/leverjunction/settings/state_machine.py
@@ -1,13 +1,14 @@
 """Replicated state machine of the root group: settings by compare-and-set, and order fences.
 
-State is kept in SQLite tables, written inside the group's own transaction. The rules:
-
-* A change id is answered once: a resend gets the first outcome, accepted or refused. Another
-  change under the same id is refused.
-* A change is accepted only on the current version, so of two changes on one base one wins.
-* Versions rise by one with each accepted change and never fall.
-* The sender's content hash must match the tree after the change, so that a sender that saw
-  another tree than this one changes nothing.
+State is kept in SQLite tables, which are written inside the group's own transaction. The rules:
+
+* Changes are idempotent by change id: a resend gets the first outcome, whether accepted or
+  refused. A different change under the same id is refused.
+* A change is accepted only if its base is the current version, so of two changes on the same base
+  only one is accepted.
+* Each accepted change increments the version; versions never decrease.
+* The sender's content hash must match the tree after the change, so a change that was computed
+  from a different tree is refused.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 
 
 class _Head(msgspec.Struct, frozen=True):
-    """The current version and the change that made it."""
+    """The current version and the change that created it."""
 
     version: int
     content_hash: str
@@ -68,7 +69,7 @@
 
 
 class SettingsStateMachine:
-    """State machine of group ``root`` (``consensus.api.StateMachine``)."""
+    """State machine of the consensus group ``root`` (``consensus.api.StateMachine``)."""
 
     def create_tables(self, connection: sqlite3.Connection) -> None:
         """Create the tables if they are missing."""
@@ -130,9 +131,9 @@
         return _conflict(connection, change, head)
     if not change.changes:
         return _refused(head, "the change holds no changed leaf")
-    doubled = _doubled_path(change.changes)
-    if doubled:
-        return _refused(head, f"the change sets {doubled} twice")
+    duplicate = _duplicate_path(change.changes)
+    if duplicate:
+        return _refused(head, f"the change sets {duplicate} twice")
     new_hash = _hash_after(connection, head, change.changes)
     if new_hash != change.content_hash:
         return _refused(
@@ -140,9 +141,9 @@
             f"content hash after the change is {new_hash}, the sender expected "
             f"{change.content_hash}: read the settings again and plan anew",
         )
-    clash = _clashing_path(connection, change.changes)
-    if clash:
-        return _refused(head, f"{clash} would be both a value and a mapping")
+    conflicting = _conflicting_path(connection, change.changes)
+    if conflicting:
+        return _refused(head, f"{conflicting} would be both a value and a mapping")
     return _commit(connection, context, change, head)
 
 
@@ -179,7 +180,7 @@
     )
 
 
-def _doubled_path(changes: list[LeafChange]) -> str:
+def _duplicate_path(changes: list[LeafChange]) -> str:
     seen: set[str] = set()
     for leaf in changes:
         if leaf.path in seen:
@@ -189,7 +190,7 @@
 
 
 def _hash_after(connection: sqlite3.Connection, head: _Head, changes: list[LeafChange]) -> str:
-    # Carried forward from the stored hash: a full hash of 50,000 leaves would hold up the group.
+    # Updated from the stored hash: hashing all of 50,000 leaves would block the group.
     removed: dict[str, object] = {}
     for leaf in changes:
         row = connection.execute(
@@ -201,10 +202,10 @@
     return update_hash(head.content_hash, removed, added)
 
 
-def _clashing_path(connection: sqlite3.Connection, changes: list[LeafChange]) -> str:
-    """Return a path that would be a leaf and hold leaves at once, empty when there is none.
+def _conflicting_path(connection: sqlite3.Connection, changes: list[LeafChange]) -> str:
+    """Return a path that would be both a leaf and an ancestor of leaves, or an empty string.
 
-    An accepted tree has no such path, and gateways rebuild a nested tree from it.
+    Gateways rebuild a nested tree from the leaves, which is impossible with such a path.
     """
     after = {leaf.path: not leaf.deleted for leaf in changes}
     for leaf in changes:
@@ -289,12 +290,12 @@
 
 
 def _delta(connection: sqlite3.Connection, after_version: int) -> SettingsDelta:
-    # A reader that has nothing needs no tombstones.
-    deleted_too = after_version > 0
+    # A reader that holds no leaves yet needs no tombstones.
+    include_deleted = after_version > 0
     rows = connection.execute(
         "SELECT path, value, version, deleted FROM sm_settings_leaf"
         " WHERE version > ? AND (deleted = 0 OR ?) ORDER BY version, path",
-        (after_version, deleted_too),
+        (after_version, include_deleted),
     ).fetchall()
     return SettingsDelta(
         version=_head(connection).version,
--- a/tests/unit/test_settings_cache.py
+++ b/tests/unit/test_settings_cache.py
@@ -1,4 +1,4 @@
-"""The synced copy of the settings: damaged or missing copies are told, never served."""
+"""The local copy of the settings: damaged or missing copies are reported and never used."""
 
 from __future__ import annotations
 
--- a/tests/unit/test_settings_change_spec.py
+++ b/tests/unit/test_settings_change_spec.py
@@ -1,4 +1,4 @@
-"""The settings model holds, seeded bugs are found, and the real code follows its traces."""
+"""Checks the model of settings changes, and the real code against traces of the model."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class Replica:
-    """The real state machine on its own tables; a hub applies the committed log to one."""
+    """The real state machine on its own tables; each hub applies the committed log to one."""
 
     def __init__(self) -> None:
         self._connection = sqlite3.connect(":memory:", isolation_level=None)
@@ -80,7 +80,7 @@
         return reply
 
     def delta(self, after_version: int) -> SettingsDelta:
-        """Return what changed after a version."""
+        """Return the leaves changed after a version."""
         body = self._machine.query(self._connection, encode(GetSettings(after_version)))
         reply = decode_reply(body, SettingsDelta)
         assert not isinstance(reply, Failure)
@@ -88,7 +88,7 @@
 
 
 class RealSystem:
-    """Real state machines, plans and gateway settings, driven by the labels of model steps."""
+    """Real state machines, plans and gateway settings, driven by the step labels of the model."""
 
     def __init__(self) -> None:
         self.hubs = [Replica(), Replica()]
@@ -100,7 +100,7 @@
         self._late: SettingsDelta | None = None
 
     def follow(self, label: str, before: State, after: State) -> None:
-        """Take the real step for a label of the model."""
+        """Execute the step that corresponds to a step label of the model."""
         kind, *rest = label.split()
         number = int(rest[0]) if rest else 0
         if kind == "plan":
@@ -130,7 +130,7 @@
         return self._committed.apply(self._log[-1])
 
     def _plan(self, hub: Replica, number: int, operator: Operator) -> ApplyChange:
-        """Plan against the tree that the operator reads; leaves are set to the new version."""
+        """Plan a change of the tree that the operator read; values are the new version number."""
         tree = leaves_of(hub.delta(0).rows)
         version = operator.base + 1
         if number == 0:
@@ -152,7 +152,7 @@
         if self.copy.version > self.in_force.version:
             return
         newer = self.in_force.apply(delta.rows, delta.version)
-        # The copy is synced before the settings are in force, so it is never behind them.
+        # The copy is synced before the settings come into force, so it is never older.
         self.copy = newer
 
 
@@ -178,7 +178,7 @@
 
 
 def _follow_random_traces(model: SettingsModel) -> set[str]:
-    """Walk through the model and the real code side by side; returns the steps taken."""
+    """Run model and real code side by side on random traces; return the kinds of steps taken."""
     generator = random.Random(11)
     taken: set[str] = set()
     for _ in range(WALKS):
--- a/tests/unit/test_settings_files.py
+++ b/tests/unit/test_settings_files.py
@@ -1,4 +1,4 @@
-"""Settings files: bad input gives file, line, key and what was expected."""
+"""Settings files: errors name the file, line and key, and the expected and actual input."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
     assert got in loaded.problems[0].got
 
 
-def test_files_merge_and_say_where(tmp_path: Path) -> None:
+def test_files_are_merged_with_source_locations(tmp_path: Path) -> None:
     (tmp_path / "a.yaml").write_text("services:\n  s:\n    models: {m: {}}\n")
     (tmp_path / "sub").mkdir()
     (tmp_path / "sub" / "b.yml").write_text("services:\n  s:\n    serving: {max_queue: 3}\n")
@@ -109,7 +109,7 @@
         ("", "# nothing\n", ": expected at least one key, got empty files, which would delete all"),
     ],
 )
-def test_a_folder_that_says_nothing_is_refused(
+def test_a_directory_without_settings_is_refused(
     tmp_path: Path, folder: str, text: str, expected: str
 ) -> None:
     (tmp_path / "empty").mkdir()
@@ -120,18 +120,18 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("batch_classes:\n  c: 5\n", "one.yaml:2: key batch_classes/c: expected a mapping of dead"),
         ("services: [\n", "one.yaml:2: expected YAML, got this fault: "),
         ("a: 1\na: 1\n", "one.yaml:2: key a: expected each key once, got it also at "),
     ],
 )
-def test_problems_read_well(tmp_path: Path, text: str, told: str) -> None:
+def test_problem_messages(tmp_path: Path, text: str, message: str) -> None:
     (tmp_path / "one.yaml").write_text(text)
     loaded = load_settings(tmp_path)
     assert isinstance(loaded, BadSettings)
-    assert told in str(loaded.problems[0])
+    assert message in str(loaded.problems[0])
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_settings_flatten.py
+++ b/tests/unit/test_settings_flatten.py
@@ -1,4 +1,4 @@
-"""Leaves of nested documents, and their content hash."""
+"""Conversion of nested documents to leaves, and the content hash of leaves."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @given(DOCUMENTS, DOCUMENTS)
-def test_hash_carried_forward_equals_the_whole_hash(
+def test_an_updated_hash_equals_the_full_hash(
     old: dict[str, object], new: dict[str, object]
 ) -> None:
     before, after = flatten(old), flatten(new)
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("document", [{"a/b": 1}, {"a": {"": 1}}, {"a": {3: 1}}])
-def test_keys_that_no_path_can_hold(document: dict[str, object]) -> None:
+def test_keys_that_cannot_be_part_of_a_path(document: dict[str, object]) -> None:
     with pytest.raises(FlattenError):
         flatten(document)
 
--- a/tests/unit/test_settings_proposal.py
+++ b/tests/unit/test_settings_proposal.py
@@ -1,4 +1,4 @@
-"""A change that would make the settings invalid is refused before it is proposed."""
+"""Changes that would make the settings invalid are refused before they are proposed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("leaf", "told"),
+    ("leaf", "message"),
     [
         (LeafChange("defaults/serving/max_queue", "lots"), "a valid integer, got 'lots'"),
         (LeafChange("defaults/serving/maxqueue", 1), "defaults/serving/maxqueue: expected one of"),
@@ -36,11 +36,11 @@
         (LeafChange("services//models/m", {}), "a name of letters"),
     ],
 )
-def test_invalid_trees_are_refused(leaf: LeafChange, told: str) -> None:
+def test_invalid_trees_are_refused(leaf: LeafChange, message: str) -> None:
     refusal = check_proposal(change(leaf), IN_FORCE)
     assert isinstance(refusal, Failure)
     assert refusal.kind is FailureKind.BAD_REQUEST
-    assert told in refusal.reason
+    assert message in refusal.reason
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_settings_resolved.py
+++ b/tests/unit/test_settings_resolved.py
@@ -1,4 +1,4 @@
-"""Reading the settings in force: inheritance, look-ups, and never going backwards."""
+"""Resolved settings: inheritance, look-ups, and versions that never decrease."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         (("empty", "coast", "b", "m", "x"), 2, 60.0),
     ],
 )
-def test_nearest_ancestor_gives_the_value(
+def test_the_most_specific_ancestor_provides_the_value(
     settings: ResolvedSettings, place: tuple[str, ...], max_queue: int, deadline_s: float
 ) -> None:
     serving = settings.serving(*place)
@@ -88,7 +88,7 @@
     assert settings.limits("acme").concurrency == 3
 
 
-def test_version_without_rows_still_rises(settings: ResolvedSettings) -> None:
+def test_the_version_increases_without_rows(settings: ResolvedSettings) -> None:
     assert settings.apply([], 8).version == 8
     assert settings.apply([], 8).apply([], 5).version == 8
 
@@ -108,7 +108,7 @@
     assert settings.tenant_for_key("secret") == "acme"
 
 
-def test_stepwise_changes_equal_the_whole_set() -> None:
+def test_incremental_updates_equal_a_full_load() -> None:
     rng = random.Random(5)
     names = [f"tenants/t{n}/limits/burst" for n in range(40)] + ["services/s/models/m/version"]
     stepwise = ResolvedSettings.empty()
--- a/tests/unit/test_settings_state_machine.py
+++ b/tests/unit/test_settings_state_machine.py
@@ -1,4 +1,4 @@
-"""Compare-and-set of the settings: races, resends, hundreds of changes, restarts."""
+"""The settings state machine: concurrent changes, resends, long histories and restarts."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Replica:
-    """A state machine on one database, driven as the group replica drives it."""
+    """A state machine on its own database, called as a replica of the group calls it."""
 
     def __init__(self, path: str = ":memory:") -> None:
         self.connection = sqlite3.connect(path)
@@ -72,7 +72,7 @@
     )
 
 
-def test_two_changes_on_one_base_have_one_winner() -> None:
+def test_only_one_of_two_changes_on_the_same_base_is_accepted() -> None:
     replica = Replica()
     first = plan("one", 0, {}, {"defaults/limits/burst": 5, "services/s": {}})
     second = plan("two", 0, {}, {"defaults/limits/burst": 6}, author="ben")
@@ -96,7 +96,7 @@
     assert replica.query(GetSettings(0), SettingsDelta).version == 2
 
 
-def test_a_change_id_stands_for_one_change_only() -> None:
+def test_reusing_a_change_id_for_another_change_is_refused() -> None:
     replica = Replica()
     first = plan("one", 0, {}, {"a/b": 1})
     assert replica.change(first).accepted
@@ -105,7 +105,7 @@
     assert not outcome.accepted
     assert "another change" in outcome.reason
     assert replica.leaves() == {"a/b": 1}
-    assert replica.change(first).accepted, "the resend of the first one is still answered"
+    assert replica.change(first).accepted, "a resend of the first change still gets its outcome"
 
 
 def test_first_outcomes_survive_hundreds_of_changes_a_restart_and_a_snapshot(
@@ -132,7 +132,7 @@
 
 
 def copy_by_snapshot(source: Replica) -> Replica:
-    """A replica that got its tables as a learner does: streamed in parts and swapped in."""
+    """Return a replica that received its tables as a snapshot, as a learner does."""
     target = Replica()
     sender = SnapshotSource(source.connection, part_bytes=4096)
     stage = SnapshotStage(target.connection)
@@ -146,7 +146,7 @@
     return target
 
 
-CLASH = {"a/b": 1, "a/b/c": 2}
+VALUE_AND_MAPPING = {"a/b": 1, "a/b/c": 2}
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
             ),
             "twice",
         ),
-        (plan("x", 1, {"a/b": 1}, CLASH), "both a value and a mapping"),
+        (plan("x", 1, {"a/b": 1}, VALUE_AND_MAPPING), "both a value and a mapping"),
         (plan("x", 1, {"a/b": 1}, {"a/b": 1, "a": 2}), "both a value and a mapping"),
     ],
 )
@@ -243,7 +243,7 @@
     assert records[0].content_hash == content_hash(tree)
 
 
-def test_fences_only_rise_whatever_the_term() -> None:
+def test_fences_increase_within_and_across_terms() -> None:
     replica = Replica()
     fences = [
         replica.apply(PlacementFence(controller="c"), Fence, term=term) for term in (3, 3, 5, 5)
