--- a/src/leverjunction/observability/__init__.py
+++ b/src/leverjunction/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, logs and records of decisions."""
+"""Metrics, logging and the decision log."""
--- a/src/leverjunction/observability/counters.py
+++ b/src/leverjunction/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counters of a gateway; names carry their units."""
+"""Prometheus metrics of a gateway."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class GatewayCounters:
-    """All counters of one gateway, in a registry of their own.
+    """The metrics of one gateway, in a separate registry.
 
-    Safe to share between threads.
+    Thread-safe.
     """
 
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
--- a/src/leverjunction/observability/decisions.py
+++ b/src/leverjunction/observability/decisions.py
@@ -1,8 +1,8 @@
-"""Typed records of decisions in a bounded ring, for operators to watch.
+"""Ring buffer of typed decision records, which operators can search and follow.
 
-Refusals, moves and slow requests are always kept until the ring is full. Ordinary ones are kept
-too while they are few or somebody watches; else a sample of them, so that they do not drive the
-others out of the ring.
+Refusals, retries, failures and slow requests are always recorded. Ordinary records (admitted,
+routed and completed requests) are all recorded while their rate is low or the ring has a follower;
+otherwise they are sampled, so that they do not displace the others from the ring.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 SAMPLE_RATIO = 0.1
 SLOW_S = 1.0
 ORDINARY_RECORDS_PER_S = 20
-"""Records of ordinary requests that are kept in each second before sampling begins."""
+"""Ordinary records that are kept per second before sampling begins."""
 
 MS_PER_S = 1000
 
 
 class DecisionOutcome(StrEnum):
-    """What a decision led to."""
+    """Outcome of a decision."""
 
     ADMITTED = "admitted"
     REFUSED = "refused"
@@ -49,14 +49,14 @@
 
 
 class CandidateScore(msgspec.Struct, frozen=True, kw_only=True):
-    """One runner that was weighed, lower score first.
+    """The score of a candidate runner; lower is better.
 
     Attributes:
-        runner_id: The runner.
-        score: Weighed score.
-        load: Requests expected on it.
-        overlap_blocks: Blocks of the prompt that its cache is thought to hold.
-        note: Why it was left out, empty when it was weighed.
+        runner_id: Id of the runner.
+        score: Weighted score.
+        load: Number of requests expected on the runner.
+        overlap_blocks: Blocks of the prompt that its prefix cache is estimated to hold.
+        note: Why the runner was excluded; empty when it was scored.
     """
 
     runner_id: str
@@ -71,16 +71,16 @@
 
     Attributes:
         sequence: Number of the record in this process.
-        wall_ms: When, in milliseconds since the Unix epoch.
-        request_id: The request, empty for a decision about a runner.
-        service: Service concerned.
-        step: Step of the work.
-        outcome: What was decided.
-        reason: One sentence that says why.
-        runner_id: Runner chosen or concerned.
-        attempt: Attempt number, 0 when none.
-        waited_ms: Time the request had spent by then.
-        candidates: Runners that were weighed.
+        wall_ms: Time of the decision, in milliseconds since the Unix epoch.
+        request_id: Id of the request; empty for a decision about a runner.
+        service: Name of the service.
+        step: Processing step in which the decision was made.
+        outcome: Outcome of the decision.
+        reason: Why the decision was made, in one sentence.
+        runner_id: Id of the runner that was chosen or affected.
+        attempt: Attempt number; 0 if there was no attempt.
+        waited_ms: Time that the request had taken so far, in milliseconds.
+        candidates: Runners that were considered.
     """
 
     wall_ms: int
@@ -97,7 +97,7 @@
 
 
 class DecisionRing:
-    """Bounded, thread-safe record of the newest decisions."""
+    """Thread-safe ring buffer of the most recent decisions."""
 
     def __init__(
         self,
@@ -116,9 +116,9 @@
         self._ordinary_in_second = 0
 
     def add(self, decision: Decision) -> bool:
-        """Keep a decision if it matters, is watched or is sampled; returns whether it was kept."""
+        """Record a decision unless sampling drops it; return whether it was recorded."""
         with self._changed:
-            if not self._keeps(decision):
+            if not self._should_keep(decision):
                 return False
             numbered = msgspec.structs.replace(decision, sequence=self._next_sequence)
             self._next_sequence += 1
@@ -126,17 +126,17 @@
             self._changed.notify_all()
         return True
 
-    def _keeps(self, decision: Decision) -> bool:
+    def _should_keep(self, decision: Decision) -> bool:
         if decision.outcome in ALWAYS_KEPT or decision.waited_ms >= SLOW_S * MS_PER_S:
             return True
-        are_few = self._are_few(decision.wall_ms)
-        if are_few or self._followers > 0:
+        is_under_rate = self._count_ordinary(decision.wall_ms)
+        if is_under_rate or self._followers > 0:
             return True
-        # Sampling is by request, so that all records of a sampled request are kept together.
+        # Samples by request id, so that either all or none of a request's records are kept.
         return random.Random(decision.request_id).random() < self._sample_ratio
 
-    def _are_few(self, wall_ms: int) -> bool:
-        """Count an ordinary record; return whether its second has had few of them."""
+    def _count_ordinary(self, wall_ms: int) -> bool:
+        """Count an ordinary record; return whether its second is still within the rate limit."""
         second = wall_ms // MS_PER_S
         if second != self._second:
             self._second = second
@@ -145,7 +145,7 @@
         return self._ordinary_in_second <= ORDINARY_RECORDS_PER_S
 
     def find(self, request_id: str = "", service: str = "", limit: int = 1000) -> list[Decision]:
-        """Return kept decisions, oldest first, of one request or service (empty: any)."""
+        """Return the newest decisions of a request or service (empty: any), oldest first."""
         with self._changed:
             records = list(self._records)
         found = [record for record in records if _matches(record, request_id, service)]
@@ -154,7 +154,7 @@
     def follow(
         self, request_id: str = "", service: str = "", idle_s: float = 5.0
     ) -> Iterator[Decision | None]:
-        """Yield every new decision as it is made, and None after ``idle_s`` without one."""
+        """Yield each new decision as it is recorded, and None after ``idle_s`` without one."""
         with self._changed:
             last = self._next_sequence - 1
             self._followers += 1
@@ -173,15 +173,15 @@
                     self._changed.wait(idle_s)
                 if self._closed:
                     return
-                fresh = [record for record in self._records if record.sequence > last]
-            if not fresh:
+                new_records = [record for record in self._records if record.sequence > last]
+            if not new_records:
                 yield None
                 continue
-            last = fresh[-1].sequence
-            yield from (record for record in fresh if _matches(record, request_id, service))
+            last = new_records[-1].sequence
+            yield from (record for record in new_records if _matches(record, request_id, service))
 
     def close(self) -> None:
-        """End all followers."""
+        """Stop all followers."""
         with self._changed:
             self._closed = True
             self._changed.notify_all()
--- a/src/leverjunction/observability/logs.py
+++ b/src/leverjunction/observability/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of loguru for one process."""
+"""Configures loguru for a process."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def setup_logging(config: LogConfig, process_name: str) -> None:
-    """Send log lines to standard error, as text or as one JSON object a line.
+    """Send log messages to standard error, as text or as one JSON object per line.
 
     Args:
-        config: Level and form of the lines.
-        process_name: Name of this process, part of every line.
+        config: Log level and format.
+        process_name: Name of this process, included in every message.
     """
     logger.remove()
     logger.configure(extra={"process_name": process_name})
@@ -25,7 +25,7 @@
         level=config.level,
         format=TEXT_FORMAT,
         serialize=config.json_lines,
-        # Variables of stack frames may hold keys or prompts, which never belong in logs.
+        # Local variables in stack traces may hold API keys or prompts, which must not be logged.
         diagnose=False,
         backtrace=False,
         enqueue=False,
--- a/tests/unit/test_observability_decisions.py
+++ b/tests/unit/test_observability_decisions.py
@@ -1,4 +1,4 @@
-"""Which decisions are kept, and what a follower sees."""
+"""Which decisions are recorded, and which a follower receives."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     ]
 
 
-def test_ordinary_decisions_are_kept_while_they_are_few() -> None:
-    """Found by the first day of the operators' page: `why` of an ordinary request knew nothing."""
+def test_ordinary_decisions_are_kept_up_to_a_rate() -> None:
+    """All ordinary requests used to be sampled, so ``why`` found no record of most of them."""
     kept = ring()
     results = [kept.add(decision) for decision in numbered(ORDINARY_RECORDS_PER_S + 5)]
     assert results == [True] * ORDINARY_RECORDS_PER_S + [False] * 5
@@ -51,7 +51,7 @@
     assert all(kept.add(item) for item in numbered(50, waited_ms=1_000.0))
 
 
-def test_a_follower_sees_every_decision() -> None:
+def test_a_follower_receives_every_decision() -> None:
     kept = ring()
     follower = kept.follow(service="s", idle_s=0.0)
     assert next(follower) is None
