--- a/src/leverjunction/__init__.py
+++ b/src/leverjunction/__init__.py
@@ -1,3 +1,3 @@
-"""Leverjunction: online and batch inference served from one shared fleet."""
+"""Leverjunction: serves online and batch inference from one shared fleet of back ends."""
 
 __version__ = "0.1.0"
--- a/src/leverjunction/allocator.py
+++ b/src/leverjunction/allocator.py
@@ -1,10 +1,10 @@
-"""Setting of the C library's allocator for processes with many threads and large buffers.
+"""Configures the C allocator for processes with many threads and large buffers.
 
-glibc takes a large buffer from the operating system and gives it back when it is freed, but it
-raises the limit of "large" to the size of the first such buffer, up to 32 MB. From then on buffers
-of this size come from arenas, of which there are up to eight for each processor, and an arena
-keeps what was freed in it. Dozens of RPC threads that handle commands of 1 MB in turn so come to
-hold hundreds of megabytes that nobody uses.
+glibc allocates large buffers with ``mmap`` and returns them to the operating system when they are
+freed. But when the first such buffer is freed, glibc raises its ``mmap`` threshold to the size of
+that buffer, up to 32 MB. Later buffers of that size come from arenas, of which there are up to
+eight per CPU core, and arenas retain freed memory. As a result, dozens of RPC threads that handle
+commands of 1 MB in turn retain hundreds of megabytes of unused memory.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 import ctypes
 
 LARGE_BUFFER_BYTES = 128 * 1024
-"""glibc's own first limit; setting it keeps it from growing."""
+"""glibc's initial ``mmap`` threshold; setting it explicitly stops glibc from raising it."""
 
 _M_MMAP_THRESHOLD = -3
 _SUCCESS = 1
 
 
 def return_large_buffers() -> bool:
-    """Give freed buffers of ``LARGE_BUFFER_BYTES`` and more back to the operating system at once.
+    """Return freed buffers of at least ``LARGE_BUFFER_BYTES`` to the operating system at once.
 
-    Call it first thing in a process.
+    Processes call this first at startup.
 
     Returns:
-        False when the C library has no such setting (musl, macOS); nothing is changed then.
+        True on success; False if the C library does not support the setting (musl, macOS).
     """
     try:
         mallopt = ctypes.CDLL(None).mallopt
--- a/src/leverjunction/clock.py
+++ b/src/leverjunction/clock.py
@@ -1,4 +1,4 @@
-"""Clocks that are passed in, so that simulated time can replace the machine's."""
+"""Clocks, which are passed as parameters so that tests can use simulated time."""
 
 from __future__ import annotations
 
@@ -8,51 +8,54 @@
 from typing import Any, Protocol
 
 _STEADY_CLOCK: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Counts the time for which the machine was suspended, where the system has such a clock. Judged by
-one that does not, a leader that wakes after seconds holds its lease for valid, and a gateway its
-table for fresh.
+"""The clock that includes time for which the machine was suspended, where there is one.
+
+With a clock that excludes it, a leader that resumes after seconds would consider its lease valid,
+and a gateway its routing table up to date.
 """
 
 
 def steady_s() -> float:
-    """Return seconds that never go back and stand still for nothing; all waits are judged by it.
+    """Return monotonic seconds, including suspended time; all deadlines are checked against it.
 
-    ``threading`` and sockets wait by the other clock: a wait that a suspension interrupts ends
-    later by its length, and what it waited for is then judged by this one.
+    ``threading`` and sockets wait by a clock that excludes suspended time: such a wait is prolonged
+    by the length of a suspension, after which the deadline is checked against this clock.
     """
     return time.clock_gettime(_STEADY_CLOCK)
 
 
-PAUSED_FROM_S = 0.05
-"""A timer that is this late shows that the process stood still: half a tenth of a second, in which
-a processor quota is given out; a loop with work is some milliseconds late.
+LATE_TIMER_S = 0.05
+"""Delay of a timer, in seconds, that shows that the process was paused.
+
+It is half of the 0.1 s period of CPU quotas; a busy event loop is late by some milliseconds only.
 """
 
 GRACE_S = 0.005
-"""Pause of a turn that follows a standstill: what is on its way within the machine comes in it."""
+"""Postponement of due timers per grace turn, in seconds; data in transit on the machine arrives."""
 
 GRACE_TURNS = 5
-"""Turns of the loop between a ready socket and whoever waits for a new connection, at most."""
+"""Maximum loop iterations from a ready socket to the task that awaits the connection."""
 
 
 class SteadyLoop(asyncio.SelectorEventLoop):
-    """Event loop whose timers count a suspension, and that takes no pause of its own for silence.
-
-    Load pattern: a process that is short of processor, or was frozen, goes on after 0.05 s to some
-    seconds, and the answers that came meanwhile wait in its sockets. An event loop ends all waits
-    whose time is over in the turn in which it reads them, before whoever waited gets them: a ready
-    answer is lost, its back end counts as failed, and the request goes out once more. Here timers
-    that such a standstill made late wait a few turns, 25 ms at most, until what came is handled.
+    """Event loop whose timers include suspended time and whose timeouts tolerate its own pauses.
+
+    A process that is starved of CPU, or was frozen, resumes after 0.05 s to some seconds, with the
+    replies that arrived meanwhile waiting in its sockets. A standard event loop fires all overdue
+    timeouts in the same iteration in which it reads these replies, before the waiting tasks receive
+    them: replies are lost, their back ends count as failed, and requests are sent again. This loop
+    postpones timers that are late because of a pause by a few iterations, 25 ms at most, until the
+    pending input is handled.
     """
 
     _grace_turns = 0
 
     def time(self) -> float:
-        """Return steady seconds."""
+        """Return the time of ``steady_s``."""
         return steady_s()
 
     def _process_events(self, event_list: list[Any]) -> None:
-        """Take what the sockets have; the base class then runs the timers that are due."""
+        """Handle ready sockets; the base class runs the due timers after this method."""
         super()._process_events(event_list)  # type: ignore[misc]
         timers: list[Any] = self._scheduled  # type: ignore[attr-defined]
         if not timers:
@@ -60,14 +63,14 @@
         now_s = self.time()
         if self._grace_turns:
             self._grace_turns -= 1
-        elif now_s - timers[0].when() > PAUSED_FROM_S:
+        elif now_s - timers[0].when() > LATE_TIMER_S:
             self._grace_turns = GRACE_TURNS
         if self._grace_turns:
-            _put_off(timers, now_s)
+            _postpone_due(timers, now_s)
 
 
-def _put_off(timers: list[Any], now_s: float) -> None:
-    """Have the due timers of a loop's heap wait for the next turn."""
+def _postpone_due(timers: list[Any], now_s: float) -> None:
+    """Reschedule the due timers of an event loop's heap to ``GRACE_S`` from now."""
     due = []
     while timers and timers[0].when() <= now_s:
         due.append(heapq.heappop(timers))
@@ -77,28 +80,28 @@
 
 
 LOADED_S = steady_s()
-"""When this process began to load its code: programs import this module before all others."""
+"""Time at which this process began to load its code; programs import this module first."""
 
 
 class Clock(Protocol):
     """Source of time for a process or a simulated node."""
 
     def monotonic_s(self) -> float:
-        """Return monotonic seconds; used for leases, timeouts and rates."""
+        """Return monotonic seconds, for leases, timeouts and rates."""
         ...
 
     def wall_ms(self) -> int:
-        """Return milliseconds since the Unix epoch; used for deadlines and records."""
+        """Return milliseconds since the Unix epoch, for deadlines and records."""
         ...
 
 
 class SystemClock:
-    """Clock of this machine."""
+    """The clocks of the operating system."""
 
     def monotonic_s(self) -> float:
-        """Return the machine's steady clock, in seconds."""
+        """Return the time of ``steady_s``, in seconds."""
         return steady_s()
 
     def wall_ms(self) -> int:
-        """Return the machine's wall clock, in milliseconds since the Unix epoch."""
+        """Return the system time, in milliseconds since the Unix epoch."""
         return time.time_ns() // 1_000_000
--- a/src/leverjunction/errors.py
+++ b/src/leverjunction/errors.py
@@ -1,7 +1,7 @@
-"""Failures as values: a sentinel kind with a reason, the step and the peer where it arose.
+"""Failures as values: each has a kind, a reason, and the step and peer where it occurred.
 
-Functions that can fail in an expected way return ``T | Failure`` instead of raising. Exceptions
-are kept for programming errors and for the boundary of a library that raises them.
+Functions with expected failures return ``T | Failure`` instead of raising. Exceptions are reserved
+for programming errors and for calls to libraries that raise them.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class FailureKind(StrEnum):
-    """The sentinel that names what went wrong, in terms a caller can act on."""
+    """Kind of a failure, in terms that a caller can act on."""
 
     BAD_REQUEST = "bad_request"
     HARMFUL = "harmful"
-    """Back ends ended under this very request: no other one is given it."""
+    """This request has crashed back ends, so it is not sent to another one."""
     UNAUTHENTICATED = "unauthenticated"
     FORBIDDEN = "forbidden"
     NOT_FOUND = "not_found"
@@ -39,7 +39,7 @@
     STOPPING = "stopping"
     UNREACHABLE = "unreachable"
     NOT_LISTENING = "not_listening"
-    """Nobody listens at the peer's address: its process has ended or is only starting."""
+    """No process listens on the peer's address: it has exited or is still starting."""
     TIMEOUT = "timeout"
     CORRUPT = "corrupt"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -47,7 +47,7 @@
 
 
 class Step(StrEnum):
-    """The step of the work at which a failure arose."""
+    """Processing step in which a failure occurred."""
 
     CONFIGURATION = "configuration"
     AUTHENTICATION = "authentication"
@@ -72,9 +72,9 @@
 
 
 class Execution(StrEnum):
-    """What is known about whether a back end ran the request.
+    """Whether a back end has executed the request, as far as known.
 
-    ``NOT_RUN`` may be stated only when no back end can have received the request.
+    ``NOT_RUN`` is allowed only if no back end can have received the request.
     """
 
     NOT_RUN = "not_run"
@@ -86,13 +86,13 @@
     """An expected failure, returned in place of a result.
 
     Attributes:
-        kind: Sentinel that says what went wrong.
-        reason: One sentence for a person: what happened, where, and how to go on.
-        step: Step of the work at which it arose.
-        peer: Address or id of the peer involved, empty when none was.
-        execution: Whether a back end can have run the request.
-        retry_after_s: When to come back, in seconds; None when coming back does not help.
-        detail: Machine-readable extra, such as the address of the current leader.
+        kind: Kind of the failure.
+        reason: Human-readable sentence: what happened, where, and how to proceed.
+        step: Processing step in which the failure occurred.
+        peer: Address or id of the peer involved; empty if there was none.
+        execution: Whether a back end may have executed the request.
+        retry_after_s: Delay before a retry, in seconds; None if a retry does not help.
+        detail: Machine-readable detail, such as the address of the current leader.
     """
 
     kind: FailureKind
@@ -105,5 +105,5 @@
 
 
 def is_failure(value: object) -> TypeGuard[Failure]:
-    """Return whether ``value`` is a failure rather than a result."""
+    """Return whether ``value`` is a failure."""
     return isinstance(value, Failure)
--- a/src/leverjunction/standstills.py
+++ b/src/leverjunction/standstills.py
@@ -1,8 +1,9 @@
-"""For how long a process itself did not run. Pure: the time is passed in.
+"""Tracks standstills: periods for which the process itself did not run. No I/O or clock access.
 
-A machine that is short of processor, or suspended, stops a process and all that reaches it. What
-it did not hear meanwhile says nothing of the others, so patience counts the time that it ran; and
-what it knew before may be out of date, though nobody failed to tell it.
+A machine that is starved of CPU or suspended stops a process together with its message handling.
+Missing messages in such a period do not show that a peer failed, so timeouts count only the time
+for which the process ran. State received before the period may be out of date, even though no
+update failed.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from collections import deque
 
 NOTED_FROM_S = 0.1
-"""Shorter delays are not noted: a quarter of the shortest patience of a replica in use."""
+"""Shortest standstill that is recorded, in seconds: a quarter of the shortest election timeout."""
 
-REMEMBERED_S = 60.0
-"""How long a standstill is remembered, in seconds: far above any patience with others."""
+RETENTION_S = 60.0
+"""How long a standstill is kept, in seconds; much longer than any timeout for a peer."""
 
 
 class Standstills:
-    """Spans in which one process stood still."""
+    """Recent standstills of one process."""
 
     __slots__ = ("_spans",)
 
@@ -26,63 +27,73 @@
         self._spans: deque[tuple[float, float]] = deque()
 
     def note(self, now_s: float, lasted_s: float) -> None:
-        """Take a standstill that ended now, in seconds."""
-        while self._spans and now_s - self._spans[0][1] > REMEMBERED_S:
+        """Record a standstill that ended at ``now_s`` and lasted ``lasted_s`` seconds."""
+        while self._spans and now_s - self._spans[0][1] > RETENTION_S:
             self._spans.popleft()
         if lasted_s >= NOTED_FROM_S:
             self._spans.append((now_s - lasted_s, now_s))
 
     def ran_s(self, since_s: float, now_s: float) -> float:
-        """Return for how long the process ran since a moment, in seconds."""
-        stood_s = sum(max(0.0, end_s - max(begin_s, since_s)) for begin_s, end_s in self._spans)
-        return now_s - since_s - stood_s
+        """Return the time since ``since_s`` without standstills, in seconds."""
+        standstill_s = sum(
+            max(0.0, end_s - max(begin_s, since_s)) for begin_s, end_s in self._spans
+        )
+        return now_s - since_s - standstill_s
 
 
 class Freshness:
-    """Whether what a process knows is in doubt because it stood still itself.
+    """Tracks whether replicated state is in doubt after a standstill of this process.
 
-    Somebody refreshes the knowledge step by step, and says before each by when that is over. What
-    was known before a standstill may be out of date though nobody failed to tell it, and asking
-    costs a moment. Silence of others is no reason for doubt: then what is known is all there is.
+    A loop refreshes the state in steps and announces the maximum duration of each. A step that
+    begins late, or none at all, reveals a standstill. State received before it may be out of date,
+    and a new request to a peer settles that quickly, so the state is in doubt until a request made
+    after the standstill is answered. Peers that do not answer are no reason for doubt by
+    themselves, since then there is no newer state to be had.
 
     Args:
-        from_s: Shortest standstill that matters, in seconds.
-        patience_s: How long after a standstill the doubt lasts when nobody answers, in seconds.
+        min_standstill_s: Shortest standstill that puts the state in doubt, in seconds.
+        reply_timeout_s: How long the doubt lasts if no peer answers, in seconds.
     """
 
-    __slots__ = ("_asked_s", "_due_s", "_from_s", "_patience_s", "_woke_s")
+    __slots__ = ("_confirmed_s", "_due_s", "_min_standstill_s", "_reply_timeout_s", "_resumed_s")
 
-    def __init__(self, from_s: float, patience_s: float) -> None:
-        self._from_s = from_s
-        self._patience_s = patience_s
+    def __init__(self, min_standstill_s: float, reply_timeout_s: float) -> None:
+        self._min_standstill_s = min_standstill_s
+        self._reply_timeout_s = reply_timeout_s
         self._due_s = math.inf
-        self._asked_s = -math.inf
-        self._woke_s = -math.inf
+        self._confirmed_s = -math.inf
+        self._resumed_s = -math.inf
 
     def step_begins(self, now_s: float, longest_s: float) -> float:
-        """Note that the next step of the refreshing begins, and how long it takes at most.
+        """Record that the next refresh step begins.
+
+        Args:
+            now_s: Current time, in seconds.
+            longest_s: Maximum duration of the step, in seconds.
 
         Returns:
-            For how long the process stood still before, in seconds; 0 when it is not late.
+            Length of the standstill before this step, in seconds; 0 if there was none.
         """
         self._note_standstill(now_s)
         late_s = now_s - self._due_s
         self._due_s = now_s + longest_s
-        return late_s if late_s >= self._from_s else 0.0
+        return late_s if late_s >= self._min_standstill_s else 0.0
 
-    def refreshed(self, asked_s: float) -> None:
-        """Take that all is known that was true when somebody was asked."""
-        self._asked_s = max(self._asked_s, asked_s)
+    def refreshed(self, requested_s: float) -> None:
+        """Record that the state is at least as new as at ``requested_s``, in seconds."""
+        self._confirmed_s = max(self._confirmed_s, requested_s)
 
     def is_in_doubt(self, now_s: float) -> bool:
-        """Return whether to wait for an answer before anything is decided."""
+        """Return whether to wait for a reply before decisions are based on the state."""
         self._note_standstill(now_s)
-        return self._asked_s < self._woke_s and now_s - self._woke_s < self._patience_s
+        return (
+            self._confirmed_s < self._resumed_s and now_s - self._resumed_s < self._reply_timeout_s
+        )
 
     def _note_standstill(self, now_s: float) -> None:
-        """Note the end of a standstill, once for each step that it made late."""
-        if now_s - self._due_s >= self._from_s and self._woke_s < self._due_s:
-            self._woke_s = now_s
+        """Record the end of a standstill, once for each step that it delayed."""
+        if now_s - self._due_s >= self._min_standstill_s and self._resumed_s < self._due_s:
+            self._resumed_s = now_s
 
 
 __all__ = ["Freshness", "Standstills"]
--- a/src/leverjunction/storage.py
+++ b/src/leverjunction/storage.py
@@ -1,4 +1,4 @@
-"""Small files of a data folder that must survive a loss of power."""
+"""Durable writes of small files in a data folder."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def write_synced(path: Path, content: bytes) -> None:
-    """Replace a file so that after a loss of power it is the old or the new one, whole."""
+    """Replace a file durably; after a power loss, either the old or the new content is complete."""
     path.parent.mkdir(parents=True, exist_ok=True)
     temporary = path.with_name(path.name + ".new")
     with open(temporary, "wb") as file:
@@ -26,12 +26,12 @@
 
 
 def write_founders(folder: Path, addresses: tuple[str, ...]) -> None:
-    """Remember which addresses found the group, before anything is founded."""
+    """Store the addresses that found the group; called before the group is founded."""
     write_synced(folder / FOUNDERS_FILE, json.dumps(addresses).encode())
 
 
 def read_founders(folder: Path) -> tuple[str, ...]:
-    """Return the remembered addresses; none when there are none or the file is torn."""
+    """Return the stored addresses, or an empty tuple if the file is missing or corrupt."""
     try:
         return tuple(json.loads((folder / FOUNDERS_FILE).read_bytes()))
     except (OSError, ValueError):
--- a/src/leverjunction/untrusted.py
+++ b/src/leverjunction/untrusted.py
@@ -1,6 +1,6 @@
-"""Reads what other writers send: whatever it is, the result is a value in its bounds or a failure.
+"""Parses untrusted input of other processes into valid values or failures, without raising.
 
-An error that is raised here would end a loop, or a request of somebody else.
+An exception on such input would end a background loop, or fail an unrelated request.
 """
 
 from __future__ import annotations
@@ -19,15 +19,18 @@
 T = TypeVar("T")
 
 NAME_MOST = 200
-"""Characters of an id or a name that is kept, sent in a header field and written to logs."""
+"""Maximum length of an id or name, which is stored, sent in headers and written to logs."""
 
 COUNT_MOST = 1_000_000
-"""Requests of one back end; more is a mistake, and would draw all work there."""
+"""Maximum number of requests that a back end may report.
+
+A higher number is an error and would attract all work to that back end.
+"""
 
 TOKENS_MOST = 1_000_000_000
 
-LINE_PAUSE_S = 10.0
-"""Between two lines on unreadable words of one kind."""
+LOG_INTERVAL_S = 10.0
+"""Minimum time between two log messages about invalid input of the same kind, in seconds."""
 
 _NAME = re.compile(f"[!-~]{{1,{NAME_MOST}}}")
 _ADDRESS = re.compile(r"(?:[A-Za-z0-9._-]{1,200}|\[[0-9A-Fa-f:.]{2,60}\]):([0-9]{1,5})")
@@ -36,11 +39,11 @@
 UNREADABLE = Counter(
     "unreadable_words", "Words of other writers that name nothing to use", ["reader", "reason"]
 )
-_last_lines: dict[tuple[str, str], float] = {}
+_last_logged_s: dict[tuple[str, str], float] = {}
 
 
 def read_json(data: bytes, decoder: msgspec.json.Decoder[T]) -> T | Failure:
-    """Decode JSON of another writer; malformed, too deep or of another form is a failure."""
+    """Decode JSON; malformed, too deeply nested or mistyped input gives a failure."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -48,7 +51,7 @@
 
 
 def convert(value: object, to: type[T]) -> T | Failure:
-    """Convert a decoded part of such a document to its type."""
+    """Convert a part of a decoded document to a type, or return a failure."""
     try:
         return msgspec.convert(value, to)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -56,7 +59,7 @@
 
 
 def finite_number(text: str) -> float | None:
-    """Return a number from 0 on, None for anything else."""
+    """Parse a finite number of at least 0; return None for anything else."""
     try:
         value = float(text)
     except ValueError:
@@ -64,38 +67,38 @@
     return value if 0 <= value < math.inf else None
 
 
-def whole_number(text: str, most: int) -> int:
-    """Return a whole number from 0 to ``most``, 0 for what is none."""
-    return int(min(most, finite_number(text) or 0.0))
+def whole_number(text: str, maximum: int) -> int:
+    """Parse a number, rounded down and capped at ``maximum``; return 0 for invalid text."""
+    return int(min(maximum, finite_number(text) or 0.0))
 
 
 def is_name(text: str) -> bool:
-    """Return whether a text can be an id: short, printable, without spaces."""
+    """Return whether a text is a valid id: short, printable ASCII without spaces."""
     return _NAME.fullmatch(text) is not None
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is ``host:port``."""
+    """Return whether a text has the form ``host:port``."""
     match = _ADDRESS.fullmatch(text)
     return match is not None and 0 < int(match[1]) < _PORTS
 
 
 def note_unreadable(reader: str, writer: str, reason: Any) -> None:
-    """Count a word that names nothing to use; tell of one now and then.
+    """Count an ignored invalid message and log a warning, rate-limited per kind.
 
     Args:
-        reader: What could not read it.
-        writer: Who sent it, as far as that is known.
-        reason: What is wrong with it.
+        reader: Kind of the message, such as ``heartbeat``.
+        writer: Name of the sender, as far as known.
+        reason: Why the message is invalid.
     """
-    # Without what was got, which may be anything: the label's values are to stay few.
+    # Drops the received value, which is arbitrary, to limit the number of label values.
     kind = str(reason).partition(" - at ")[0].partition(",")[0][:60]
     UNREADABLE.labels(reader, kind).inc()
     now_s = steady_s()
-    if now_s - _last_lines.get((reader, kind), -math.inf) < LINE_PAUSE_S:
+    if now_s - _last_logged_s.get((reader, kind), -math.inf) < LOG_INTERVAL_S:
         return
-    _last_lines[reader, kind] = now_s
-    logger.warning("a {} of {!r} names nothing to use: {}", reader, writer[:NAME_MOST], reason)
+    _last_logged_s[reader, kind] = now_s
+    logger.warning("ignored invalid {} from {!r}: {}", reader, writer[:NAME_MOST], reason)
 
 
 __all__ = [
--- a/tests/unit/test_allocator.py
+++ b/tests/unit/test_allocator.py
@@ -1,4 +1,4 @@
-"""Large buffers of many threads go back to the operating system."""
+"""Freed large buffers of many threads are returned to the operating system."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 GROWTH_LIMIT_MB = 16.0
-"""Bound of the growth once all buffers are freed; one thread alone holds 8 MB meanwhile."""
+"""Maximum growth once all buffers are freed; each thread allocates 8 MB at a time."""
 
 SCRIPT = """
 import sys, threading
@@ -40,16 +40,16 @@
 
 
 def _growth_mb(mode: str) -> float:
-    """Return by how much a process grows whose threads freed large buffers, one by one."""
+    """Return the growth of a process whose threads allocate and free large buffers in turn."""
     command = [sys.executable, "-c", SCRIPT, mode]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     return float(done.stdout)
 
 
 @pytest.mark.skipif(
-    not hasattr(ctypes.CDLL(None), "mallopt"), reason="this allocator has no such setting"
+    not hasattr(ctypes.CDLL(None), "mallopt"), reason="the C library does not provide mallopt"
 )
 def test_freed_buffers_of_many_threads_are_not_kept() -> None:
     assert _growth_mb("returned") < GROWTH_LIMIT_MB
-    # The counter-proof: without the setting each thread's arena keeps its share.
+    # Control: without the setting, the arena of each thread retains its buffers.
     assert _growth_mb("kept") > GROWTH_LIMIT_MB
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -1,8 +1,8 @@
-"""Time that a suspended machine did not count must count for leases, deadlines and freshness.
+"""Leases, deadlines and freshness must include time for which the machine was suspended.
 
-The steady clock that all were judged by stands still while a machine is suspended. A leader that
-woke after seconds held its lease for valid, a gateway its table for fresh, and a caller's deadline
-for far away: 182 places read that clock, and none counted the time.
+The usual monotonic clock stops while a machine is suspended. When all 182 callers used that clock,
+a leader that resumed after seconds considered its lease valid, a gateway considered its routing
+table up to date, and deadlines of requests were extended by the suspension.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Return a list; what is appended to it has passed while the machine was suspended."""
+    """Return a list; seconds appended to it are added as suspended time."""
     real = time.clock_gettime
     slept: list[float] = []
 
@@ -32,7 +32,7 @@
     return slept
 
 
-def test_the_products_clock_counts_a_suspension(suspend: list[float]) -> None:
+def test_the_system_clock_includes_suspended_time(suspend: list[float]) -> None:
     clock = SystemClock()
     before_s = clock.monotonic_s()
     suspend.append(SUSPENDED_S)
@@ -40,7 +40,7 @@
     assert steady_s() - before_s >= SUSPENDED_S
 
 
-def test_deadlines_of_a_loop_pass_in_a_suspension(suspend: list[float]) -> None:
+def test_event_loop_timeouts_include_suspended_time(suspend: list[float]) -> None:
     async def wait() -> float:
         loop = asyncio.get_running_loop()
         begun_s = time.monotonic()
@@ -56,59 +56,58 @@
 
 
 PAUSE_S = 0.3
-PATIENCE_S = 0.1
+TIMEOUT_S = 0.1
 
 
-async def _paused(sends: bytes) -> tuple[bytes, float]:
-    """Wait 0.1 s for an answer that comes while this process stands still for 0.3 s."""
+async def _read_during_pause(reply: bytes) -> tuple[bytes, float]:
+    """Wait 0.1 s for a reply that arrives while this process is paused for 0.3 s."""
     near, far = socket.socketpair()
     reader, writer = await asyncio.open_connection(sock=near)
-    answered = threading.Timer(PATIENCE_S / 2, far.sendall, [sends])
-    answered.start()
+    sender = threading.Timer(TIMEOUT_S / 2, far.sendall, [reply])
+    sender.start()
     asyncio.get_running_loop().call_soon(time.sleep, PAUSE_S)
     begun_s = time.monotonic()
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             got = await reader.readexactly(3)
     except TimeoutError:
         got = b""
     finally:
         took_s = time.monotonic() - begun_s
-        answered.join()
+        sender.join()
         writer.close()
         far.close()
     return got, took_s
 
 
-def test_an_answer_that_came_while_the_process_stood_still_is_taken() -> None:
-    """A pause of its own is no silence of others: what waits in the socket is read first.
+def test_a_reply_that_arrived_during_a_pause_is_received() -> None:
+    """Input that is pending after a pause is read before timeouts fire.
 
-    Symptom: a request that may be repeated went to another back end, 0.9 s late, with "no
-    connection: timed out" of one that had answered (kept by a test under pauses of the interpreter,
-    seed 4; before, once beside load: 502 after 1,104 ms). Cause: after a pause an event loop ends
-    all waits whose time is over in the same turn in which it reads what came meanwhile, before
-    whoever waited for that gets it.
+    After a pause, a standard event loop fires all overdue timeouts in the same iteration in which
+    it reads pending input, before the waiting tasks receive it. As a result, a repeatable request
+    failed with "no connection: timed out" although the back end had answered, and was sent to
+    another back end 0.9 s late; under load, a caller got 502 after 1,104 ms.
     """
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
-        assert runner.run(_paused(b"yes"))[0] == b"yes"
+        assert runner.run(_read_during_pause(b"yes"))[0] == b"yes"
 
 
-def test_what_did_not_come_in_a_pause_either_is_given_up_right_after() -> None:
+def test_a_wait_without_reply_times_out_right_after_a_pause() -> None:
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
-        got, took_s = runner.run(_paused(b""))
+        got, took_s = runner.run(_read_during_pause(b""))
     assert got == b""
     assert took_s < PAUSE_S + 0.2
 
 
-def test_a_connection_that_was_made_in_a_pause_is_used() -> None:
-    """It takes several turns of the loop until whoever waits for a connection has it."""
+def test_a_connection_established_during_a_pause_is_used() -> None:
+    """It takes several loop iterations until the waiting task receives a new connection."""
 
     async def connect() -> bool:
         with socket.create_server(("127.0.0.1", 0)) as server:
             host, port = server.getsockname()
             loop = asyncio.get_running_loop()
             try:
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(TIMEOUT_S):
                     loop.call_soon(loop.call_soon, time.sleep, PAUSE_S)
                     _, writer = await asyncio.open_connection(host, port)
             except TimeoutError:
@@ -120,7 +119,7 @@
         assert all(runner.run(connect()) for _ in range(5))
 
 
-def test_a_loop_that_is_always_late_still_ends_waits() -> None:
+def test_timeouts_still_fire_in_a_loop_that_is_always_late() -> None:
     async def busy() -> int:
         loop = asyncio.get_running_loop()
         near, far = socket.socketpair()
@@ -137,7 +136,7 @@
 
         loop.call_soon(turn)
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 await reader.readexactly(1_000)
         except TimeoutError:
             reached = turns
--- a/tests/unit/test_standstills.py
+++ b/tests/unit/test_standstills.py
@@ -1,4 +1,4 @@
-"""After a standstill of its own a process asks before it decides by what it knew."""
+"""After a standstill, a process refreshes its state before it bases decisions on it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from leverjunction.standstills import Freshness
 
-FROM_S = 1.0
-PATIENCE_S = 3.0
+MIN_STANDSTILL_S = 1.0
+REPLY_TIMEOUT_S = 3.0
 STEP_S = 1.0
 
 
 def refreshed_at(*moments_s: float) -> Freshness:
-    """Return what was refreshed by steps that began at these moments, each answered at once."""
-    freshness = Freshness(FROM_S, PATIENCE_S)
+    """Return a ``Freshness`` after refresh steps at these times, each answered at once."""
+    freshness = Freshness(MIN_STANDSTILL_S, REPLY_TIMEOUT_S)
     for now_s in moments_s:
         freshness.step_begins(now_s, STEP_S)
         freshness.refreshed(now_s)
@@ -21,47 +21,47 @@
 
 
 @pytest.mark.parametrize(
-    ("steps_s", "answered_s", "now_s", "doubted"),
+    ("steps_s", "answered_s", "now_s", "expected"),
     [
         ([0, 1], 1, 1.9, False),
-        ([0, 1], 1, 2.9, False),  # late by less than a standstill that matters
-        ([0, 1], 1, 3.0, True),  # nothing has happened for too long
+        ([0, 1], 1, 2.9, False),  # late by less than the shortest standstill
+        ([0, 1], 1, 3.0, True),  # the next step is overdue
         ([0, 1, 7], 1, 7.1, True),  # the step after the standstill is not answered yet
         ([0, 1, 7], 7, 7.1, False),
-        ([0, 1, 7], 6.9, 7.1, True),  # what was asked for before is no answer
+        ([0, 1, 7], 6.9, 7.1, True),  # the request was made before the standstill ended
         ([0, 1, 7, 8, 9], 1, 9.9, True),
-        ([0, 1, 7, 8, 9, 10], 1, 10.0, False),  # the others are silent
-        ([0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1, 9.9, False),  # it ran and nobody answered
+        ([0, 1, 7, 8, 9, 10], 1, 10.0, False),  # no peer answers
+        ([0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1, 9.9, False),  # the process ran, but no peer answered
     ],
 )
-def test_what_was_known_before_a_standstill_is_in_doubt_until_somebody_answers(
-    steps_s: list[float], answered_s: float, now_s: float, doubted: bool
+def test_state_is_in_doubt_after_a_standstill_until_a_reply_arrives(
+    steps_s: list[float], answered_s: float, now_s: float, expected: bool
 ) -> None:
-    freshness = Freshness(FROM_S, PATIENCE_S)
+    freshness = Freshness(MIN_STANDSTILL_S, REPLY_TIMEOUT_S)
     for step_s in steps_s:
         freshness.step_begins(step_s, STEP_S)
     freshness.refreshed(answered_s)
-    assert freshness.is_in_doubt(now_s) is doubted
+    assert freshness.is_in_doubt(now_s) is expected
 
 
-def test_nothing_is_in_doubt_where_nobody_refreshes() -> None:
-    assert not Freshness(FROM_S, PATIENCE_S).is_in_doubt(1000.0)
+def test_state_is_not_in_doubt_without_refresh_steps() -> None:
+    assert not Freshness(MIN_STANDSTILL_S, REPLY_TIMEOUT_S).is_in_doubt(1000.0)
 
 
-def test_a_refreshing_that_ended_for_good_is_waited_for_once() -> None:
+def test_a_refresh_loop_that_has_ended_causes_doubt_only_once() -> None:
     freshness = refreshed_at(0.0)
     assert freshness.is_in_doubt(50.0)
-    assert not freshness.is_in_doubt(50.0 + PATIENCE_S)
+    assert not freshness.is_in_doubt(50.0 + REPLY_TIMEOUT_S)
     assert not freshness.is_in_doubt(500.0)
 
 
-def test_each_standstill_raises_a_doubt_of_its_own() -> None:
+def test_each_standstill_causes_doubt() -> None:
     freshness = refreshed_at(0.0, 5.0, 6.0)
     assert not freshness.is_in_doubt(6.5)
     assert freshness.is_in_doubt(9.0)
 
 
-def test_how_long_the_process_stood_still_is_told_once() -> None:
+def test_the_length_of_a_standstill_is_returned_once() -> None:
     freshness = refreshed_at(0.0)
     assert freshness.is_in_doubt(6.0)
     assert freshness.step_begins(6.0, STEP_S) == pytest.approx(5.0)
