--- a/src/leverjunction/config/__init__.py
+++ b/src/leverjunction/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings file of one process: where it listens, who its peers are, where its files live."""
+"""Configuration files of processes: listen addresses, peers and data folder."""
--- a/src/leverjunction/config/common.py
+++ b/src/leverjunction/config/common.py
@@ -1,4 +1,4 @@
-"""Configuration that gateway and control processes share."""
+"""Configuration shared by gateway and control processes."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 HIGHEST_PORT = 65535
 
 
-def _checked_address(text: str) -> str:
+def _validate_address(text: str) -> str:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > HIGHEST_PORT:
         raise ValueError("host:port")
     return text
 
 
-Address = Annotated[str, AfterValidator(_checked_address)]
+Address = Annotated[str, AfterValidator(_validate_address)]
 """``host:port`` of another process."""
 
 
 class ListenConfig(BaseModel):
-    """Addresses of one process, by IP number."""
+    """IP address and ports that a process listens on."""
 
     model_config = ConfigDict(extra="forbid")
 
-    host: str = Field(default="127.0.0.1", description="IP number to listen on")
+    host: str = Field(default="127.0.0.1", description="IP address to listen on")
     http_port: int = Field(ge=0, le=65535, description="callers' or operators' HTTP port")
     rpc_port: int = Field(ge=0, le=65535, description="internal RPC port")
 
 
 class LogConfig(BaseModel):
-    """Logging of one process."""
+    """Logging configuration of a process."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -43,7 +43,7 @@
 
 
 class ProcessConfig(BaseModel):
-    """What every process needs to know before it starts."""
+    """Configuration common to all processes."""
 
     model_config = ConfigDict(extra="forbid")
 
--- a/src/leverjunction/config/control.py
+++ b/src/leverjunction/config/control.py
@@ -11,7 +11,7 @@
 
 
 class ControlPeer(BaseModel):
-    """A control process of the cluster."""
+    """Another control process of the cluster, or this one."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -25,7 +25,7 @@
 
 
 class ControlConfig(ProcessConfig):
-    """A control process: consensus replica, zone hub and placement."""
+    """Configuration of a control process: consensus replica, zone hub and placement."""
 
     peers: list[ControlPeer] = Field(
         min_length=1, description="all control processes, this one included"
--- a/src/leverjunction/config/document.py
+++ b/src/leverjunction/config/document.py
@@ -1,4 +1,4 @@
-"""Reads a settings file into plain data; what the data must look like is for others to check."""
+"""Reads a YAML configuration file into plain data, without schema validation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """Refuses a key that is given twice, which YAML loaders let win in silence."""
+    """Refuses duplicate keys, of which PyYAML would silently use the last."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict[object, object]:
         seen: set[object] = set()
@@ -24,9 +24,9 @@
 
 
 def read_document(path: Path) -> dict[str, object] | Failure:
-    """Return the mapping that a YAML file holds, or a failure naming the file and what is wrong."""
+    """Return the mapping in a YAML file, or a failure that names the file and the error."""
     try:
-        # A safe loader by inheritance: only plain data is constructed.
+        # Derived from SafeLoader, so only plain data is constructed.
         document = yaml.load(path.read_text(encoding="utf8"), _UniqueKeyLoader) or {}
     except OSError as error:
         return bad_file(path, f"cannot be read: {error.strerror}")
@@ -40,7 +40,7 @@
 
 
 def bad_file(path: Path, reason: str) -> Failure:
-    """Return the failure of a settings file."""
+    """Return a failure for an invalid configuration file."""
     return Failure(
         kind=FailureKind.BAD_REQUEST, reason=f"{path}: {reason}", step=Step.CONFIGURATION
     )
--- a/src/leverjunction/config/gateway.py
+++ b/src/leverjunction/config/gateway.py
@@ -10,7 +10,10 @@
 
 
 class GatewayConfig(ProcessConfig):
-    """A gateway: callers' HTTP, routing and batch harvest. Needs no durable data."""
+    """Configuration of a gateway, which serves callers over HTTP and sends batch work.
+
+    A gateway needs no durable data.
+    """
 
     hubs: list[Address] = Field(
         min_length=1, description="RPC addresses of control processes, own zone first"
--- a/src/leverjunction/config/load.py
+++ b/src/leverjunction/config/load.py
@@ -1,4 +1,7 @@
-"""Reads a process's settings file: flags over file over defaults, checked by pydantic."""
+"""Loads a configuration file, validated by pydantic.
+
+Command-line flags override the file, which overrides the defaults.
+"""
 
 from __future__ import annotations
 
@@ -18,23 +21,23 @@
 def load_config(
     path: Path, config_type: type[ConfigT], overrides: dict[str, object]
 ) -> ConfigT | Failure:
-    """Read and check a settings file.
+    """Read and validate a configuration file.
 
     Args:
         path: YAML file.
-        config_type: Class that it must satisfy.
-        overrides: Values from flags by dotted key (``listen.http_port``); they win over the file.
+        config_type: Model to validate against.
+        overrides: Values of flags by dotted key (``listen.http_port``), which override the file.
 
     Returns:
-        The configuration, or a failure naming file, key, what was expected and what was got.
+        The configuration, or a failure that names the file, the key and the expected value.
     """
     document = read_document(path)
     if isinstance(document, Failure):
         return document
     for dotted, value in overrides.items():
-        clash = _set_dotted(document, dotted, value)
-        if clash:
-            return bad_file(path, f"key {dotted} given by a flag: {clash} is not a mapping")
+        blocking_key = _set_dotted(document, dotted, value)
+        if blocking_key:
+            return bad_file(path, f"key {dotted} given by a flag: {blocking_key} is not a mapping")
     try:
         return config_type.model_validate(document)
     except ValidationError as error:
@@ -42,7 +45,7 @@
 
 
 def _set_dotted(document: dict[str, object], dotted: str, value: object) -> str:
-    """Set a value; return the key on the way that is no mapping, empty when there is none."""
+    """Set a value; return the parent key that is not a mapping, or an empty string on success."""
     *parents, leaf = dotted.split(".")
     target = document
     for parent in parents:
@@ -59,7 +62,7 @@
     if item["type"] == "missing":
         return f"key {key}: a value is required"
     if item["type"] == "extra_forbidden":
-        known = ", ".join(_keys_beside(item, config_type))
+        known = ", ".join(_sibling_keys(item, config_type))
         return f"key {key}: is not known, expected one of {known}"
     expected = str(item["msg"]).removeprefix("Input should be ").removeprefix("Value error, ")
     if not key:
@@ -70,8 +73,8 @@
     return f"key {key}: expected {expected}, got {got}"
 
 
-def _keys_beside(item: dict[str, Any], config_type: type[BaseModel]) -> list[str]:
-    """Return the keys that are allowed where an unknown one stands."""
+def _sibling_keys(item: dict[str, Any], config_type: type[BaseModel]) -> list[str]:
+    """Return the keys that are allowed at the level of an unknown key."""
     model: Any = config_type
     for part in item["loc"][:-1]:
         is_item = isinstance(part, int)
--- a/src/leverjunction/config/machine.py
+++ b/src/leverjunction/config/machine.py
@@ -1,7 +1,7 @@
-"""Settings file of a process that learns its peers from seeds.
+"""Configuration file of a process that discovers its peers from seed addresses.
 
-Checked by msgspec: such processes are started by the dozen, also all at once after a failure, and
-each other checker would be a fifth of what a start costs.
+It is validated by msgspec. Dozens of such processes may start at once after a failure, and loading
+another validation library would take a fifth of the cost of a start.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class MachineListen(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Addresses that a process listens on, ``host:port``; empty for what it does not serve."""
+    """Listen addresses of a process as ``host:port``; empty for servers that it does not run."""
 
     callers: str = ""
     ready: str = ""
@@ -29,13 +29,13 @@
 
 
 class MachineBounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Times that the deployment promises.
+    """Time bounds that the deployment guarantees.
 
     Attributes:
-        stop_grace_s: Time between being asked to stop and being killed.
-        drain_ms: Time in which a leaving runner gets no new work anywhere.
-        status_s: Time for which an ended batch job stays readable.
-        in_force_ms: Time in which an accepted change of routes is in force at all gateways.
+        stop_grace_s: Seconds between a request to stop and the forced kill.
+        drain_ms: Milliseconds until a leaving runner gets no new work from any gateway.
+        status_s: Seconds for which a finished batch job stays readable.
+        in_force_ms: Milliseconds until an accepted route change is in force at all gateways.
     """
 
     stop_grace_s: PositiveNumber = 8.0
@@ -45,15 +45,16 @@
 
 
 class MachineElections(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Times of a consensus group; alike on all its machines.
+    """Election timing of a consensus group; must be the same on all its machines.
 
-    While nobody leads, nothing can be accepted, and each change of leader costs about the shortest
-    timeout. It must outlast pauses of a process that is not dead: a quota of its core, a slow sync.
+    Without a leader no command is accepted, and each change of leader takes about the shortest
+    timeout. The timeout must exceed pauses of a process that is alive, such as CPU throttling by a
+    quota or a slow disk sync.
 
     Attributes:
-        heartbeat_s: Longest pause between two messages of a leader.
-        timeout_min_s: Shortest silence after which a replica campaigns.
-        timeout_max_s: Longest silence after which it does.
+        heartbeat_s: Maximum interval between messages of a leader, in seconds.
+        timeout_min_s: Minimum election timeout, in seconds.
+        timeout_max_s: Maximum election timeout, in seconds.
     """
 
     heartbeat_s: PositiveNumber = 0.15
@@ -62,16 +63,16 @@
 
     def __post_init__(self) -> None:
         if not self.heartbeat_s * 2 <= self.timeout_min_s < self.timeout_max_s:
-            raise ValueError("twice heartbeat_s at most timeout_min_s, that below timeout_max_s")
+            raise ValueError("expected 2 * heartbeat_s <= timeout_min_s < timeout_max_s")
 
 
 class MachinePolicies(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Switches of policies, to compare a deployment with and without them.
+    """Feature switches for comparing a deployment with and without a policy.
 
     Attributes:
-        hold_late_requests: Gateways hold online requests that could not be in time now.
-        tell_online_loads: Gateways tell the leader of batch work their online requests.
-        spread_requests: Gateways allow for what others have sent since the loads were true.
+        hold_late_requests: Gateways hold online requests that cannot meet their target now.
+        tell_online_loads: Gateways report their online requests to the leader of batch work.
+        spread_requests: Gateways account for requests that others sent since loads were measured.
     """
 
     hold_late_requests: bool = True
@@ -80,22 +81,22 @@
 
 
 class MachineConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Settings of one process.
+    """Configuration of one process.
 
     Attributes:
         name: Unique name of the machine.
-        zone: Zone it runs in.
-        listen: Its addresses.
+        zone: Zone that it runs in.
+        listen: Listen addresses.
         seeds: Addresses of control processes; only the host is used, with ``rpc_seed_port``.
         rpc_seed_port: Port of the control processes' internal RPC.
-        data_folder: Where it keeps state; None on a machine without a disk.
+        data_folder: Folder for persistent state; None on a machine without a disk.
         first_start: True only when the whole system starts for the first time.
-        losses: Machines whose disks may be lost at once.
-        memory_mb: Memory that the process may use.
-        bounds: Times that the deployment promises.
-        elections: Times of its consensus groups.
-        policies: Switches of policies.
-        metrics_port: Port of the figures, 0 for none.
+        losses: Number of machines whose disks may be lost at the same time.
+        memory_mb: Memory limit of the process, in MB.
+        bounds: Time bounds that the deployment guarantees.
+        elections: Election timing of its consensus groups.
+        policies: Feature switches of policies.
+        metrics_port: Port for metrics; 0 disables them.
     """
 
     name: str
@@ -119,10 +120,10 @@
 
 
 def load_machine_config(path: Path) -> MachineConfig | Failure:
-    """Read and check a settings file.
+    """Read and validate a configuration file.
 
     Returns:
-        The settings, or a failure naming file, key, what was expected and what was got.
+        The configuration, or a failure that names the file, the key and the expected value.
     """
     document = read_document(path)
     if isinstance(document, Failure):
@@ -134,18 +135,18 @@
 
 
 def _explain(message: str, document: dict[str, object]) -> str:
-    """Make ``Expected `int`, got `str` - at `$.losses` `` a sentence that begins with the key."""
-    expected, _, place = message.partition(" - at ")
+    """Rewrite ``Expected `int`, got `str` - at `$.losses` `` as a message starting with the key."""
+    expected, _, location = message.partition(" - at ")
     expected = expected[:1].lower() + expected[1:].replace("`", "")
-    key = place.strip("`").removeprefix("$").removeprefix(".")
+    key = location.strip("`").removeprefix("$").removeprefix(".")
     if not key:
         return expected
-    got = "" if ", got " in expected else _got(key, document)
+    got = "" if ", got " in expected else _describe_actual(key, document)
     return f"key {key}: {expected}{got}"
 
 
-def _got(key: str, document: dict[str, object]) -> str:
-    """Return the words for a plain value at a dotted key, empty when there is none."""
+def _describe_actual(key: str, document: dict[str, object]) -> str:
+    """Return ``, got VALUE`` for a scalar at a dotted key, or an empty string without one."""
     value: object = document
     for part in key.split("."):
         if not isinstance(value, dict) or part not in value:
--- a/src/leverjunction/untrusted.py
+++ b/src/leverjunction/untrusted.py
@@ -68,7 +68,7 @@
 
 
 def whole_number(text: str, maximum: int) -> int:
-    """Parse a number, rounded down and capped at ``maximum``; return 0 for invalid text."""
+    """Parse a number as an integer from 0 to ``maximum``, capped; return 0 for invalid text."""
     return int(min(maximum, finite_number(text) or 0.0))
 
 
--- a/tests/unit/test_config_load.py
+++ b/tests/unit/test_config_load.py
@@ -1,4 +1,4 @@
-"""Settings file of a process: flags over file over defaults, and what bad ones say."""
+"""Configuration files of processes: precedence of flags, and messages for invalid files."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return load_config(file, GatewayConfig, dotted)
 
 
-def test_flags_over_file_over_defaults(tmp_path: Path) -> None:
+def test_flags_override_the_file_and_the_file_overrides_defaults(tmp_path: Path) -> None:
     config = load(tmp_path, GOOD, listen__http_port=8090, log__level="DEBUG")
     assert isinstance(config, GatewayConfig)
     assert (config.listen.http_port, config.listen.rpc_port) == (8090, 8081)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "overrides", "told"),
+    ("text", "overrides", "message_parts"),
     [
         (GOOD.replace("name: g1", ""), {}, ["key name", "required"]),
         (GOOD + "typo: 1\n", {}, ["key typo", "not known", "data_folder", "hubs"]),
@@ -60,12 +60,12 @@
     ],
 )
 def test_bad_files(
-    tmp_path: Path, text: str, overrides: dict[str, object], told: list[str]
+    tmp_path: Path, text: str, overrides: dict[str, object], message_parts: list[str]
 ) -> None:
     loaded = load(tmp_path, text, **overrides)
     assert isinstance(loaded, Failure)
     assert "gateway.yaml" in loaded.reason
-    for part in told:
+    for part in message_parts:
         assert part in loaded.reason
 
 
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("overrides", "told"),
+    ("overrides", "message"),
     [
         ({"name": "c2"}, "peers to name this process and every root voter: c2 not in peers"),
         ({"root_voters": ["c1", "c9"]}, "every root voter: c9 not in peers"),
@@ -94,13 +94,13 @@
         ({"peers": [{"nam": "c1"}]}, "one of name, region, rpc_address, zone"),
     ],
 )
-def test_bad_control_files(tmp_path: Path, overrides: dict[str, object], told: str) -> None:
+def test_bad_control_files(tmp_path: Path, overrides: dict[str, object], message: str) -> None:
     file = tmp_path / "control.yaml"
     file.write_text(CONTROL)
     assert isinstance(load_config(file, ControlConfig, {}), ControlConfig)
     loaded = load_config(file, ControlConfig, overrides)
     assert isinstance(loaded, Failure)
-    assert told in loaded.reason
+    assert message in loaded.reason
 
 
 def test_examples() -> None:
@@ -112,7 +112,7 @@
     assert gateway.hubs == [peer.rpc_address for peer in control.peers]
 
 
-def test_not_text_is_told(tmp_path: Path) -> None:
+def test_a_binary_file_is_refused(tmp_path: Path) -> None:
     file = tmp_path / "gateway.yaml"
     file.write_bytes(b"\xff\xfe\x00")
     assert isinstance(load_config(file, GatewayConfig, {}), Failure)
--- a/tests/unit/test_config_machine.py
+++ b/tests/unit/test_config_machine.py
@@ -1,4 +1,4 @@
-"""Settings of a process in a seeded deployment: what fits together and what does not."""
+"""Configuration of a process in a seeded deployment: defaults and validation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 }
 
 
-def test_the_usual_times_fit_together() -> None:
+def test_default_election_timing_is_consistent() -> None:
     times = MachineElections()
     assert times.heartbeat_s * 2 <= times.timeout_min_s < times.timeout_max_s
 
@@ -35,11 +35,9 @@
         {"heartbeat_s": 0},
         {"timeout_min": 0.5},
     ],
-    ids=["heartbeats too rare", "no spread", "order", "zero", "unknown key"],
+    ids=["heartbeat too long", "no spread", "order", "zero", "unknown key"],
 )
-def test_times_that_do_not_fit_together_are_refused(
-    tmp_path: Path, wrong: dict[str, float]
-) -> None:
+def test_inconsistent_election_timing_is_refused(tmp_path: Path, wrong: dict[str, float]) -> None:
     loaded = load(tmp_path, {**SETTINGS, "elections": wrong})
     assert isinstance(loaded, Failure)
     assert "elections" in loaded.reason
@@ -51,7 +49,7 @@
     return load_machine_config(path)
 
 
-def test_what_is_left_out_has_its_usual_value(tmp_path: Path) -> None:
+def test_omitted_keys_have_default_values(tmp_path: Path) -> None:
     loaded = load(tmp_path, SETTINGS)
     assert isinstance(loaded, MachineConfig)
     assert (loaded.losses, loaded.data_folder, loaded.metrics_port) == (1, None, 0)
@@ -60,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "message_parts"),
     [
         ({"seeds": []}, ["key seeds", "length >= 1"]),
         ({"rpc_seed_port": 70000}, ["key rpc_seed_port", "expected int <= 65535, got 70000"]),
@@ -74,17 +72,17 @@
         ({"unknown": 1}, ["unknown field unknown"]),
     ],
 )
-def test_a_wrong_value_is_named_with_file_key_and_what_was_expected(
-    tmp_path: Path, change: dict[str, object], words: list[str]
+def test_errors_name_the_file_the_key_and_the_expected_value(
+    tmp_path: Path, change: dict[str, object], message_parts: list[str]
 ) -> None:
     loaded = load(tmp_path, {**SETTINGS, **change})
     assert isinstance(loaded, Failure)
-    for word in ("settings.yaml", *words):
-        assert word in loaded.reason
+    for part in ("settings.yaml", *message_parts):
+        assert part in loaded.reason
 
 
-def test_the_programs_of_a_deployment_load_no_second_checker() -> None:
-    """Each start of a process costs the time to load its libraries."""
+def test_processes_of_a_deployment_do_not_load_pydantic() -> None:
+    """Loading a second validation library would slow down each start of a process."""
     roles = "leverjunction.platform.roles, leverjunction.proxy.process"
     nodes = "leverjunction.registry.node, leverjunction.lots.node"
     script = f"import sys, {roles}, {nodes}; print('pydantic' in sys.modules)"
