--- a/src/leverjunction/clock.py
+++ b/src/leverjunction/clock.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 _STEADY_CLOCK: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""The clock that includes time for which the machine was suspended, where there is one.
+"""The monotonic clock that includes suspended time, on systems that provide one.
 
 With a clock that excludes it, a leader that resumes after seconds would consider its lease valid,
 and a gateway its routing table up to date.
@@ -31,7 +31,10 @@
 """
 
 GRACE_S = 0.005
-"""Postponement of due timers per grace turn, in seconds; data in transit on the machine arrives."""
+"""Postponement of due timers per grace turn, in seconds.
+
+It is long enough for data in transit within the machine to arrive.
+"""
 
 GRACE_TURNS = 5
 """Maximum loop iterations from a ready socket to the task that awaits the connection."""
--- a/src/leverjunction/config/control.py
+++ b/src/leverjunction/config/control.py
@@ -11,7 +11,7 @@
 
 
 class ControlPeer(BaseModel):
-    """Another control process of the cluster, or this one."""
+    """A control process of the cluster, possibly this one."""
 
     model_config = ConfigDict(extra="forbid")
 
--- a/src/leverjunction/standstills.py
+++ b/src/leverjunction/standstills.py
@@ -1,9 +1,9 @@
-"""Tracks standstills: periods for which the process itself did not run. No I/O or clock access.
+"""Tracks standstills: pauses in which the process itself did not run. No I/O or clock access.
 
 A machine that is starved of CPU or suspended stops a process together with its message handling.
-Missing messages in such a period do not show that a peer failed, so timeouts count only the time
-for which the process ran. State received before the period may be out of date, even though no
-update failed.
+Missing messages during a pause do not show that a peer failed, so timeouts count only the time for
+which the process ran. State received before the pause may be out of date, even though no update
+failed.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from collections import deque
 
 NOTED_FROM_S = 0.1
-"""Shortest standstill that is recorded, in seconds: a quarter of the shortest election timeout."""
+"""Shortest pause that is recorded, in seconds: a quarter of the shortest election timeout."""
 
 RETENTION_S = 60.0
-"""How long a standstill is kept, in seconds; much longer than any timeout for a peer."""
+"""How long a pause is kept, in seconds; much longer than any timeout for a peer."""
 
 
 class Standstills:
-    """Recent standstills of one process."""
+    """Recent pauses of one process."""
 
     __slots__ = ("_spans",)
 
@@ -27,14 +27,14 @@
         self._spans: deque[tuple[float, float]] = deque()
 
     def note(self, now_s: float, lasted_s: float) -> None:
-        """Record a standstill that ended at ``now_s`` and lasted ``lasted_s`` seconds."""
+        """Record a pause that ended at ``now_s`` and lasted ``lasted_s`` seconds."""
         while self._spans and now_s - self._spans[0][1] > RETENTION_S:
             self._spans.popleft()
         if lasted_s >= NOTED_FROM_S:
             self._spans.append((now_s - lasted_s, now_s))
 
     def ran_s(self, since_s: float, now_s: float) -> float:
-        """Return the time since ``since_s`` without standstills, in seconds."""
+        """Return the time since ``since_s`` excluding pauses, in seconds."""
         standstill_s = sum(
             max(0.0, end_s - max(begin_s, since_s)) for begin_s, end_s in self._spans
         )
@@ -42,16 +42,16 @@
 
 
 class Freshness:
-    """Tracks whether replicated state is in doubt after a standstill of this process.
+    """Tracks whether state received from peers is in doubt after a pause of this process.
 
-    A loop refreshes the state in steps and announces the maximum duration of each. A step that
-    begins late, or none at all, reveals a standstill. State received before it may be out of date,
-    and a new request to a peer settles that quickly, so the state is in doubt until a request made
-    after the standstill is answered. Peers that do not answer are no reason for doubt by
-    themselves, since then there is no newer state to be had.
+    A loop refreshes the state in steps and announces the maximum duration of each. An overdue step
+    reveals a pause. State received before the pause may be out of date, although no update failed,
+    and a request to a peer takes little time. Therefore the state is in doubt until a request made
+    after the pause is answered. Peers that do not answer are no reason for doubt by themselves,
+    because no newer state is available then.
 
     Args:
-        min_standstill_s: Shortest standstill that puts the state in doubt, in seconds.
+        min_standstill_s: Shortest pause that puts the state in doubt, in seconds.
         reply_timeout_s: How long the doubt lasts if no peer answers, in seconds.
     """
 
@@ -72,7 +72,7 @@
             longest_s: Maximum duration of the step, in seconds.
 
         Returns:
-            Length of the standstill before this step, in seconds; 0 if there was none.
+            Length of the pause before this step, in seconds; 0 if there was none.
         """
         self._note_standstill(now_s)
         late_s = now_s - self._due_s
@@ -91,7 +91,7 @@
         )
 
     def _note_standstill(self, now_s: float) -> None:
-        """Record the end of a standstill, once for each step that it delayed."""
+        """Record the end of a pause, once for each step that it delayed."""
         if now_s - self._due_s >= self._min_standstill_s and self._resumed_s < self._due_s:
             self._resumed_s = now_s
 
--- a/tests/unit/test_standstills.py
+++ b/tests/unit/test_standstills.py
@@ -1,4 +1,4 @@
-"""After a standstill, a process refreshes its state before it bases decisions on it."""
+"""After a pause, a process refreshes its state before it bases decisions on it."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     ("steps_s", "answered_s", "now_s", "expected"),
     [
         ([0, 1], 1, 1.9, False),
-        ([0, 1], 1, 2.9, False),  # late by less than the shortest standstill
+        ([0, 1], 1, 2.9, False),  # late by less than the shortest pause
         ([0, 1], 1, 3.0, True),  # the next step is overdue
-        ([0, 1, 7], 1, 7.1, True),  # the step after the standstill is not answered yet
+        ([0, 1, 7], 1, 7.1, True),  # the step after the pause is not answered yet
         ([0, 1, 7], 7, 7.1, False),
-        ([0, 1, 7], 6.9, 7.1, True),  # the request was made before the standstill ended
+        ([0, 1, 7], 6.9, 7.1, True),  # the request was made before the pause ended
         ([0, 1, 7, 8, 9], 1, 9.9, True),
         ([0, 1, 7, 8, 9, 10], 1, 10.0, False),  # no peer answers
         ([0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1, 9.9, False),  # the process ran, but no peer answered
